--- a/test/fakes/controllers.ts
+++ b/test/fakes/controllers.ts
@@ -123,10 +123,11 @@
           node.program.frames,
         ),
         store: this.through(
+          'store',
           node,
           this.world.store.link((m, p, b) => this.fate(node, stop.signal, m, p, b)),
         ),
-        cloud: this.through(node, this.world.cloud.link()),
+        cloud: this.through('cloud', node, this.world.cloud.link()),
         workers: (address) => ({
           request: async (_method, _path, body, timeoutMs) => {
             await this.world.clock.sleep(2);
@@ -136,6 +137,7 @@
                 ? await this.world.trouble.direct(worker, body as never, timeoutMs)
                 : null;
             await this.world.clock.sleep(2);
+            this.world.onCrossing('command', node.name, address, body, answer);
             if (!answer) throw new NoAnswer('no answer');
             return JSON.parse(JSON.stringify(answer)) as Reply;
           },
@@ -215,12 +217,16 @@
   }
 
   /** Requests leave at once; their answers are seen when the controller moves again. */
-  private through(node: Node, link: Transport): Transport {
+  private through(border: 'store' | 'cloud', node: Node, link: Transport): Transport {
     return {
       request: async (...args) => {
         await this.thaw(node);
+        const [method, path, body, timeoutMs] = args;
+        this.world.onCrossing(border, node.name, 'request', method, path, body, timeoutMs);
         try {
-          return await link.request(...args);
+          const reply = await link.request(...args);
+          this.world.onCrossing(border, node.name, 'reply', method, path, reply);
+          return reply;
         } finally {
           await this.behind(node);
         }
@@ -266,6 +272,7 @@
     }
     const answer = await program.answerReport(controller, JSON.parse(JSON.stringify(report)));
     assert.notEqual(answer.status, 400);
+    this.world.onCrossing('worker', this.nodes[node]!.name, report, answer);
     await this.world.clock.sleep(1 + this.nodes[node]!.heldMs);
     return answer;
   }
--- a/test/fakes/operators.ts
+++ b/test/fakes/operators.ts
@@ -16,6 +16,23 @@
   return extensions.find((extension): extension is Part => extension instanceof kind);
 }
 
+/** The interface of a part, such that what operators ask and are answered there shows at its border. */
+export function observed<Api extends object>(world: World, node: number, api: Api): Api {
+  return new Proxy(api, {
+    get: (target, name) => {
+      const member: unknown = Reflect.get(target, name);
+      if (typeof member !== 'function') return member;
+      return (...args: unknown[]): unknown => {
+        const result: unknown = Reflect.apply(member, target, args);
+        void Promise.resolve(result).then((answer) =>
+          world.onCrossing('operator', world.nodes[node]!.name, String(name), args, answer),
+        );
+        return result;
+      };
+    },
+  });
+}
+
 /** Asks each second until the controller serves; `ask` answers undefined while it is down. */
 export async function askUntilServed(
   w: World,
--- a/test/fakes/peer-transport.ts
+++ b/test/fakes/peer-transport.ts
@@ -27,6 +27,8 @@
   delayMs: (from: string, to: string) => number = () => 2;
   /** Resolves when a controller that stands still goes on; what is sent to it waits until then. */
   thaw: (name: string) => Promise<void> = () => Promise.resolve();
+  /** A controller sends a frame. */
+  onSend: (from: string, to: string, hex: string) => void = () => undefined;
   private readonly starts = new Map<string, number>();
   /** When each controller last heard each other one; null: the connection has been closed. */
   private readonly lastHeard = new Map<string, number | null>();
@@ -55,6 +57,7 @@
       send: (to, message) => {
         const bytes = frames.encode(message);
         const from = this.ends.get(name);
+        this.onSend(name, to, bytes.toString('hex'));
         void this.clock.sleep(this.delayMs(name, to)).then(async () => {
           await this.thaw(to);
           // A message from an earlier life of the process does not come from this one.
--- a/test/fakes/rollout-checker.ts
+++ b/test/fakes/rollout-checker.ts
@@ -1,7 +1,7 @@
 import * as rollout from '@leverhatch/rollout';
 import { RolloutExtension } from '../../src/control/rollout-extension.js';
 import { ModelServers } from './model-servers.js';
-import { extensionOf } from './operators.js';
+import { extensionOf, observed } from './operators.js';
 import type { FakeWorker, Piece } from './worker.js';
 import type { World } from './world.js';
 
@@ -168,7 +168,8 @@
 
 /** How operators ask one controller about rollouts; undefined: it is down, or has them switched off. */
 export function rolloutApi(world: World, node: number): rollout.RolloutApi | undefined {
-  return extensionOf(world, node, RolloutExtension)?.api;
+  const api = extensionOf(world, node, RolloutExtension)?.api;
+  return api && observed(world, node, api);
 }
 
 /** The status that the record of a rollout says. */
--- a/test/fakes/share-checker.ts
+++ b/test/fakes/share-checker.ts
@@ -2,7 +2,7 @@
 import * as shares from '@leverhatch/shares';
 import { SharesExtension } from '../../src/control/shares-extension.js';
 import { machines } from './meeting.js';
-import { askUntilServed, extensionOf } from './operators.js';
+import { askUntilServed, extensionOf, observed } from './operators.js';
 import type { World } from './world.js';
 
 /** The machines of most stories of shares: 64 GPUs in two zones. */
@@ -70,7 +70,8 @@
 
 /** How operators ask one controller about shares; undefined: it is down, or has them switched off. */
 export function shareApi(world: World, node: number): shares.ShareApi | undefined {
-  return extensionOf(world, node, SharesExtension)?.api;
+  const api = extensionOf(world, node, SharesExtension)?.api;
+  return api && observed(world, node, api);
 }
 
 /** Asks one controller about shares, and again while it does not serve. */
--- a/test/fakes/trouble-search.ts
+++ b/test/fakes/trouble-search.ts
@@ -366,12 +366,14 @@
   rolling?: boolean;
   /** Five controllers in three zones with slow reports, in place of the sample's. */
   threeZones?: boolean;
+  /** Is told of the world before anything happens in it. */
+  observe?(world: World): void;
 }
 
 /** Plays one short world; throws what went wrong, with its plan. */
 export async function playSeed(
   seed: number,
-  { moving = false, rolling = false, threeZones = false }: Beside = {},
+  { moving = false, rolling = false, threeZones = false, observe }: Beside = {},
 ): Promise<void> {
   const random = new SeededRandom(seed * 2654435761);
   const zones = random.pick(['aabb', 'aabb', 'aaabb', 'ab']);
@@ -381,6 +383,7 @@
   const w = threeZones
     ? new World(machines('aabbcc'), THREE_ZONES, seed)
     : new World(machines(zones), controllers, seed);
+  observe?.(w);
   w.balanced = random.next() < 0.5;
   if (moving) withShares(w);
   const rollout = rolling ? new Rolling(w, random) : null;
--- a/test/fakes/users.ts
+++ b/test/fakes/users.ts
@@ -26,6 +26,10 @@
  * checker of the rules.
  */
 export class Users {
+  /** A request of a user has had its answer, or will get none. */
+  onExchange: (node: string, action: Action, request: unknown, answer: Answer) => void = () =>
+    undefined;
+
   constructor(
     private readonly clock: FakeClock,
     private readonly checker: RuleChecker,
@@ -59,6 +63,7 @@
     const given = this.clock.sleep(PATIENCE_MS[action], done.signal).then(() => NOTHING);
     const answer = await Promise.race([this.reach(front, request), given]);
     done.abort();
+    this.onExchange(front.name, action, body ?? ref, answer);
     const { phase } = answer.body as { phase?: string };
     this.checker.answered(question, { status: answer.status, phase: phase ?? null }, body);
     return answer;
--- a/test/fakes/world.ts
+++ b/test/fakes/world.ts
@@ -27,6 +27,9 @@
 
 const ENDS = ['done', 'withdrawn'];
 
+/** Between a controller and whom something passes. */
+export type Border = 'store' | 'cloud' | 'worker' | 'command' | 'peer' | 'user' | 'operator';
+
 type Room = { cpus: number; gpus: number; memoryGb: number };
 
 export interface MachineWish {
@@ -68,6 +71,8 @@
   onDone: (piece: Piece) => void = () => undefined;
   /** A task that ran has just been told to stop. */
   onHalted: (worker: FakeWorker, piece: Piece) => void = () => undefined;
+  /** Something has just crossed the border of a controller; see `behavior-trace.ts`. */
+  onCrossing: (border: Border, ...what: unknown[]) => void = () => undefined;
   /** What else is looked at whenever the rules are checked. */
   readonly observers = new Set<() => void>();
   /** Users come through the load balancer, which avoids controllers that fail its probes. */
@@ -99,6 +104,8 @@
       machines: () => this.machines.seen(),
     });
     this.users = new Users(this.clock, this.checker, (i) => this.controllers.front(i));
+    this.users.onExchange = (...what) => this.onCrossing('user', ...what);
+    this.wire.onSend = (...what) => this.onCrossing('peer', ...what);
     this.persistent = new PersistentUsers(this, this.end.signal);
     this.trouble = new Troubles(this);
   }
