--- a/src/jobs/job-states.ts
+++ b/src/jobs/job-state-cache.ts
@@ -1,12 +1,13 @@
+import { RequestPriority } from '@leverhatch/core/store';
 import type { Runtime } from '@leverhatch/core/duty';
 import type { Settings } from '../settings/deploy.js';
 import { jobOfKey, KEYS } from '../state/keys.js';
 import type { Entry, RequestClass, Store } from '../state/store.js';
 import { readDependencies } from './dependencies.js';
 import type { JobPhase } from './job.js';
-import { MOST_SINGLE_READS, readJobEntries } from './job-reader.js';
+import { MAX_SINGLE_READS, readJobEntries } from './job-reader.js';
 import { parseJob, type JobRecord } from './records.js';
-import { StateComparisons, type ReadState, type StateMemory } from './state-comparisons.js';
+import { VersionChecker, type ReadState, type CacheReader } from './version-checker.js';
 
 /** What a controller knows of a job. */
 export interface JobState {
@@ -23,10 +24,10 @@
  * How many jobs a node remembers for each MB of its memory, at some 200 bytes each; beyond it the
  * ones asked for least lately are read again.
  */
-const KNOWN_PER_MB = 50;
+const CACHED_JOBS_PER_MB = 50;
 
 /** Where so many records are missing, those beside them are taken in as well. */
-const READ_AHEAD_FROM = 16;
+const PREFETCH_THRESHOLD = 16;
 
 /** So many dependencies take as much memory as a job that is remembered. */
 const DEPENDENCIES_PER_JOB = 4;
@@ -45,11 +46,11 @@
  * all are done. The answer `cancelled` is final, since a job with a cancelled one before it can never
  * be done: it starts only when all of those are.
  */
-export class JobStates {
-  private readonly known = new Map<string, JobState>();
-  private knownDependencies = 0;
-  private readonly questions: StateComparisons;
-  private readonly others: StateComparisons;
+export class JobStateCache {
+  private readonly cache = new Map<string, JobState>();
+  private cachedDependencies = 0;
+  private readonly queryChecker: VersionChecker;
+  private readonly checker: VersionChecker;
 
   constructor(
     private readonly store: Store,
@@ -57,59 +58,59 @@
     runtime: Runtime,
     pollMs: number,
   ) {
-    const memory: StateMemory = {
-      remembered: (id) => this.known.get(id) ?? null,
+    const memory: CacheReader = {
+      cached: (id) => this.cache.get(id) ?? null,
       read: (ids, from) => this.read(ids, from),
     };
     const { clock } = runtime;
-    this.questions = new StateComparisons(store, clock, pollMs, 'question', memory);
-    this.others = new StateComparisons(store, clock, pollMs, 0, memory);
+    this.queryChecker = new VersionChecker(store, clock, pollMs, 'question', memory);
+    this.checker = new VersionChecker(store, clock, pollMs, RequestPriority.Critical, memory);
   }
 
   /** Whether the job is known to be accepted. */
   has(id: string): boolean {
-    return this.known.has(id);
+    return this.cache.has(id);
   }
 
   /** The job's state at some time after this call; null: it was never accepted. */
   current(id: string, signal: AbortSignal | null = null): Promise<JobState | null> {
-    return this.currentBy(this.others, id, signal);
+    return this.currentBy(this.checker, id, signal);
   }
 
   /**
    * The same for a user's question, which comes after all other work. `overdue`: nothing was answered
    * about this job for long, and it may queue for longer than others before it is refused.
    */
-  asked(id: string, signal: AbortSignal, overdue: boolean): Promise<JobState | null> {
-    return this.currentBy(this.questions, id, signal, overdue);
+  query(id: string, signal: AbortSignal, overdue: boolean): Promise<JobState | null> {
+    return this.currentBy(this.queryChecker, id, signal, overdue);
   }
 
   private async currentBy(
-    comparisons: StateComparisons,
+    comparisons: VersionChecker,
     id: string,
     signal: AbortSignal | null,
     overdue = false,
   ): Promise<JobState | null> {
-    const remembered = this.known.get(id);
+    const remembered = this.cache.get(id);
     if (remembered && remembered.phase !== 'open') return remembered;
-    if (remembered && this.cancelledBefore(remembered)) return this.cancelled(id);
+    if (remembered && this.hasCancelledAncestor(remembered)) return this.markCancelled(id);
     const needsOthers = remembered && remembered.dependencies.length > 0;
     if (needsOthers) return this.withAncestors(comparisons, id, signal);
-    const job = await comparisons.compared(id, signal, overdue);
+    const job = await comparisons.check(id, signal, overdue);
     if (job?.phase !== 'open' || job.dependencies.length === 0) return job;
     return this.withAncestors(comparisons, id, signal);
   }
 
   /** The state as far as it is remembered, which may be older than this call. */
-  remembered(id: string): JobState | null {
-    const job = this.known.get(id);
+  cached(id: string): JobState | null {
+    const job = this.cache.get(id);
     if (!job) return null;
-    return job.phase === 'open' && this.cancelledBefore(job) ? this.cancelled(id) : job;
+    return job.phase === 'open' && this.hasCancelledAncestor(job) ? this.markCancelled(id) : job;
   }
 
   /** The first of these jobs that was never accepted; null: all were. */
   async firstUnknown(ids: readonly string[], signal: AbortSignal): Promise<string | null> {
-    const unknown = ids.filter((id) => !this.known.has(id));
+    const unknown = ids.filter((id) => !this.cache.has(id));
     if (unknown.length === 0) return null;
     const entries = await readJobEntries(this.store, unknown, { signal });
     for (const id of unknown) {
@@ -117,71 +118,73 @@
       if (!entry) return id;
     }
     // Their states will be asked for soon, with the job that names them.
-    if (entries.size <= this.others.mostConditions) {
-      await Promise.all([...entries].map(([id, e]) => this.learn(id, e).catch(() => null)));
+    if (entries.size <= this.checker.maxConditions) {
+      await Promise.all(
+        [...entries].map(([id, entry]) => this.putEntry(id, entry).catch(() => null)),
+      );
     }
     return null;
   }
 
   /** Takes in a record that was read or written; what is over stays over. */
-  remember(id: string, job: JobState): JobState {
-    const before = this.known.get(id);
+  put(id: string, job: JobState): JobState {
+    const before = this.cache.get(id);
     // Answers may overtake one another: the newer version stands.
     if (before && (before.phase !== 'open' || before.version > job.version)) return before;
-    this.forget(id);
-    this.known.set(id, job);
-    this.knownDependencies += job.dependencies.length;
-    for (const oldest of this.known.keys()) {
-      if (this.knownWeight <= this.mostKnown || oldest === id) break;
-      this.forget(oldest);
+    this.evict(id);
+    this.cache.set(id, job);
+    this.cachedDependencies += job.dependencies.length;
+    for (const oldest of this.cache.keys()) {
+      if (this.weight <= this.maxWeight || oldest === id) break;
+      this.evict(oldest);
     }
     return job;
   }
 
-  private get knownWeight(): number {
-    return this.known.size + this.knownDependencies / DEPENDENCIES_PER_JOB;
+  private get weight(): number {
+    return this.cache.size + this.cachedDependencies / DEPENDENCIES_PER_JOB;
   }
 
-  private get mostKnown(): number {
-    return this.settings.machine.memoryMb * KNOWN_PER_MB;
+  private get maxWeight(): number {
+    return this.settings.machine.memoryMb * CACHED_JOBS_PER_MB;
   }
 
-  private forget(id: string): void {
-    this.knownDependencies -= this.known.get(id)?.dependencies.length ?? 0;
-    this.known.delete(id);
+  private evict(id: string): void {
+    this.cachedDependencies -= this.cache.get(id)?.dependencies.length ?? 0;
+    this.cache.delete(id);
   }
 
   // ---- jobs that others are needed for
 
   /** Whether a job before this one is remembered as cancelled. */
-  private cancelledBefore(job: JobState): boolean {
+  private hasCancelledAncestor(job: JobState): boolean {
     const seen = new Set<string>();
     const left = [...job.dependencies];
     for (let id = left.pop(); id !== undefined; id = left.pop()) {
       if (seen.has(id)) continue;
       seen.add(id);
-      const before = this.known.get(id);
+      const before = this.cache.get(id);
       if (before?.phase === 'cancelled') return true;
       if (before?.phase === 'open') left.push(...before.dependencies);
     }
     return false;
   }
 
-  private cancelled(id: string): JobState {
-    const job = this.known.get(id)!;
-    return this.remember(id, { ...job, phase: 'cancelled', dependencies: [] });
+  private markCancelled(id: string): JobState {
+    const job = this.cache.get(id)!;
+    return this.put(id, { ...job, phase: 'cancelled', dependencies: [] });
   }
 
   /** The state of an open job that needs others: all open ones before it are compared too. */
   private async withAncestors(
-    comparisons: StateComparisons,
+    comparisons: VersionChecker,
     id: string,
     signal: AbortSignal | null,
   ): Promise<JobState | null> {
     const states = new Map<string, JobState>();
     let left = this.openBefore(id, states);
     while (left.length > 0) {
-      for (const [ancestor, state] of await this.comparedAll(comparisons, left, signal)) {
+      for (const [ancestor, state] of await this.checkAll(comparisons, left, signal)) {
         if (state) states.set(ancestor, state);
         else if (ancestor === id) return null;
         else throw new Error(`${ancestor}, which ${id} needs, is missing`);
@@ -190,14 +193,16 @@
       if (job.phase !== 'open') return job;
       for (const state of states.values()) {
         // Remembered with its version again, in case it has been dropped from memory meanwhile.
-        if (state.phase === 'cancelled') return this.remember(id, withdrawn(job));
+        if (state.phase === 'cancelled') return this.put(id, withdrawn(job));
       }
-      left = [...states.values()].flatMap((s) => s.dependencies);
+      left = [...states.values()].flatMap((state) => state.dependencies);
       left = [...new Set(left)].filter((a) => !states.has(a));
     }
     const job = states.get(id)!;
-    const satisfied = job.dependencies.every((d) => states.get(d)?.phase === 'done');
-    return satisfied ? this.remember(id, { ...job, dependencies: [] }) : job;
+    const satisfied = job.dependencies.every(
+      (dependency) => states.get(dependency)?.phase === 'done',
+    );
+    return satisfied ? this.put(id, { ...job, dependencies: [] }) : job;
   }
 
   /** The job itself and all before it that are remembered as open or not at all. */
@@ -205,46 +210,46 @@
     const open = new Set<string>();
     const left = [id];
     for (let next = left.pop(); next !== undefined; next = left.pop()) {
-      const job = this.known.get(next);
+      const job = this.cache.get(next);
       if (job && job.phase !== 'open') over.set(next, job);
       if (open.has(next) || over.has(next)) continue;
       open.add(next);
-      for (const d of job?.dependencies ?? []) left.push(d);
+      for (const dependency of job?.dependencies ?? []) left.push(dependency);
     }
     return [...open];
   }
 
-  private async comparedAll(
-    comparisons: StateComparisons,
+  private async checkAll(
+    comparisons: VersionChecker,
     ids: string[],
     signal: AbortSignal | null,
   ): Promise<Map<string, JobState | null>> {
     // More than fit a few comparisons cost less requests as pages of records.
-    if (ids.length > comparisons.mostAtOnce) return this.readAll(ids, signal);
+    if (ids.length > comparisons.maxJobsAtOnce) return this.readAll(ids, signal);
     // A comparison of what is not remembered could only fail, and then be followed by a read.
-    const known = ids.filter((id) => this.known.has(id));
-    const unknown = ids.filter((id) => !this.known.has(id));
+    const known = ids.filter((id) => this.cache.has(id));
+    const unknown = ids.filter((id) => !this.cache.has(id));
     const [states, read] = await Promise.all([
-      Promise.all(known.map((id) => this.comparedOrOver(comparisons, id, signal))),
+      Promise.all(known.map((id) => this.checkUnlessEnded(comparisons, id, signal))),
       this.readAll(unknown, signal),
     ]);
     known.forEach((id, i) => read.set(id, states[i]!));
     return read;
   }
 
-  private comparedOrOver(
-    comparisons: StateComparisons,
+  private checkUnlessEnded(
+    comparisons: VersionChecker,
     id: string,
     signal: AbortSignal | null,
   ): Promise<JobState | null> {
-    const known = this.known.get(id);
+    const known = this.cache.get(id);
     if (known && known.phase !== 'open') return Promise.resolve(known);
-    return comparisons.compared(id, signal);
+    return comparisons.check(id, signal);
   }
 
   private async readOne(id: string, from: RequestClass): Promise<JobState | null> {
     const entry = await this.store.get(KEYS.job(id), from);
-    return entry && this.learn(id, entry);
+    return entry && this.putEntry(id, entry);
   }
 
   private async readAll(
@@ -255,7 +260,7 @@
     const states = new Map<string, JobState | null>();
     for (const id of ids) {
       const entry = entries.get(id);
-      states.set(id, entry ? await this.learn(id, entry) : null);
+      states.set(id, entry ? await this.putEntry(id, entry) : null);
     }
     return states;
   }
@@ -263,26 +268,28 @@
   // ---- records
 
   private async read(ids: readonly string[], from: RequestClass): Promise<Map<string, ReadState>> {
-    if (ids.length <= MOST_SINGLE_READS) {
+    if (ids.length <= MAX_SINGLE_READS) {
       const states = ids.map((id) => this.readOne(id, from).catch(asError));
-      return new Map(await Promise.all(states.map(async (s, i) => [ids[i]!, await s] as const)));
+      return new Map(
+        await Promise.all(states.map(async (state, i) => [ids[i]!, await state] as const)),
+      );
     }
     // Whoever lacks so many has just started, and will be asked for the others too.
-    const alsoRead = (e: Entry): void => this.learnAhead(e);
-    const ahead = ids.length >= READ_AHEAD_FROM ? { alsoRead } : {};
-    const entries = await readJobEntries(this.store, ids, { from, ...ahead });
+    const onOtherEntry = (entry: Entry): void => this.prefetchEntry(entry);
+    const ahead = ids.length >= PREFETCH_THRESHOLD ? { onOtherEntry } : {};
+    const entries = await readJobEntries(this.store, ids, { requestClass: from, ...ahead });
     const states = await Promise.all(
       ids.map(async (id): Promise<[string, ReadState]> => {
         const entry = entries.get(id);
-        return [id, entry ? await this.learn(id, entry).catch(asError) : null];
+        return [id, entry ? await this.putEntry(id, entry).catch(asError) : null];
       }),
     );
     return new Map(states);
   }
 
   /** Takes in a record that was read just now, with the dependencies of an open job. */
-  private async learn(id: string, entry: Entry): Promise<JobState> {
-    const known = this.known.get(id);
+  private async putEntry(id: string, entry: Entry): Promise<JobState> {
+    const known = this.cache.get(id);
     if (known && (known.phase !== 'open' || known.version === entry.version)) return known;
     const record = parseJob(entry.value);
     if (!record) throw new Error(`unreadable record of ${id}`);
@@ -290,17 +297,17 @@
       record.phase === 'open' ? await this.dependenciesOf(id, entry.version, record) : [];
     if (dependencies === null) throw new Error(`${id} has just changed or lacks dependencies`);
     const { phase, tasks } = record;
-    return this.remember(id, { version: entry.version, phase, tasks, dependencies });
+    return this.put(id, { version: entry.version, phase, tasks, dependencies });
   }
 
   /** Takes in a record that nobody has asked for yet, if that costs no further request. */
-  private learnAhead(entry: Entry): void {
+  private prefetchEntry(entry: Entry): void {
     const id = jobOfKey(entry.key);
     const record = parseJob(entry.value);
-    if (!record || this.known.has(id) || this.knownWeight >= this.mostKnown) return;
+    if (!record || this.cache.has(id) || this.weight >= this.maxWeight) return;
     const { phase, tasks, needs } = record;
     if (phase === 'open' && needs) return;
-    this.remember(id, { version: entry.version, phase, tasks, dependencies: [] });
+    this.put(id, { version: entry.version, phase, tasks, dependencies: [] });
   }
 
   private async dependenciesOf(
@@ -308,7 +315,7 @@
     version: number,
     record: JobRecord,
   ): Promise<readonly string[] | null> {
-    const known = this.known.get(id);
+    const known = this.cache.get(id);
     // An open record may be written anew, but what it needs stays.
     if (known && known.version <= version) return known.dependencies;
     return readDependencies(this.store, id, record.needs);
--- a/src/jobs/job-transaction.ts
+++ b/src/jobs/job-transaction.ts
@@ -1,16 +1,16 @@
 import type { Term } from '../election/term.js';
 import type { Runtime } from '@leverhatch/core/duty';
 import { KEYS } from '../state/keys.js';
-import { jsonBytes } from '../state/limits.js';
+import { jsonBytes } from '../state/store-limits.js';
 import type { Change, Condition } from '../state/store.js';
 import type { Job } from './tracked-job.js';
 import { fitJobRecord } from './record-size.js';
 import type { JobRecord, RangedRunRecord, RunRecord } from './records.js';
 import type { Section, StoredSection } from './run-layout.js';
-import type { WriteRefusals } from './write-refusals.js';
+import type { WriteRejections } from './write-rejections.js';
 
 /** The store takes 64 KiB in one transaction; some are left for its frame and conditions. */
-const MOST_TXN_BYTES = 56 * 1024;
+const MAX_TRANSACTION_BYTES = 56 * 1024;
 /** The key and the condition that go with a value. */
 const BYTES_PER_OPERATION = 200;
 
@@ -21,15 +21,15 @@
 
 /** One transaction of a job, and what it does. */
 export interface JobTransaction {
-  when: Condition[];
-  then: Change[];
+  conditions: Condition[];
+  changes: Change[];
   /** What is written. */
   sections: Section[];
   /** What is deleted. */
   removed: StoredSection[];
   jobRecord: JobRecord | null;
   /** True if only the final state is left after it, but for `leftovers`. */
-  closes: boolean;
+  archives: boolean;
   /** Run records that mean nothing after it, and are deleted later on. */
   leftovers: StoredSection[];
   /** It changes nothing: records are moved to another layout. */
@@ -39,8 +39,8 @@
 }
 
 /** A job that is over and of which nothing can run any more keeps only its final state. */
-export function canClose(job: Job): boolean {
-  return job.phase !== 'open' && job.placements.size === 0 && !job.closed && !job.unreadable;
+export function canArchive(job: Job): boolean {
+  return job.phase !== 'open' && job.placements.size === 0 && !job.isArchived && !job.isUnreadable;
 }
 
 /** Builds the transactions that bring the stored records of a job up to date. */
@@ -48,24 +48,26 @@
   constructor(
     private readonly runtime: Runtime,
     private readonly term: Term,
-    private readonly refusals: WriteRefusals,
+    private readonly refusals: WriteRejections,
     /** Whether run records of a job that is over may be left for later. */
     private readonly mayLeaveRecords: () => boolean,
   ) {}
 
   /** The next transaction of a job; `w` marks its records. */
-  build(job: Job, w: string): JobTransaction {
-    return canClose(job) ? this.closing(job, w) : this.progress(job, w);
+  build(job: Job, writeId: string): JobTransaction {
+    return canArchive(job)
+      ? this.archivingTransaction(job, writeId)
+      : this.progressTransaction(job, writeId);
   }
 
   private empty(): JobTransaction {
     return {
-      when: [{ key: KEYS.leader, version: this.term.token }],
-      then: [],
+      conditions: [{ key: KEYS.leader, version: this.term.fencingToken }],
+      changes: [],
       sections: [],
       removed: [],
       jobRecord: null,
-      closes: false,
+      archives: false,
       leftovers: [],
       background: false,
       startConditions: [],
@@ -77,33 +79,38 @@
    * transactions the job's own record says first that it is over: with some of its records gone and
    * its own still open, a successor would run tasks again.
    */
-  private closing(job: Job, w: string): JobTransaction {
+  private archivingTransaction(job: Job, writeId: string): JobTransaction {
     const transaction = this.empty();
     const stored = job.layout.stored();
     const most = this.refusals.limitsFor(job).txnOps - 1;
-    if (stored.length > most && !job.phaseStored) {
-      transaction.jobRecord = this.finalRecord(job, w);
+    if (stored.length > most && !job.isPhaseStored) {
+      transaction.jobRecord = this.finalRecord(job, writeId);
       return transaction;
     }
     const leaves = stored.length <= most && this.mayLeaveRecords();
     const records = stored.slice(0, most);
     for (const { key, version } of records) {
-      transaction.when.push({ key, version });
-      if (!leaves) transaction.then.push({ delete: key });
+      transaction.conditions.push({ key, version });
+      if (!leaves) transaction.changes.push({ delete: key });
     }
     if (leaves) transaction.leftovers = records;
     else transaction.removed = records;
     if (stored.length > most) return transaction;
-    const { phase, tasks, doneAt } = this.finalRecord(job, w);
-    transaction.jobRecord = { w, phase, tasks, ...(doneAt === undefined ? {} : { doneAt }) };
-    transaction.closes = true;
+    const { phase, tasks, doneAt } = this.finalRecord(job, writeId);
+    transaction.jobRecord = {
+      w: writeId,
+      phase,
+      tasks,
+      ...(doneAt === undefined ? {} : { doneAt }),
+    };
+    transaction.archives = true;
     return transaction;
   }
 
   /** Of a job that is over and of which something is still left. */
-  private finalRecord(job: Job, w: string): JobRecord {
+  private finalRecord(job: Job, writeId: string): JobRecord {
     const { phase, spec, submittedAt } = job;
-    const whole: JobRecord = { w, phase, tasks: spec.tasks, at: submittedAt, spec };
+    const whole: JobRecord = { w: writeId, phase, tasks: spec.tasks, at: submittedAt, spec };
     // One accepted under larger limits may have to lose its machine types, which matter no more.
     const record = fitJobRecord(whole, this.refusals.limitsFor(job).valueBytes, new Set()) ?? whole;
     if (phase !== 'done') return record;
@@ -113,51 +120,52 @@
   }
 
   /** What has changed of a job, as much of it as one transaction may carry. */
-  private progress(job: Job, w: string): JobTransaction {
+  private progressTransaction(job: Job, writeId: string): JobTransaction {
     const transaction = this.empty();
-    if (job.phase === 'open') this.addSections(job, w, transaction);
-    else if (!job.phaseStored) transaction.jobRecord = this.finalRecord(job, w);
-    if (!job.rewriting) return transaction;
+    if (job.phase === 'open') this.addSections(job, writeId, transaction);
+    else if (!job.isPhaseStored) transaction.jobRecord = this.finalRecord(job, writeId);
+    if (!job.isRewriting) return transaction;
     const written = new Set(transaction.sections);
     for (const record of job.layout.removable(written)) {
-      if (transaction.then.length >= this.refusals.limitsFor(job).txnOps - 1) break;
+      if (transaction.changes.length >= this.refusals.limitsFor(job).txnOps - 1) break;
       transaction.removed.push(record);
-      transaction.when.push({ key: record.key, version: record.version });
-      transaction.then.push({ delete: record.key });
+      transaction.conditions.push({ key: record.key, version: record.version });
+      transaction.changes.push({ delete: record.key });
     }
     return transaction;
   }
 
-  private addSections(job: Job, w: string, transaction: JobTransaction): void {
+  private addSections(job: Job, writeId: string, transaction: JobTransaction): void {
     const limits = this.refusals.limitsFor(job);
-    const records = this.recordsToWrite(job, w, limits.valueBytes);
+    const records = this.recordsToWrite(job, writeId, limits.valueBytes);
     let bytes = 0;
     for (const { section, record } of records) {
       bytes += jsonBytes(record) + BYTES_PER_OPERATION;
       // One change is left for the job's own record.
-      if (transaction.then.length >= limits.txnOps - 1) return;
-      if (bytes > MOST_TXN_BYTES && transaction.then.length > 0) return;
-      transaction.when.push({ key: section.key, version: section.version });
-      transaction.then.push({ put: section.key, value: record });
+      if (transaction.changes.length >= limits.txnOps - 1) return;
+      if (bytes > MAX_TRANSACTION_BYTES && transaction.changes.length > 0) return;
+      transaction.conditions.push({ key: section.key, version: section.version });
+      transaction.changes.push({ put: section.key, value: record });
       transaction.sections.push(section);
     }
   }
 
   /** The records that have to be written; ranged ones are split until each fits. */
-  private recordsToWrite(job: Job, w: string, valueBytes: number): SectionRecord[] {
+  private recordsToWrite(job: Job, writeId: string, valueBytes: number): SectionRecord[] {
     const { layout } = job;
     const { clock } = this.runtime;
     const wall = (steady: number): number => Math.round(clock.wall() + steady - clock.now());
-    const due = (s: Section): boolean => s.dirty || (job.rewriting && s.inherited);
+    const due = (section: Section): boolean =>
+      section.dirty || (job.isRewriting && section.inherited);
     const list: SectionRecord[] = [];
     for (let i = 0; i < layout.sections.length; i++) {
       const section = layout.sections[i]!;
       if (!due(section)) continue;
-      let record = job.toRecord(section, w, wall);
+      let record = job.toRecord(section, writeId, wall);
       while (layout.kind === 'ranged' && section.to - section.from > 1) {
         if (jsonBytes(record) <= valueBytes) break;
         layout.split(section);
-        record = job.toRecord(section, w, wall);
+        record = job.toRecord(section, writeId, wall);
       }
       list.push({ section, record });
     }
--- a/src/jobs/job.ts
+++ b/src/jobs/job.ts
@@ -1,4 +1,4 @@
-import type { Need } from '../fleet/types.js';
+import type { Resources } from '../fleet/resources.js';
 
 export type JobKind = 'array' | 'gang' | 'service';
 /** Smaller is more important. */
@@ -16,7 +16,7 @@
   kind: JobKind;
   priority: Priority;
   tasks: number;
-  need: Need;
+  need: Resources;
   types: string[] | null;
   zone: string | null;
   oneZone: boolean;
--- a/src/jobs/leftover-records.ts
+++ b/src/jobs/leftover-records.ts
@@ -1,7 +1,8 @@
+import { RequestPriority } from '@leverhatch/core/store';
 import type { Term } from '../election/term.js';
 import type { Runtime } from '@leverhatch/core/duty';
 import { KEYS } from '../state/keys.js';
-import { Refused, type Store } from '../state/store.js';
+import { RequestRejectedError, type Store } from '../state/store.js';
 
 /** A run record of a job of which the store holds only the final state. */
 export interface LeftoverRecord {
@@ -10,10 +11,10 @@
 }
 
 /** What share of a transaction's changes deletes take at once, so that no other write waits long. */
-const BATCH_SHARE = 0.25;
+const BATCH_RATIO = 0.25;
 
 /** More than the store takes changes in so many seconds are deleted also while other writes wait. */
-const MOST_LEFT_S = 60;
+const MAX_LEFTOVER_SECONDS = 60;
 
 /**
  * Deletes the run records that jobs left behind whose end was written while other writes waited.
@@ -41,8 +42,8 @@
   }
 
   /** So many are left that no more should be. */
-  get full(): boolean {
-    return this.records.length >= this.store.limits.effective().writeRps * MOST_LEFT_S;
+  get isFull(): boolean {
+    return this.records.length >= this.store.limits.effective().writeRps * MAX_LEFTOVER_SECONDS;
   }
 
   add(records: readonly LeftoverRecord[]): void {
@@ -58,22 +59,22 @@
 
   private mayDelete(): boolean {
     if (this.records.length === 0) return false;
-    return this.store.writesWaiting === 0 || this.full;
+    return this.store.queuedWrites === 0 || this.isFull;
   }
 
   private async deleteSome(signal: AbortSignal): Promise<void> {
-    const most = Math.max(1, Math.floor(this.store.limits.effective().txnOps * BATCH_SHARE));
+    const most = Math.max(1, Math.floor(this.store.limits.effective().txnOps * BATCH_RATIO));
     const batch = this.records.slice(0, most);
-    const when = [{ key: KEYS.leader, version: this.term.token }, ...batch];
+    const when = [{ key: KEYS.leader, version: this.term.fencingToken }, ...batch];
     const then = batch.map(({ key }) => ({ delete: key }));
     try {
-      const outcome = await this.store.commit(when, then, 2, signal);
+      const outcome = await this.store.commit(when, then, RequestPriority.Normal, signal);
       if (outcome.ok) this.drop(new Set(batch.map(({ key }) => key)));
       else if (outcome.failed.includes(KEYS.leader)) this.term.end();
       // An earlier copy without an answer was applied: they are gone.
       else this.drop(new Set(outcome.failed));
     } catch (error) {
-      if (!(error instanceof Refused)) throw error;
+      if (!(error instanceof RequestRejectedError)) throw error;
       // Nothing rests on them; a later leader finds them again.
       this.drop(new Set(batch.map(({ key }) => key)));
     }
--- a/src/jobs/placed-entries.ts
+++ b/src/jobs/placed-entries.ts
@@ -6,25 +6,25 @@
   task: number;
   attempt: number;
   machine: string;
-  session: number;
+  agentEpoch: number;
   zone: string;
 }
 
 /** An indexed record has an entry for each start. */
 export function placedByTask(starts: RecordedStart[]): RunRecord['placed'] {
-  return starts.map(({ task, attempt, machine, session, zone }) => {
-    return [task, attempt, machine, session, zone];
+  return starts.map(({ task, attempt, machine, agentEpoch: agentEpoch, zone }) => {
+    return [task, attempt, machine, agentEpoch, zone];
   });
 }
 
 /** In a ranged record, starts of one attempt on one machine share an entry. */
 export function placedByMachine(starts: RecordedStart[]): RangedRunRecord['placed'] {
   const entries = new Map<string, RangedRunRecord['placed'][number]>();
-  for (const { task, attempt, machine, session, zone } of starts) {
-    const key = `${machine}|${session}|${attempt}|${zone}`;
+  for (const { task, attempt, machine, agentEpoch: agentEpoch, zone } of starts) {
+    const key = `${machine}|${agentEpoch}|${attempt}|${zone}`;
     const entry = entries.get(key);
     if (entry) entry[4].push(task);
-    else entries.set(key, [machine, session, zone, attempt, [task]]);
+    else entries.set(key, [machine, agentEpoch, zone, attempt, [task]]);
   }
   return [...entries.values()];
 }
@@ -32,14 +32,14 @@
 /** The starts that an indexed record holds. */
 export function* startsByTask({ placed }: RunRecord): Iterable<RecordedStart> {
   for (const [task, attempt, machine, session, zone] of placed) {
-    yield { task, attempt, machine, session, zone };
+    yield { task, attempt, machine, agentEpoch: session, zone };
   }
 }
 
 /** The starts that a ranged record holds. */
 export function* startsByMachine({ placed }: RangedRunRecord): Iterable<RecordedStart> {
   for (const [machine, session, zone, attempt, tasks] of placed) {
-    for (const task of tasks) yield { task, attempt, machine, session, zone };
+    for (const task of tasks) yield { task, attempt, machine, agentEpoch: session, zone };
   }
 }
 
--- a/src/jobs/question-admission.ts
+++ b/src/jobs/query-admission.ts
@@ -2,39 +2,39 @@
 import { dropOldest } from '../runtime/drop-oldest.js';
 
 /** What users' questions may take of a controller's share of a core. */
-const PROCESSOR_SHARE = 0.4;
+const PROCESSOR_RATIO = 0.4;
 
 /** The same while processor time is short for what comes before them. */
-const SHORT_PROCESSOR_SHARE = 0.1;
+const BUSY_PROCESSOR_RATIO = 0.1;
 
 /** Processor time of one question with its answer, measured on a developer's machine with a margin. */
-const QUESTION_MS = 0.1;
+const QUERY_COST_MS = 0.1;
 
 /** How many seconds' worth of questions may come at once, as when a connection breaks for all. */
-const BURST_S = 2;
+const BURST_SECONDS = 2;
 
 /** While more than this share of the burst is left, every question is taken. */
-const PLENTY_SHARE = 0.5;
+const PLENTY_RATIO = 0.5;
 
 /**
  * For how many polls' times a job must have been without an answer when next to nothing is left. It is
  * well within the 75 s after which a job without any answer counts as forgotten.
  */
-const LONGEST_PAUSE_POLLS = 16;
+const MAX_PAUSE_TIMEOUTS = 16;
 
 /** A job that has been without an answer for so many polls' times is overdue. */
-const OVERDUE_POLLS = 8;
+const OVERDUE_TIMEOUTS = 8;
 
 /** So many jobs are remembered for each MB of memory, at some 100 bytes each. */
 const REMEMBERED_PER_MB = 50;
 
 /** When timers are late by this share of a poll's time, processor time is short. */
-const LAG_SHARE = 1 / 8;
+const LAG_RATIO = 1 / 8;
 
 /** What a controller has for users' questions. */
-export interface QuestionCapacity {
+export interface QueryCapacity {
   /** How long a user waits for the answer to a poll, in milliseconds. */
-  pollMs: number;
+  queryTimeoutMs: number;
   /** Share of a processor's core that the controller has. */
   coreShare: number;
   memoryMb: number;
@@ -47,23 +47,23 @@
  * a job must have been without an answer for a question about it to be taken. So all jobs that are
  * asked for have an answer now and then, however many ask about some of them, and in whatever order.
  */
-export class QuestionAdmission {
+export class QueryAdmission {
   /** When a question about each job was last answered here, the longest ago first. */
   private readonly answeredAt = new Map<string, number>();
   /** How many questions may be taken now. */
-  private left: number;
+  private available: number;
   private filledAt: number;
-  private readonly mostRemembered: number;
+  private readonly maxRemembered: number;
 
   constructor(
     private readonly clock: Clock,
-    private readonly capacity: QuestionCapacity,
+    private readonly capacity: QueryCapacity,
     /** By how many milliseconds timers are late. */
     private readonly lagMs: () => number,
   ) {
-    this.left = this.burst;
+    this.available = this.burst;
     this.filledAt = clock.now();
-    this.mostRemembered = Math.max(1, capacity.memoryMb * REMEMBERED_PER_MB);
+    this.maxRemembered = Math.max(1, capacity.memoryMb * REMEMBERED_PER_MB);
   }
 
   /**
@@ -71,12 +71,14 @@
    * are more connections than the machine has room for, and one with a question under way cannot give
    * way to others.
    */
-  admits(id: string, crowded: boolean): boolean {
+  admits(id: string, isOverCapacity: boolean): boolean {
     const now = this.clock.now();
-    this.fill(now);
-    const pauseMs = crowded ? Math.max(this.pauseMs, this.overdueMs) : this.pauseMs;
-    if (this.left < 1 || this.unansweredMs(id, now) < pauseMs) return false;
-    this.left--;
+    this.refill(now);
+    const pauseMs = isOverCapacity
+      ? Math.max(this.minUnansweredMs, this.overdueMs)
+      : this.minUnansweredMs;
+    if (this.available < 1 || this.unansweredMs(id, now) < pauseMs) return false;
+    this.available--;
     return true;
   }
 
@@ -86,14 +88,14 @@
   }
 
   /** A question about this job has been answered. */
-  answered(id: string): void {
+  recordAnswer(id: string): void {
     this.answeredAt.delete(id);
     this.answeredAt.set(id, this.clock.now());
-    dropOldest(this.answeredAt, this.mostRemembered);
+    dropOldest(this.answeredAt, this.maxRemembered);
   }
 
   private get overdueMs(): number {
-    return this.capacity.pollMs * OVERDUE_POLLS;
+    return this.capacity.queryTimeoutMs * OVERDUE_TIMEOUTS;
   }
 
   private unansweredMs(id: string, now: number): number {
@@ -101,24 +103,24 @@
   }
 
   /** How long a job must have been without an answer, by what is left of the rate. */
-  private get pauseMs(): number {
-    const missing = 1 - this.left / (this.burst * PLENTY_SHARE);
-    return Math.max(0, missing) * this.capacity.pollMs * LONGEST_PAUSE_POLLS;
+  private get minUnansweredMs(): number {
+    const missing = 1 - this.available / (this.burst * PLENTY_RATIO);
+    return Math.max(0, missing) * this.capacity.queryTimeoutMs * MAX_PAUSE_TIMEOUTS;
   }
 
-  private fill(now: number): void {
-    const short = this.lagMs() > this.capacity.pollMs * LAG_SHARE;
-    const perSecond = this.perSecond(short ? SHORT_PROCESSOR_SHARE : PROCESSOR_SHARE);
+  private refill(now: number): void {
+    const short = this.lagMs() > this.capacity.queryTimeoutMs * LAG_RATIO;
+    const perSecond = this.perSecond(short ? BUSY_PROCESSOR_RATIO : PROCESSOR_RATIO);
     const gained = ((now - this.filledAt) / 1000) * perSecond;
-    this.left = Math.min(this.burst, this.left + gained);
+    this.available = Math.min(this.burst, this.available + gained);
     this.filledAt = now;
   }
 
   private get burst(): number {
-    return Math.max(1, this.perSecond(PROCESSOR_SHARE) * BURST_S);
+    return Math.max(1, this.perSecond(PROCESSOR_RATIO) * BURST_SECONDS);
   }
 
   private perSecond(processorShare: number): number {
-    return (this.capacity.coreShare * processorShare * 1000) / QUESTION_MS;
+    return (this.capacity.coreShare * processorShare * 1000) / QUERY_COST_MS;
   }
 }
--- a/src/jobs/record-size.ts
+++ b/src/jobs/record-size.ts
@@ -1,4 +1,4 @@
-import { jsonBytes } from '../state/limits.js';
+import { jsonBytes } from '../state/store-limits.js';
 import type { JobRecord } from './records.js';
 
 /** What later writes of the same record may add: a longer mark, a longer phase. */
@@ -17,7 +17,7 @@
   const most = valueBytes - REWRITE_BYTES;
   if (jsonBytes(record) <= most) return record;
   if (!record.spec?.types) return null;
-  const known = [...new Set(record.spec.types)].filter((t) => machineTypes?.has(t) ?? true);
+  const known = [...new Set(record.spec.types)].filter((text) => machineTypes?.has(text) ?? true);
   const shorter = { ...record, spec: { ...record.spec, types: known } };
   return jsonBytes(shorter) <= most ? shorter : null;
 }
--- a/src/jobs/records.ts
+++ b/src/jobs/records.ts
@@ -48,7 +48,7 @@
  * The jobs that a job waits for: in its own record while they are few, else in `pieces` values of
  * their own below the key that `mark` gives.
  */
-export type NeedsRecord = z.infer<typeof needs>;
+export type DependenciesRecord = z.infer<typeof needs>;
 
 export interface JobRecord {
   w: string;
@@ -63,7 +63,7 @@
    * never as open, and a job that is over waits for nothing. Such a version does not know how to
    * wait either, so no job with dependencies may be submitted before all controllers are new.
    */
-  needs?: NeedsRecord;
+  needs?: DependenciesRecord;
   /** Time of day at which the job was stored as done: from then on those that need it are ready. */
   doneAt?: number;
 }
@@ -76,7 +76,7 @@
 const needsPiece = z.object({ ids: z.array(z.string()) });
 
 /** One piece of a long list of dependencies; null if it cannot be read. */
-export function parseNeedsPiece(value: unknown): string[] | null {
+export function parseDependencyChunk(value: unknown): string[] | null {
   const result = z.safeParse(needsPiece, value);
   return result.success ? result.data.ids : null;
 }
@@ -155,11 +155,11 @@
 }
 
 /** Bytes below which hardly any task goes in a ranged record; what needs more is split when written. */
-const LEAST_BYTES_PER_TASK = 16;
+const MIN_BYTES_PER_TASK = 16;
 
 /** How many tasks a new ranged record begins with. */
 export function tasksPerRange(valueBytes: number): number {
-  return Math.max(1, Math.floor(valueBytes / LEAST_BYTES_PER_TASK));
+  return Math.max(1, Math.floor(valueBytes / MIN_BYTES_PER_TASK));
 }
 
 /** Bytes that one task may take in a record: its place, or its share of the ranges. */
@@ -179,9 +179,9 @@
   at: z.number(),
 });
 
-export type RentalRecord = z.infer<typeof rental>;
+export type ProvisioningRecord = z.infer<typeof rental>;
 
-export function parseRental(value: unknown): RentalRecord | null {
+export function parseProvisioning(value: unknown): ProvisioningRecord | null {
   const result = z.safeParse(rental, value);
   return result.success ? result.data : null;
 }
--- a/src/jobs/run-layout.ts
+++ b/src/jobs/run-layout.ts
@@ -70,12 +70,12 @@
     }
   }
 
-  touch(task: number): void {
+  markDirty(task: number): void {
     this.at(task).dirty = true;
   }
 
   get dirty(): boolean {
-    return this.sections.some((s) => s.dirty);
+    return this.sections.some((section) => section.dirty);
   }
 
   /** The section of one task. */
@@ -92,29 +92,32 @@
 
   /** All records of the job in the store; superseded ones first, as they have to go first. */
   stored(): StoredSection[] {
-    return [...this.superseded, ...this.sections.filter((s) => s.version > 0)];
+    return [...this.superseded, ...this.sections.filter((section) => section.version > 0)];
   }
 
   /** Superseded records of which nothing is needed any more once `written` are stored. */
   removable(written: ReadonlySet<Section> = new Set()): StoredSection[] {
     return this.superseded.filter((old) =>
-      this.sections.every((s) => !overlaps(s, old) || written.has(s) || (!s.dirty && !s.inherited)),
+      this.sections.every(
+        (section) =>
+          !overlaps(section, old) || written.has(section) || (!section.dirty && !section.inherited),
+      ),
     );
   }
 
   /** True while a background rewrite has something to do. */
-  get unfinished(): boolean {
+  get hasSuperseded(): boolean {
     return this.superseded.length > 0;
   }
 
   removed(record: StoredSection): void {
-    this.superseded = this.superseded.filter((s) => s !== record);
+    this.superseded = this.superseded.filter((section) => section !== record);
   }
 
   /** From now on the job's records are ranged ones of at most `perRecord` tasks. */
   toRanged(perRecord: number, isEmpty: (from: number, to: number) => boolean): void {
     const before = this.sections;
-    this.superseded = before.filter((s) => s.version > 0);
+    this.superseded = before.filter((section) => section.version > 0);
     this.kind = 'ranged';
     this.sections = this.fill([], perRecord, isEmpty);
     for (const section of this.sections) {
@@ -136,7 +139,7 @@
     perRecord: number,
     isEmpty: (from: number, to: number) => boolean,
   ): void {
-    const superseded = this.sections.filter((s) => s.version > 0);
+    const superseded = this.sections.filter((section) => section.version > 0);
     this.restoreAbove(superseded, records, perRecord, isEmpty);
   }
 
--- a/src/jobs/run-rewriter.ts
+++ b/src/jobs/run-rewriter.ts
@@ -1,6 +1,6 @@
 import type { Runtime } from '@leverhatch/core/duty';
 import type { Store } from '../state/store.js';
-import type { Ledger } from './ledger.js';
+import type { JobRecordWriter } from './job-record-writer.js';
 import type { Job } from './tracked-job.js';
 import type { LayoutPolicy } from './run-layout.js';
 
@@ -13,7 +13,7 @@
   constructor(
     private readonly store: Store,
     private readonly runtime: Runtime,
-    private readonly ledger: Ledger,
+    private readonly ledger: JobRecordWriter,
     private readonly jobs: ReadonlyMap<string, Job>,
     private readonly policy: LayoutPolicy,
   ) {}
@@ -29,12 +29,12 @@
   private async pass(everyMs: number, signal: AbortSignal): Promise<void> {
     const due = [...this.jobs.values()].filter((job) => isDue(job)).sort(mostUrgentFirst);
     for (const job of due) {
-      while (this.store.writesWaiting > 0 && !signal.aborted) {
+      while (this.store.queuedWrites > 0 && !signal.aborted) {
         await this.runtime.clock.sleep(everyMs / 10, signal);
       }
       if (!isDue(job)) continue;
       this.ledger.rewrite(job);
-      while (job.rewriting && isDue(job) && !signal.aborted) {
+      while (job.isRewriting && isDue(job) && !signal.aborted) {
         await this.runtime.clock.sleep(everyMs / 10, signal);
       }
       if (signal.aborted) return;
@@ -45,8 +45,8 @@
 
 /** Some of its records are indexed ones, and something of it is still to be written. */
 function isDue(job: Job): boolean {
-  if (job.phase !== 'open' || job.unreadable || job.closed) return false;
-  return job.layout.kind === 'indexed' ? job.layout.stored().length > 0 : job.layout.unfinished;
+  if (job.phase !== 'open' || job.isUnreadable || job.isArchived) return false;
+  return job.layout.kind === 'indexed' ? job.layout.stored().length > 0 : job.layout.hasSuperseded;
 }
 
 /** Running jobs of high priority first: they change soonest. */
--- a/src/jobs/tracked-job.ts
+++ b/src/jobs/tracked-job.ts
@@ -1,6 +1,6 @@
-import type { TaskState } from '../wire/report.js';
-import { DoneTasks } from './done-tasks.js';
-import { FailureHistory } from './failures.js';
+import type { TaskState } from '../wire/worker-heartbeat.js';
+import { CompletedTasks } from './completed-tasks.js';
+import { FailureHistory } from './failure-history.js';
 import type { JobPhase, JobSpec } from './job.js';
 import {
   placedByMachine,
@@ -15,29 +15,29 @@
 
 /**
  * How far a start has come. `recording`: not yet in the store. `recorded`: may be sent.
- * `recovered`: recorded by an earlier leader, may or may not have been sent. `offered`: sent in the
+ * `recovered`: recorded by an earlier leader, may or may not have been sent. `dispatched`: sent in the
  * answer to a report. `reported`: its worker has shown it.
  */
-export type Stage = 'recording' | 'recorded' | 'recovered' | 'offered' | 'reported';
+export type PlacementStage = 'recording' | 'recorded' | 'recovered' | 'dispatched' | 'reported';
 
 /** One start of one task. It occupies its place until it is proven gone. */
 export interface Placement extends RecordedStart {
   job: Job;
-  stage: Stage;
+  stage: PlacementStage;
   state: TaskState | null;
   placedAt: number;
   runningSince: number | null;
   stop: { graceMs: number } | null;
 }
 
-export interface Gang {
+export interface GangState {
   phase: 'queued' | GangRecord['phase'];
   holdsGate: boolean;
   /** Time that counts against the timeout, and when it was last counted. */
-  chargedMs: number;
-  chargedAt: number;
+  countedMs: number;
+  countedAt: number;
   /** Steady time until which a suspended gang stays inadmissible. */
-  until: number;
+  suspendedUntil: number;
   suspensions: number;
 }
 
@@ -51,60 +51,60 @@
   phase: JobPhase = 'open';
   attempt = 0;
   readonly placements = new Map<number, Placement>();
-  readonly gang: Gang | null;
+  readonly gang: GangState | null;
   readonly layout: RunLayout;
   /** Its records are being rewritten in the background. */
-  rewriting = false;
-  private readonly done: DoneTasks;
+  isRewriting = false;
+  private readonly done: CompletedTasks;
   readonly failures: FailureHistory;
   /** How often running tasks were stopped without being saved; what this leader knows of it. */
-  readonly unsavedStops = new Map<number, number>();
+  readonly stopsWithoutCheckpoint = new Map<number, number>();
   /** Exited starts whose end is not in the store yet. */
-  exited: Placement[] = [];
-  writing = false;
+  unrecordedExits: Placement[] = [];
+  isWriteInFlight = false;
   /** Ends are about to be written. */
-  endsWait = false;
+  isExitFlushPending = false;
   /** True once the job's own record says what `phase` says. */
-  phaseStored = true;
+  isPhaseStored = true;
   /** A record of it cannot be read: all of its tasks count as running, and none is started. */
-  unreadable = false;
+  isUnreadable = false;
   /** Its indexed records were written for another limit of a value, see `RunLayout`. */
-  foreignLayout = false;
+  hasForeignLayout = false;
   /** Users were told that it is cancelled, though its record has not been read here yet. */
-  cancelAnnounced = false;
+  isCancellationAnnounced = false;
   /** Jobs that have to be done before any task of this one starts. */
   dependencies: readonly string[] = [];
   /** Time of day since when it could start; null: it waits for other jobs. */
   readyAt: number | null;
   /** Others wait for it: what keeps them is that its end is stored. */
-  awaited = false;
+  hasDependents = false;
   /** The job that it needs and that was cancelled; null if it was not cancelled for another's sake. */
-  cancelledWith: string | null = null;
+  cancelledBecauseOf: string | null = null;
   /** Time of day at which its end was written as done; null until then. */
   doneAt: number | null = null;
   /** True once only the compact final state is left in the store. */
-  closed = false;
+  isArchived = false;
 
   constructor(
     readonly id: string,
     readonly spec: JobSpec,
     readonly submittedAt: number,
     public version: number,
-    perIndexedRecord: number,
-    reportMs?: number,
+    tasksPerIndexedRecord: number,
+    heartbeatIntervalMs?: number,
   ) {
-    this.failures = new FailureHistory(reportMs);
+    this.failures = new FailureHistory(heartbeatIntervalMs);
     this.readyAt = submittedAt;
-    this.done = new DoneTasks(spec.tasks);
-    this.layout = new RunLayout(id, spec.tasks, perIndexedRecord);
+    this.done = new CompletedTasks(spec.tasks);
+    this.layout = new RunLayout(id, spec.tasks, tasksPerIndexedRecord);
     this.gang =
       spec.kind === 'gang'
         ? {
             phase: 'queued',
             holdsGate: false,
-            chargedMs: 0,
-            chargedAt: 0,
-            until: 0,
+            countedMs: 0,
+            countedAt: 0,
+            suspendedUntil: 0,
             suspensions: 0,
           }
         : null;
@@ -114,7 +114,7 @@
     return this.done.count;
   }
 
-  get complete(): boolean {
+  get isComplete(): boolean {
     return this.doneCount === this.spec.tasks;
   }
 
@@ -122,45 +122,45 @@
     return this.done.has(task);
   }
 
-  get waiting(): number {
-    if (this.phase !== 'open' || this.cancelAnnounced) return 0;
+  get waitingCount(): number {
+    if (this.phase !== 'open' || this.isCancellationAnnounced) return 0;
     return this.spec.tasks - this.doneCount - this.placedUndone();
   }
 
   private placedUndone(): number {
     if (this.doneCount === 0) return this.placements.size;
-    let n = 0;
-    for (const task of this.placements.keys()) if (!this.isDone(task)) n++;
-    return n;
+    let count = 0;
+    for (const task of this.placements.keys()) if (!this.isDone(task)) count++;
+    return count;
   }
 
   /** The first `limit` tasks that are neither done nor possibly on a machine. */
   waitingTasks(limit: number): number[] {
     const tasks: number[] = [];
-    for (let t = 0; t < this.spec.tasks && tasks.length < limit; t++) {
-      if (!this.done.has(t) && !this.placements.has(t)) tasks.push(t);
+    for (let task = 0; task < this.spec.tasks && tasks.length < limit; task++) {
+      if (!this.done.has(task) && !this.placements.has(task)) tasks.push(task);
     }
     return tasks;
   }
 
   /** How many tasks may be started: of a job that fails on every machine one at a time, as a trial. */
-  get startable(): number {
-    if (!this.failures.suspected || this.gang) return this.waiting;
-    return Math.min(this.waiting, this.placements.size > 0 ? 0 : 1);
+  get startableCount(): number {
+    if (!this.failures.isSuspected || this.gang) return this.waitingCount;
+    return Math.min(this.waitingCount, this.placements.size > 0 ? 0 : 1);
   }
 
-  get running(): number {
-    let n = 0;
-    for (const p of this.placements.values()) if (p.state === 'running') n++;
-    return n;
+  get runningCount(): number {
+    let count = 0;
+    for (const placement of this.placements.values()) if (placement.state === 'running') count++;
+    return count;
   }
 
   markDone(task: number): void {
-    if (this.done.add(task)) this.touch(task);
+    if (this.done.add(task)) this.markDirty(task);
   }
 
-  touch(task: number): void {
-    this.layout.touch(task);
+  markDirty(task: number): void {
+    this.layout.markDirty(task);
   }
 
   get dirty(): boolean {
@@ -169,7 +169,8 @@
 
   /** True if nothing of these tasks has to be in the store. */
   private isEmpty(from: number, to: number): boolean {
-    for (let t = from; t < to; t++) if (this.done.has(t) || this.placements.has(t)) return false;
+    for (let task = from; task < to; task++)
+      if (this.done.has(task) || this.placements.has(task)) return false;
     return true;
   }
 
@@ -180,25 +181,27 @@
 
   toRecord(
     section: Section,
-    w: string,
+    writeId: string,
     wallOf: (steady: number) => number,
   ): RunRecord | RangedRunRecord {
     const { from, to } = section;
-    const placements = [...this.placements.values()].filter((p) => p.task >= from && p.task < to);
+    const placements = [...this.placements.values()].filter(
+      (placement) => placement.task >= from && placement.task < to,
+    );
     const done = this.done.ranges(from, to);
     if (this.layout.kind === 'ranged') {
       const gang = from === 0 ? this.gangRecord(wallOf) : {};
       const placed = placedByMachine(placements);
-      return { w, from, to, attempt: this.attempt, done, placed, ...gang };
+      return { w: writeId, from, to, attempt: this.attempt, done, placed, ...gang };
     }
     const placed = placedByTask(placements);
-    return { w, attempt: this.attempt, done, placed, ...this.gangRecord(wallOf) };
+    return { w: writeId, attempt: this.attempt, done, placed, ...this.gangRecord(wallOf) };
   }
 
   private gangRecord(wallOf: (steady: number) => number): { gang?: GangRecord } {
     if (!this.gang || this.gang.phase === 'queued') return {};
-    const { phase, suspensions, until } = this.gang;
-    return { gang: { phase, suspensions, until: wallOf(until) } };
+    const { phase, suspensions, suspendedUntil: suspendedUntil } = this.gang;
+    return { gang: { phase, suspensions, until: wallOf(suspendedUntil) } };
   }
 
   /**
@@ -232,15 +235,15 @@
       to: Math.min(record.to, this.spec.tasks),
     }));
     const isEmpty = (from: number, to: number): boolean => this.isEmpty(from, to);
-    this.foreignLayout = indexed.some((r) => !this.layout.holds(r.index, tasksNamed(r.record)));
-    if (this.foreignLayout) this.layout.restoreForeign(indexed, sections, perRange, isEmpty);
+    this.hasForeignLayout = indexed.some((r) => !this.layout.holds(r.index, tasksNamed(r.record)));
+    if (this.hasForeignLayout) this.layout.restoreForeign(indexed, sections, perRange, isEmpty);
     else if (ranged.length > 0) this.layout.restoreRanged(sections, perRange, isEmpty);
   }
 
   private restoreRange(record: RangedRunRecord, now: number, sinceWall: number): void {
-    for (let t = record.from; t < record.to && t < this.spec.tasks; t++) {
-      this.placements.delete(t);
-      this.done.remove(t);
+    for (let task = record.from; task < record.to && task < this.spec.tasks; task++) {
+      this.placements.delete(task);
+      this.done.remove(task);
     }
     this.attempt = Math.max(this.attempt, record.attempt);
     this.done.addRanges(record.done);
@@ -256,9 +259,9 @@
     if (!this.gang) return;
     this.gang.phase = record.phase;
     this.gang.suspensions = record.suspensions;
-    this.gang.until = record.until + sinceWall;
+    this.gang.suspendedUntil = record.until + sinceWall;
     this.gang.holdsGate = record.phase === 'admitted';
-    this.gang.chargedAt = now;
+    this.gang.countedAt = now;
   }
 
   private restorePlacement(start: RecordedStart, now: number): void {
--- a/src/jobs/transaction-committer.ts
+++ b/src/jobs/transaction-committer.ts
@@ -1,6 +1,12 @@
 import type { Term } from '../election/term.js';
 import { KEYS } from '../state/keys.js';
-import { Refused, type Change, type Condition, type Store, type Urgency } from '../state/store.js';
+import {
+  RequestRejectedError,
+  type Change,
+  type Condition,
+  type Store,
+  RequestPriority,
+} from '../state/store.js';
 import type { JobTransaction } from './job-transaction.js';
 import type { Job } from './tracked-job.js';
 import { parseJob, type JobRecord } from './records.js';
@@ -10,7 +16,7 @@
   /** The job's own record was changed by another node: cancelled by its user. */
   jobChanged(job: Job, version: number, record: JobRecord): void;
   /** The store refuses this write for good. */
-  refused(job: Job, changes: Change[], error: Refused): void;
+  rejected(job: Job, changes: Change[], error: RequestRejectedError): void;
   /** What the starts rest on has changed; resolves once it is known to what. */
   startConditionFailed(condition: Condition): Promise<void>;
 }
@@ -24,40 +30,40 @@
   ) {}
 
   /** The revision at which it was applied; null if it was not, and the job has to try again. */
-  async commit(job: Job, w: string, transaction: JobTransaction): Promise<number | null> {
-    const { when, then } = transaction;
-    const urgency = urgencyOf(job, transaction);
+  async commit(job: Job, writeId: string, transaction: JobTransaction): Promise<number | null> {
+    const { conditions: conditions, changes: changes } = transaction;
+    const priority = requestPriorityOf(job, transaction);
     try {
-      const outcome = await this.store.commit(when, then, urgency, this.term.signal);
+      const outcome = await this.store.commit(conditions, changes, priority, this.term.signal);
       if (outcome.ok) return outcome.revision;
-      const applied = outcome.doubtful ? await this.appliedAt(then, w) : null;
-      if (applied === null) await this.conflict(job, transaction, outcome.failed);
+      const applied = outcome.ambiguous ? await this.appliedAt(changes, writeId) : null;
+      if (applied === null) await this.onConflict(job, transaction, outcome.failed);
       return applied;
     } catch (error) {
-      if (!(error instanceof Refused)) throw error;
+      if (!(error instanceof RequestRejectedError)) throw error;
       // A copy of it that got no answer may have been applied before the limits fell.
-      const applied = error.doubtful ? await this.appliedAt(then, w) : null;
-      if (applied === null) this.events.refused(job, then, error);
+      const applied = error.ambiguous ? await this.appliedAt(changes, writeId) : null;
+      if (applied === null) this.events.rejected(job, changes, error);
       return applied;
     }
   }
 
   /** The version of our own write, if an unanswered copy of it was applied after all. */
-  private async appliedAt(then: Change[], w: string): Promise<number | null> {
+  private async appliedAt(then: Change[], writeId: string): Promise<number | null> {
     // All keys of a transaction change together, so that one tells of all.
-    const put = then.find((c) => 'put' in c) ?? null;
+    const put = then.find((change) => 'put' in change) ?? null;
     if (!put || !('put' in put)) return null;
-    const entry = await this.store.read(put.put, this.term.signal);
-    return entry && (entry.value as { w?: unknown }).w === w ? entry.version : null;
+    const entry = await this.store.readWithRetry(put.put, this.term.signal);
+    return entry && (entry.value as { w?: unknown }).w === writeId ? entry.version : null;
   }
 
-  private async conflict(job: Job, transaction: JobTransaction, failed: string[]): Promise<void> {
+  private async onConflict(job: Job, transaction: JobTransaction, failed: string[]): Promise<void> {
     if (failed.includes(KEYS.leader)) {
       this.term.end();
       return;
     }
     if (failed.includes(KEYS.job(job.id))) {
-      const entry = await this.store.read(KEYS.job(job.id), this.term.signal);
+      const entry = await this.store.readWithRetry(KEYS.job(job.id), this.term.signal);
       const record = entry && parseJob(entry.value);
       if (!entry || !record) throw new Error('its record is missing or unreadable');
       this.events.jobChanged(job, entry.version, record);
@@ -74,11 +80,13 @@
    * changed it: one without an answer that was then given up, since a repeat was refused.
    */
   private async reconcile(job: Job, transaction: JobTransaction, key: string): Promise<void> {
-    const entry = await this.store.read(key, this.term.signal);
-    const removed = [...transaction.removed, ...transaction.leftovers].find((r) => r.key === key);
+    const entry = await this.store.readWithRetry(key, this.term.signal);
+    const removed = [...transaction.removed, ...transaction.leftovers].find(
+      (section) => section.key === key,
+    );
     if (removed && !entry) return recordRemoved(job, removed);
-    const known = job.layout.stored().find((s) => s.key === key);
-    const section = known ?? job.layout.sections.find((s) => s.key === key);
+    const known = job.layout.stored().find((section) => section.key === key);
+    const section = known ?? job.layout.sections.find((section) => section.key === key);
     const mark = (entry?.value as { w?: unknown } | undefined)?.w;
     if (!section || !entry || typeof mark !== 'string' || !mark.startsWith(`${this.term.id}/`)) {
       throw new Error(`unexpected version of ${key}`);
@@ -99,10 +107,13 @@
  * another job is known to be cancelled already, and no task of it runs: hundreds of such records must
  * not stand before anybody's starts.
  */
-function urgencyOf(job: Job, transaction: JobTransaction): Urgency {
-  if (transaction.background) return 2;
-  if (job.phase === 'open') return job.spec.kind === 'array' ? 2 : 1;
-  if (job.cancelledWith !== null) return 3;
-  if (job.phaseStored) return 2;
-  return job.phase === 'done' && job.awaited ? 0 : 1;
+function requestPriorityOf(job: Job, transaction: JobTransaction): RequestPriority {
+  if (transaction.background) return RequestPriority.Normal;
+  if (job.phase === 'open')
+    return job.spec.kind === 'array' ? RequestPriority.Normal : RequestPriority.High;
+  if (job.cancelledBecauseOf !== null) return RequestPriority.Background;
+  if (job.isPhaseStored) return RequestPriority.Normal;
+  return job.phase === 'done' && job.hasDependents
+    ? RequestPriority.Critical
+    : RequestPriority.High;
 }
--- a/src/jobs/user-requests.ts
+++ b/src/jobs/user-requests.ts
@@ -1,21 +1,22 @@
-import { NoAnswer } from '../http/client.js';
+import { RequestPriority } from '@leverhatch/core/store';
+import { NoResponseError } from '../http/client.js';
 import type { Clock } from '@leverhatch/core/clock';
 import type { Change, Condition, Store } from '../state/store.js';
 
 /** After how large a share of a poll's time a request without an answer is sent again. */
-export const HEDGE_SHARE = 0.25;
+export const HEDGE_RATIO = 0.25;
 
 /** More writes wait for the store's rate than a user should wait for. */
-export class Overloaded extends Error {
+export class OverloadedError extends Error {
   constructor(readonly delayMs: number) {
     super(`the queue of writes is ${Math.round(delayMs)} ms long`);
   }
 }
 
 /** How long users' requests to the store may take. */
-export interface RequestWaits {
+export interface RequestTimeouts {
   /** How long a transaction may queue for the store's rate before its user is sent away. */
-  mostDelayMs: number;
+  maxQueueMs: number;
   /** After how long without an answer a request is sent a second time. */
   hedgeMs: number;
 }
@@ -41,19 +42,19 @@
     if (outcome !== LATE) return outcome as T;
   } catch (error) {
     signal?.throwIfAborted();
-    if (!(error instanceof NoAnswer)) throw error;
+    if (!(error instanceof NoResponseError)) throw error;
     return request();
   } finally {
     answered.abort();
   }
   signal?.throwIfAborted();
-  return either(first, request());
+  return firstSuccess(first, request());
 }
 
 const LATE = Symbol('late');
 
 /** The first success; if both fail, the first failure. */
-async function either<T>(first: Promise<T>, second: Promise<T>): Promise<T> {
+async function firstSuccess<T>(first: Promise<T>, second: Promise<T>): Promise<T> {
   try {
     return await Promise.any([first, second]);
   } catch {
@@ -65,15 +66,20 @@
 export async function commitForUser(
   store: Store,
   clock: Clock,
-  waits: RequestWaits,
+  waits: RequestTimeouts,
   when: Condition[],
   then: Change[],
   signal: AbortSignal,
-): ReturnType<Store['txn']> {
-  store.assertAnswers();
-  const delayMs = store.writeDelayMs(then.length, 0);
-  if (delayMs > waits.mostDelayMs) throw new Overloaded(delayMs);
+): ReturnType<Store['tryCommit']> {
+  store.assertResponsive();
+  const delayMs = store.writeDelayMs(then.length, RequestPriority.Critical);
+  if (delayMs > waits.maxQueueMs) throw new OverloadedError(delayMs);
   // What still queues here is not without an answer yet.
   const afterMs = waits.hedgeMs + delayMs;
-  return hedged(clock, afterMs, () => store.txn(when, then, 0, signal), signal);
+  return hedged(
+    clock,
+    afterMs,
+    () => store.tryCommit(when, then, RequestPriority.Critical, signal),
+    signal,
+  );
 }
--- a/src/jobs/state-comparisons.ts
+++ b/src/jobs/version-checker.ts
@@ -1,8 +1,8 @@
 import type { Clock } from '@leverhatch/core/clock';
 import { KEYS } from '../state/keys.js';
-import { isRefusedSize, type Condition, type RequestClass, type Store } from '../state/store.js';
-import type { JobState } from './job-states.js';
-import { HEDGE_SHARE, hedged, Overloaded } from './user-requests.js';
+import { isSizeRejection, type Condition, type RequestClass, type Store } from '../state/store.js';
+import type { JobState } from './job-state-cache.js';
+import { HEDGE_RATIO, hedged, OverloadedError } from './user-requests.js';
 
 interface Waiter {
   /** Aborted once the question's own time is over: nobody waits for its answer any more. */
@@ -12,119 +12,115 @@
 }
 
 /** A job and all who wait for its state. */
-type Question = [string, Waiter[]];
+type PendingCheck = [string, Waiter[]];
 
 /** A job as it was read, that it was never accepted, or why its record could not be taken in. */
 export type ReadState = JobState | null | Error;
 
-export interface StateMemory {
+export interface CacheReader {
   /** What is remembered of a job. */
-  remembered(id: string): JobState | null;
+  cached(id: string): JobState | null;
   /** Reads jobs from the store; each state is from some time after the call. */
   read(ids: readonly string[], from: RequestClass): Promise<Map<string, ReadState>>;
 }
 
 /** For how small a share of a poll's time questions gather before they are compared together. */
-const GATHERINGS = 16;
+const BATCH_WINDOWS_PER_QUERY = 16;
 
 /** How many comparisons are under way at once. */
-const COMPARISONS_AT_ONCE = 4;
+const CONCURRENT_CHECKS = 4;
 
 /** For how large a share of a poll's time a question may queue; beyond it its user is sent away. */
-const MOST_QUEUED_SHARE = 0.5;
+const MAX_QUEUED_RATIO = 0.5;
 
 /** The same for a question about a job of which nothing was answered for long. */
-const MOST_OVERDUE_QUEUED_SHARE = 0.75;
+const MAX_OVERDUE_QUEUED_RATIO = 0.75;
 
 /**
  * Questions about jobs that wait to be compared with the store. One comparison serves all questions
  * that wait when it begins. Users' questions and what submissions, cancellations and workers wait
  * for have a queue each, so that a storm of the former holds up none of the latter.
  */
-export class StateComparisons {
-  private asking = new Map<string, Waiter[]>();
-  private comparing = false;
+export class VersionChecker {
+  private pending = new Map<string, Waiter[]>();
+  private isChecking = false;
 
   constructor(
     private readonly store: Store,
     private readonly clock: Clock,
     private readonly pollMs: number,
-    private readonly from: RequestClass,
-    private readonly memory: StateMemory,
+    private readonly requestClass: RequestClass,
+    private readonly cache: CacheReader,
   ) {}
 
   /** More jobs than this cost less requests as pages of records. */
-  get mostAtOnce(): number {
-    return this.mostConditions * COMPARISONS_AT_ONCE;
+  get maxJobsAtOnce(): number {
+    return this.maxConditions * CONCURRENT_CHECKS;
   }
 
   /** The state as stored at some time after this call, whatever becomes of the jobs before it. */
-  async compared(
-    id: string,
-    signal: AbortSignal | null,
-    overdue = false,
-  ): Promise<JobState | null> {
-    this.store.assertAnswers();
-    const delayMs = this.from === 'question' && !this.asking.has(id) ? this.delayMs : 0;
-    const mostShare = overdue ? MOST_OVERDUE_QUEUED_SHARE : MOST_QUEUED_SHARE;
-    if (delayMs > this.pollMs * mostShare) throw new Overloaded(delayMs);
+  async check(id: string, signal: AbortSignal | null, overdue = false): Promise<JobState | null> {
+    this.store.assertResponsive();
+    const delayMs = this.requestClass === 'question' && !this.pending.has(id) ? this.delayMs : 0;
+    const mostShare = overdue ? MAX_OVERDUE_QUEUED_RATIO : MAX_QUEUED_RATIO;
+    if (delayMs > this.pollMs * mostShare) throw new OverloadedError(delayMs);
     return new Promise((resolve, reject) => {
-      this.ask(id, [{ signal, resolve, reject }]);
-      if (!this.comparing) void this.compareAll();
+      this.enqueue(id, [{ signal, resolve, reject }]);
+      if (!this.isChecking) void this.checkAll();
     });
   }
 
   /** How many jobs one comparison takes. */
-  get mostConditions(): number {
+  get maxConditions(): number {
     // Looked up each time: a refusal of the last comparison may have lowered it.
     return this.store.limits.comparedKeys.current;
   }
 
   /** How long one more question would wait for its comparison to be sent, in milliseconds. */
   private get delayMs(): number {
-    const rounds = Math.floor(this.asking.size / this.mostAtOnce);
-    return this.store.questionDelayMs(rounds * COMPARISONS_AT_ONCE + 1);
+    const rounds = Math.floor(this.pending.size / this.maxJobsAtOnce);
+    return this.store.queryDelayMs(rounds * CONCURRENT_CHECKS + 1);
   }
 
-  private ask(id: string, waiters: Waiter[]): void {
-    const before = this.asking.get(id);
+  private enqueue(id: string, waiters: Waiter[]): void {
+    const before = this.pending.get(id);
     // Copied, a list that thousands wait in would cost more than all their answers.
-    if (before) for (const w of waiters) before.push(w);
-    else this.asking.set(id, waiters);
+    if (before) for (const waiter of waiters) before.push(waiter);
+    else this.pending.set(id, waiters);
   }
 
-  private async compareAll(): Promise<void> {
-    this.comparing = true;
-    while (this.asking.size > 0) {
+  private async checkAll(): Promise<void> {
+    this.isChecking = true;
+    while (this.pending.size > 0) {
       // Users can wait this long, and a comparison of one job costs as much as one of many.
-      await this.clock.sleep(this.pollMs / GATHERINGS);
+      await this.clock.sleep(this.pollMs / BATCH_WINDOWS_PER_QUERY);
       this.dropAbandoned();
-      const asked = [...this.asking].slice(0, this.mostAtOnce);
-      for (const [id] of asked) this.asking.delete(id);
-      const batches: Question[][] = [];
-      while (asked.length > 0) batches.push(asked.splice(0, this.mostConditions));
-      const changed = await Promise.all(batches.map((batch) => this.compareOrReject(batch)));
+      const asked = [...this.pending].slice(0, this.maxJobsAtOnce);
+      for (const [id] of asked) this.pending.delete(id);
+      const batches: PendingCheck[][] = [];
+      while (asked.length > 0) batches.push(asked.splice(0, this.maxConditions));
+      const changed = await Promise.all(batches.map((batch) => this.checkOrReject(batch)));
       await this.readChanged(new Map(changed.flat()));
     }
-    this.comparing = false;
+    this.isChecking = false;
   }
 
   /** What nobody waits for any more costs the store nothing. */
   private dropAbandoned(): void {
-    for (const [id, waiters] of this.asking) {
-      const waiting = waiters.filter((w) => !w.signal?.aborted);
-      if (waiting.length === 0) this.asking.delete(id);
-      else this.asking.set(id, waiting);
+    for (const [id, waiters] of this.pending) {
+      const waiting = waiters.filter((waiter) => !waiter.signal?.aborted);
+      if (waiting.length === 0) this.pending.delete(id);
+      else this.pending.set(id, waiting);
     }
   }
 
   /** Answers the questions of a batch; those whose jobs have changed are left to be read. */
-  private async compareOrReject(batch: Question[]): Promise<Question[]> {
+  private async checkOrReject(batch: PendingCheck[]): Promise<PendingCheck[]> {
     try {
-      return await this.compare(batch);
+      return await this.checkBatch(batch);
     } catch (error) {
-      if (isRefusedSize(error) && batch.length > 1) {
-        this.compareInSmaller(batch);
+      if (isSizeRejection(error) && batch.length > 1) {
+        this.splitBatch(batch);
         return [];
       }
       // Whoever asks is told at once that there is no answer now, and when to come back: held until
@@ -138,13 +134,13 @@
    * The store takes fewer conditions than this comparison had. Its limit may have fallen without any
    * announcement; refused for good, the jobs that are asked for together would look forgotten.
    */
-  private compareInSmaller(batch: Question[]): void {
-    this.store.limits.comparedKeys.refused(batch.length);
-    for (const [id, waiters] of batch) this.ask(id, waiters);
+  private splitBatch(batch: PendingCheck[]): void {
+    this.store.limits.comparedKeys.reduceBelow(batch.length);
+    for (const [id, waiters] of batch) this.enqueue(id, waiters);
   }
 
-  private async compare(batch: Question[]): Promise<Question[]> {
-    const compared = new Map(batch.map(([id]) => [id, this.memory.remembered(id)]));
+  private async checkBatch(batch: PendingCheck[]): Promise<PendingCheck[]> {
+    const compared = new Map(batch.map(([id]) => [id, this.cache.cached(id)]));
     const when = [...compared].map(([id, job]) => ({
       key: KEYS.job(id),
       version: job?.version ?? 0,
@@ -155,10 +151,10 @@
       if (failed.has(KEYS.job(id))) continue;
       // Of a failed comparison only the keys it names are known to differ; nothing is concluded
       // about the others.
-      if (failed.size > 0) this.ask(id, waiters);
+      if (failed.size > 0) this.enqueue(id, waiters);
       // What was compared is the answer also if the job has been dropped from memory since then:
       // an accepted job must never look as if it were unknown.
-      else for (const w of waiters) w.resolve(this.memory.remembered(id) ?? compared.get(id)!);
+      else for (const waiter of waiters) waiter.resolve(this.cache.cached(id) ?? compared.get(id)!);
     }
     return changed;
   }
@@ -166,9 +162,9 @@
   /** Where one answer is lost, all questions that share the comparison would wait for it. */
   private differing(when: Condition[]): Promise<string[]> {
     // What still queues here is not without an answer yet.
-    const queuedMs = this.from === 'question' ? this.store.questionDelayMs(1) : 0;
-    const afterMs = this.pollMs * HEDGE_SHARE + queuedMs;
-    return hedged(this.clock, afterMs, () => this.store.differing(when, this.from));
+    const queuedMs = this.requestClass === 'question' ? this.store.queryDelayMs(1) : 0;
+    const afterMs = this.pollMs * HEDGE_RATIO + queuedMs;
+    return hedged(this.clock, afterMs, () => this.store.compareVersions(when, this.requestClass));
   }
 
   /** One job that cannot be read now leaves the other answers of its comparison alone. */
@@ -176,20 +172,20 @@
     if (changed.size === 0) return;
     let read: Map<string, ReadState>;
     try {
-      read = await this.memory.read([...changed.keys()], this.from);
+      read = await this.cache.read([...changed.keys()], this.requestClass);
     } catch (error) {
       return rejectAll(changed, error);
     }
     for (const [id, waiters] of changed) {
       const job = read.get(id) ?? null;
-      for (const w of waiters) {
-        if (job instanceof Error) w.reject(job);
-        else w.resolve(job);
+      for (const waiter of waiters) {
+        if (job instanceof Error) waiter.reject(job);
+        else waiter.resolve(job);
       }
     }
   }
 }
 
-function rejectAll(questions: Iterable<Question>, reason: unknown): void {
-  for (const [, waiters] of questions) for (const w of waiters) w.reject(reason);
+function rejectAll(questions: Iterable<PendingCheck>, reason: unknown): void {
+  for (const [, waiters] of questions) for (const waiter of waiters) waiter.reject(reason);
 }
--- a/src/jobs/write-refusals.ts
+++ b/src/jobs/write-rejections.ts
@@ -1,20 +1,20 @@
-import type { StoreLimits } from '../state/limits.js';
+import type { StoreLimits } from '../state/store-limits.js';
 import type { Job } from './tracked-job.js';
 
 /**
  * A refused write of a job is tried again after this share of the time for which ends wait, doubled
  * with every refusal up to that time.
  */
-const FIRST_RETRY_SHARE = 1 / 50;
+const FIRST_RETRY_RATIO = 1 / 50;
 
 /** How often a transaction is made half as large before it is left at that. */
-const MOST_HALVINGS = 3;
+const MAX_HALVINGS = 3;
 
 /** How much of the limit for a value is used: the store may count some more bytes than we do. */
-const VALUE_SHARE = 0.9;
+const VALUE_FILL_RATIO = 0.9;
 
 /** A write of one job that the store refused for good: too large, say. */
-interface Refusal {
+interface Rejection {
   /** How long the job waits after the next one. */
   nextWaitMs: number;
   /** How many times its transactions have been given half as many changes. */
@@ -26,8 +26,8 @@
 }
 
 /** Which jobs the store has refused to write, when each is tried again, and how large it may be. */
-export class WriteRefusals {
-  private readonly byJob = new WeakMap<Job, Refusal>();
+export class WriteRejections {
+  private readonly byJob = new WeakMap<Job, Rejection>();
 
   constructor(
     private readonly limits: StoreLimits,
@@ -47,7 +47,7 @@
   add(job: Job, now: number): number {
     const before = this.byJob.get(job);
     const waitMs = before?.nextWaitMs ?? this.firstRetryMs;
-    const half = (times: number): number => Math.min(times + 1, MOST_HALVINGS);
+    const half = (times: number): number => Math.min(times + 1, MAX_HALVINGS);
     this.byJob.set(job, {
       nextWaitMs: Math.min(waitMs * 2, this.longestWaitMs),
       // The first refusal may mean no more than that the announced limits hold by now.
@@ -69,12 +69,12 @@
     const { valueBytes, txnOps } = this.limits.effective();
     const refusal = this.byJob.get(job);
     return {
-      valueBytes: Math.floor((valueBytes * VALUE_SHARE) / 2 ** (refusal?.halvedBytes ?? 0)),
+      valueBytes: Math.floor((valueBytes * VALUE_FILL_RATIO) / 2 ** (refusal?.halvedBytes ?? 0)),
       txnOps: Math.max(2, Math.floor(txnOps / 2 ** (refusal?.halvedOps ?? 0))),
     };
   }
 
   private get firstRetryMs(): number {
-    return this.longestWaitMs * FIRST_RETRY_SHARE;
+    return this.longestWaitMs * FIRST_RETRY_RATIO;
   }
 }
--- a/src/main.ts
+++ b/src/main.ts
@@ -1,15 +1,15 @@
 import { setMaxListeners } from 'node:events';
 import { Controller } from './control/controller.js';
-import { httpTransport, httpTransports } from './http/client.js';
+import { httpTransport, httpTransportFactory } from './http/client.js';
 import { listen } from './http/server.js';
 import { systemClock } from '@leverhatch/core/clock';
 import { TcpPeerTransport } from './peer/peer-transport.js';
 import { createLogger } from './runtime/log.js';
 import { systemRandom } from '@leverhatch/core/random';
 import { parseArguments } from './settings/cli.js';
-import { loadDeploy } from './settings/deploy.js';
+import { loadSettings } from './settings/deploy.js';
 import { SettingsError } from './settings/error.js';
-import { loadOperator, OPERATOR_DEFAULTS } from './settings/operator.js';
+import { loadOperatorSettings, OPERATOR_DEFAULTS } from './settings/operator.js';
 import { loadExtensions } from './settings/extensions.js';
 import { VERSION } from './version.js';
 
@@ -25,8 +25,8 @@
     process.exitCode = args;
     return;
   }
-  const settings = loadDeploy(args.config);
-  const operator = args.operator === null ? OPERATOR_DEFAULTS : loadOperator(args.operator);
+  const settings = loadSettings(args.config);
+  const operator = args.operator === null ? OPERATOR_DEFAULTS : loadOperatorSettings(args.operator);
   if (args.check) return void (await loadExtensions(operator, args.operator ?? ''));
 
   const log = createLogger(process.env.LOG_LEVEL, settings.member, settings.machine.memoryMb);
@@ -37,17 +37,27 @@
     process.once(name, () => stop.abort(new Error(name)));
   }
   const { sockets, memoryMb } = settings.machine;
-  const answerBytes = memoryMb * ANSWER_BYTES_PER_MB;
+  const maxResponseBytes = memoryMb * ANSWER_BYTES_PER_MB;
   const toStore = Math.max(4, Math.floor(sockets / 20));
   const toWorkers = Math.max(4, Math.floor(sockets / 20));
   const toCloud = Math.max(2, Math.ceil(settings.cloud.rps / 2));
-  const peerTransport = new TcpPeerTransport(settings, runtime, settings.workers.reportMs / 4);
+  const peerTransport = new TcpPeerTransport(
+    settings,
+    runtime,
+    settings.workers.heartbeatIntervalMs / 4,
+  );
   const extensions = await loadExtensions(operator, args.operator ?? '');
   const controller = new Controller(settings, operator, runtime, {
     peerTransport,
-    store: httpTransport(settings.stateAddress, { sockets: toStore, answerBytes }),
-    cloud: httpTransport(settings.cloudAddress, { sockets: toCloud, answerBytes }),
-    workers: httpTransports({ sockets: toWorkers, answerBytes }),
+    store: httpTransport(settings.stateAddress, {
+      sockets: toStore,
+      maxResponseBytes,
+    }),
+    cloud: httpTransport(settings.cloudAddress, {
+      sockets: toCloud,
+      maxResponseBytes,
+    }),
+    workers: httpTransportFactory({ sockets: toWorkers, maxResponseBytes }),
     extensions: extensions?.create ?? [],
   });
   // Two listeners, and a connection each way for every peer.
--- a/src/membership/membership.ts
+++ b/src/membership/membership.ts
@@ -1,3 +1,4 @@
+import { RequestPriority } from '@leverhatch/core/store';
 import { z } from 'zod/mini';
 import { FRAME_VERSIONS } from '../peer/frames.js';
 import type { Runtime } from '@leverhatch/core/duty';
@@ -67,7 +68,7 @@
 export class Membership {
   private readonly members = new Map<string, MemberRecord>();
   /** The newest record format that all controllers read; 0: not known of all. */
-  private common = 0;
+  private commonFormat = 0;
 
   constructor(
     private readonly store: Store,
@@ -80,7 +81,7 @@
 
   /** True once all controllers read records of this format. */
   allRead(recordFormat: number): boolean {
-    return this.common >= recordFormat;
+    return this.commonFormat >= recordFormat;
   }
 
   /** True if this peer has said that it reads frames of this version. */
@@ -89,24 +90,26 @@
   }
 
   /** True once all others understand whatever this program does: no record brings any news then. */
-  private get settled(): boolean {
+  private get isComplete(): boolean {
     const { recordFormat, frameVersions } = this.own;
     return (
       this.allRead(recordFormat) &&
-      this.names.peers.every((peer) => frameVersions.every((v) => this.readsFrames(peer, v)))
+      this.names.peers.every((peer) =>
+        frameVersions.every((frameVersion) => this.readsFrames(peer, frameVersion)),
+      )
     );
   }
 
   async run(signal: AbortSignal): Promise<void> {
-    await this.announce(signal);
-    while (!signal.aborted && !this.settled) {
+    await this.writeOwnRecord(signal);
+    while (!signal.aborted && !this.isComplete) {
       await this.refresh(signal).catch(() => undefined);
-      if (!this.settled) await this.runtime.clock.sleep(this.refreshMs, signal);
+      if (!this.isComplete) await this.runtime.clock.sleep(this.refreshMs, signal);
     }
   }
 
   /** Writes our own record, however long it takes. */
-  private async announce(signal: AbortSignal): Promise<void> {
+  private async writeOwnRecord(signal: AbortSignal): Promise<void> {
     const { clock, random, log, startedAt } = this.runtime;
     const record: MemberRecord = {
       name: this.names.self,
@@ -124,14 +127,14 @@
     let waitMs = this.refreshMs / 4;
     while (!signal.aborted) {
       try {
-        const { ok } = await this.store.txn(
+        const { ok } = await this.store.tryCommit(
           [{ key, version }],
           [{ put: key, value: record }],
-          1,
+          RequestPriority.High,
           signal,
         );
         if (!ok) {
-          version = (await this.store.get(key, 1, signal))?.version ?? 0;
+          version = (await this.store.get(key, RequestPriority.High, signal))?.version ?? 0;
           continue;
         }
         log.info({ ...record }, 'member record written');
@@ -148,7 +151,7 @@
    * Whether every controller says now that it has a part switched on. Unlike formats a part can be
    * switched off again, so this is read each time.
    */
-  async allHave(feature: string, signal?: AbortSignal): Promise<boolean> {
+  async haveAllEnabled(feature: string, signal?: AbortSignal): Promise<boolean> {
     const { items } = await this.store.range(KEYS.members, signal);
     const having = new Set<string>();
     for (const { value } of items) {
@@ -161,30 +164,36 @@
 
   /** Reads the records of all controllers once; throws if the store does not serve. */
   async refresh(signal?: AbortSignal): Promise<void> {
-    if (this.settled) return;
+    if (this.isComplete) return;
     const { items } = await this.store.range(KEYS.members, signal);
     for (const entry of items) {
       const result = z.safeParse(memberRecord, entry.value);
       if (result.success) this.members.set(result.data.name, result.data);
     }
-    this.judge();
+    this.updateCommonFormat();
   }
 
-  private judge(): void {
-    const before = this.common;
-    while (this.common < this.own.recordFormat && this.namedByAll(this.common + 1)) this.common++;
-    if (this.common === before) return;
+  private updateCommonFormat(): void {
+    const before = this.commonFormat;
+    while (this.commonFormat < this.own.recordFormat && this.isReadByAll(this.commonFormat + 1))
+      this.commonFormat++;
+    if (this.commonFormat === before) return;
     const members = [...this.members.keys()];
-    this.runtime.log.info({ members, recordFormat: this.common }, 'all controllers read a format');
+    this.runtime.log.info(
+      { members, recordFormat: this.commonFormat },
+      'all controllers read a format',
+    );
     const { rangedRuns } = RECORD_FORMATS;
     // The announced limits can come at any moment from now on.
-    if (before < rangedRuns && this.allRead(rangedRuns)) this.store.limits.lower();
+    if (before < rangedRuns && this.allRead(rangedRuns)) this.store.limits.applyAnnounced();
   }
 
   /** Whether every controller has a record that names this format or a later one. */
-  private namedByAll(recordFormat: number): boolean {
+  private isReadByAll(recordFormat: number): boolean {
     const { self, peers, size } = this.names;
-    const current = [...this.members.values()].filter((m) => m.recordFormat >= recordFormat);
+    const current = [...this.members.values()].filter(
+      (member) => member.recordFormat >= recordFormat,
+    );
     const names = new Set(current.map((m) => m.name));
     return names.size >= size && [self, ...peers].every((name) => names.has(name));
   }
--- a/src/peer/cancellation-query.ts
+++ b/src/peer/cancellation-query.ts
@@ -1,8 +1,8 @@
 import { Subscription } from 'rxjs';
 import type { CancellationLog } from '../jobs/cancellation-log.js';
-import { DRIFT } from '@leverhatch/core/clock';
+import { MAX_CLOCK_DRIFT } from '@leverhatch/core/clock';
 import type { Runtime } from '@leverhatch/core/duty';
-import type { Message } from './frames.js';
+import type { PeerMessage } from './frames.js';
 import type { PeerTransport } from './peer-transport.js';
 
 /** The jobs that any controller has told users to be cancelled, without a gap up to `asOf`. */
@@ -26,7 +26,7 @@
  * all of them nothing is concluded.
  */
 export class CancellationQuery {
-  private asks = 0;
+  private lastRequestId = 0;
   private readonly collections = new Map<number, Collection>();
 
   constructor(
@@ -34,23 +34,25 @@
     private readonly runtime: Runtime,
     private readonly log: CancellationLog,
     /** Whether a controller is known to read these frames; an older one would close the connection. */
-    private readonly readsVouches: (peer: string) => boolean,
+    private readonly supportsQuery: (peer: string) => boolean,
   ) {}
 
   listen(): Subscription {
-    return this.peerTransport.heard.subscribe(({ from, message }) => this.on(from, message));
+    return this.peerTransport.messages.subscribe(({ from, message }) =>
+      this.onMessage(from, message),
+    );
   }
 
   /** Null unless every other controller has answered, within `withinMs`, for the time since `from`. */
   async collect(from: number, withinMs: number): Promise<KnownCancellations | null> {
     const { clock } = this.runtime;
     const { peers } = this.peerTransport;
-    if (!peers.every((p) => this.readsVouches(p))) return null;
+    if (!peers.every((peer) => this.supportsQuery(peer))) return null;
     const asOf = clock.now();
     // The request may travel for as long as its answer is waited for; by the clock of whoever gets
     // it, the time meant must not begin any later for that.
     const sinceMs = Math.ceil(asOf - from + withinMs);
-    const ask = ++this.asks;
+    const requestId = ++this.lastRequestId;
     const answered = new AbortController();
     const collection: Collection = {
       missing: new Set(peers),
@@ -58,11 +60,11 @@
       refused: false,
       done: () => answered.abort(),
     };
-    this.collections.set(ask, collection);
+    this.collections.set(requestId, collection);
     for (const peer of peers)
-      this.peerTransport.send(peer, { kind: 'askCancellations', ask, sinceMs });
+      this.peerTransport.send(peer, { kind: 'cancellationsRequest', requestId, sinceMs });
     if (peers.length > 0) await clock.sleep(withinMs, answered.signal);
-    this.collections.delete(ask);
+    this.collections.delete(requestId);
     const own = this.log.since(from);
     if (collection.refused || collection.missing.size > 0 || own === null) return null;
     // One that stood still meanwhile cannot tell when its request was read.
@@ -71,19 +73,25 @@
     return { asOf, cancelled: collection.cancelled };
   }
 
-  private on(from: string, message: Message): void {
-    if (message.kind === 'askCancellations') this.answer(from, message.ask, message.sinceMs);
-    else if (message.kind === 'cancellations') this.count(from, message.ask, message.cancelled);
+  private onMessage(from: string, message: PeerMessage): void {
+    if (message.kind === 'cancellationsRequest')
+      this.respond(from, message.requestId, message.sinceMs);
+    else if (message.kind === 'cancellationsResponse')
+      this.recordResponse(from, message.requestId, message.cancelled);
   }
 
-  private answer(to: string, ask: number, sinceMs: number): void {
-    if (!this.readsVouches(to)) return;
-    const since = this.runtime.clock.now() - sinceMs * (1 + DRIFT);
-    this.peerTransport.send(to, { kind: 'cancellations', ask, cancelled: this.log.since(since) });
+  private respond(to: string, requestId: number, sinceMs: number): void {
+    if (!this.supportsQuery(to)) return;
+    const since = this.runtime.clock.now() - sinceMs * (1 + MAX_CLOCK_DRIFT);
+    this.peerTransport.send(to, {
+      kind: 'cancellationsResponse',
+      requestId,
+      cancelled: this.log.since(since),
+    });
   }
 
-  private count(from: string, ask: number, cancelled: string[] | null): void {
-    const collection = this.collections.get(ask);
+  private recordResponse(from: string, requestId: number, cancelled: string[] | null): void {
+    const collection = this.collections.get(requestId);
     if (!collection) return;
     if (cancelled === null) collection.refused = true;
     else {
--- a/src/peer/peer-transport.ts
+++ b/src/peer/peer-transport.ts
@@ -1,14 +1,14 @@
 import { connect, createServer, type Socket } from 'node:net';
 import { Subject, type Observable } from 'rxjs';
-import { duty, type Runtime } from '@leverhatch/core/duty';
+import { supervise, type Runtime } from '@leverhatch/core/duty';
 import type { Settings } from '../settings/deploy.js';
-import { Decoder, encode, type Message } from './frames.js';
+import { Decoder, encode, type PeerMessage } from './frames.js';
 
 export interface PeerTransport {
   /** What other controllers say, with the speaker's name. */
-  readonly heard: Observable<{ from: string; message: Message }>;
+  readonly messages: Observable<{ from: string; message: PeerMessage }>;
   /** Sends to one controller if it is connected; nothing is kept for later. */
-  send(to: string, message: Message): void;
+  send(to: string, message: PeerMessage): void;
   readonly peers: string[];
   /** When a peer's process began, by our clock; null if it has not been heard. */
   startedAt(peer: string): number | null;
@@ -20,7 +20,7 @@
 }
 
 /** A peer that takes this much less than it is sent is cut off: it would grow our memory. */
-const MOST_BUFFERED = 512 * 1024;
+const MAX_BUFFERED_BYTES = 512 * 1024;
 
 /** A peer's connection, the one that replaces it, and a stranger's. */
 const CONNECTIONS_PER_PEER = 3;
@@ -30,13 +30,13 @@
  * it is advice or is asked for again, so a lost connection costs a retry and nothing else.
  */
 export class TcpPeerTransport implements PeerTransport {
-  readonly heard = new Subject<{ from: string; message: Message }>();
+  readonly messages = new Subject<{ from: string; message: PeerMessage }>();
   readonly peers: string[];
   private readonly out = new Map<string, Socket>();
   /** The connection on which each peer speaks; null: the peer has closed it. */
   private readonly incoming = new Map<string, Socket | null>();
   /** What a message looks like on the wire: most go to every peer. */
-  private readonly encoded = new WeakMap<Message, Buffer>();
+  private readonly encoded = new WeakMap<PeerMessage, Buffer>();
   private readonly starts = new Map<string, number>();
   private readonly lastHeard = new Map<string, number>();
 
@@ -45,24 +45,26 @@
     private readonly runtime: Runtime,
     private readonly retryMs: number,
   ) {
-    this.peers = settings.peers.map((p) => p.member);
+    this.peers = settings.peers.map((peer) => peer.member);
   }
 
   async run(signal: AbortSignal): Promise<void> {
     await Promise.all([
-      duty(this.runtime, 'peer listener', signal, this.retryMs, (s) => this.accept(s)),
-      ...this.settings.peers.map((p) =>
-        duty(this.runtime, `peer ${p.member}`, signal, this.retryMs, (s) =>
-          this.speakTo(p.member, p.address, s),
+      supervise(this.runtime, 'peer listener', signal, this.retryMs, (signal) =>
+        this.accept(signal),
+      ),
+      ...this.settings.peers.map((peer) =>
+        supervise(this.runtime, `peer ${peer.member}`, signal, this.retryMs, (signal) =>
+          this.speakTo(peer.member, peer.address, signal),
         ),
       ),
     ]);
   }
 
-  send(to: string, message: Message): void {
+  send(to: string, message: PeerMessage): void {
     const socket = this.out.get(to);
     if (!socket) return;
-    if (socket.writableLength > MOST_BUFFERED) {
+    if (socket.writableLength > MAX_BUFFERED_BYTES) {
       socket.destroy();
       return;
     }
@@ -120,7 +122,7 @@
             this.replaceIncoming(from, socket);
             this.lastHeard.set(from, this.runtime.clock.now());
             this.starts.set(from, this.runtime.clock.now() - message.ageMs);
-          } else if (from !== null) this.heard.next({ from, message });
+          } else if (from !== null) this.messages.next({ from, message });
         }
       } catch (error) {
         this.runtime.log.warn({ from, error: String(error) }, 'broken frame, connection closed');
--- a/src/peer/store-reachability.ts
+++ b/src/peer/store-reachability.ts
@@ -1,7 +1,7 @@
 import type { Clock } from '@leverhatch/core/clock';
 
 /** For how many report intervals what a peer said of the store is believed. */
-const FRESH = 2.5;
+const FRESH_INTERVALS = 2.5;
 
 /**
  * Tells an outage of the state service from one that this controller alone meets. Users whose
@@ -10,45 +10,46 @@
  * it must not, since nobody would be left to tell users when to come back.
  */
 export class StoreReachability {
-  private readonly said = new Map<string, { serves: boolean; at: number }>();
+  private readonly statements = new Map<string, { available: boolean; at: number }>();
 
   constructor(
     private readonly clock: Clock,
-    private readonly reportMs: number,
+    private readonly heartbeatIntervalMs: number,
   ) {}
 
-  heard(peer: string, serves: boolean): void {
-    this.said.set(peer, { serves, at: this.clock.now() });
+  recordStatement(peer: string, available: boolean): void {
+    this.statements.set(peer, { available, at: this.clock.now() });
   }
 
   /** Whether any other controller has said lately that the store serves it: it could lead. */
-  get servesOthers(): boolean {
-    return this.fresh.some((s) => s.serves);
+  get isAvailableToOthers(): boolean {
+    return this.fresh.some((s) => s.available);
   }
 
   /** Whether this controller has said lately that the store serves it. */
-  serves(peer: string): boolean {
-    const said = this.said.get(peer);
-    return said !== undefined && said.serves && this.isFresh(said);
+  isAvailableTo(peer: string): boolean {
+    const said = this.statements.get(peer);
+    return said !== undefined && said.available && this.isFresh(said);
   }
 
   private isFresh({ at }: { at: number }): boolean {
-    return this.clock.now() - at < this.reportMs * FRESH;
+    return this.clock.now() - at < this.heartbeatIntervalMs * FRESH_INTERVALS;
   }
 
-  private get fresh(): { serves: boolean; at: number }[] {
-    return [...this.said.values()].filter((s) => this.isFresh(s));
+  private get fresh(): { available: boolean; at: number }[] {
+    return [...this.statements.values()].filter((statement) => this.isFresh(statement));
   }
 
   /** `failingSince`: since when no request to the store has been served; null while they are. */
-  aloneCutOff(failingSince: number | null): boolean {
+  isIsolated(unavailableSince: number | null): boolean {
     const now = this.clock.now();
-    if (failingSince === null || now - failingSince < this.reportMs) return false;
-    if (this.said.size === 0) return false;
+    if (unavailableSince === null || now - unavailableSince < this.heartbeatIntervalMs)
+      return false;
+    if (this.statements.size === 0) return false;
     // Who no longer hears any of those that it heard is cut off from them as well.
     const { fresh } = this;
     // In an outage a peer may need a while to notice: only what it says later counts.
-    const later = failingSince + this.reportMs;
-    return fresh.length === 0 || fresh.some((s) => s.serves && s.at > later);
+    const later = unavailableSince + this.heartbeatIntervalMs;
+    return fresh.length === 0 || fresh.some((s) => s.available && s.at > later);
   }
 }
--- a/src/scheduler/room-finder.ts
+++ b/src/scheduler/capacity-finder.ts
@@ -1,17 +1,17 @@
-import { fits } from '../fleet/types.js';
+import { fits } from '../fleet/resources.js';
 import type { JobSpec } from '../jobs/job.js';
-import type { JobView, MachineView } from './model.js';
+import type { JobView, MachineView } from './scheduling-model.js';
 import {
-  allows,
-  place,
-  shapeOf,
+  isAllowedOn,
+  placeTasks,
+  schedulingShape,
   type Placed,
   type ContendedTypes,
   type ZoneRules,
 } from './placement.js';
 
 /** Finds room on machines for the tasks of one round, and remembers where there is none left. */
-export class RoomFinder {
+export class CapacityFinder {
   /** For lists of machines: shapes of which no task fits there any more. */
   private readonly full = new Map<MachineView[], Set<string>>();
   private readonly byShape = new Map<string, MachineView[]>();
@@ -34,27 +34,29 @@
     onlyBesideGpus = false,
   ): Placed[] {
     if (this.isFull(job.spec, machines)) return [];
-    return place(job, count, machines, rules, this.contended, onlyBesideGpus);
+    return placeTasks(job, count, machines, rules, this.contended, onlyBesideGpus);
   }
 
   /** True if no task of this shape fits on any of these machines. */
   isFull(spec: JobSpec, machines: MachineView[]): boolean {
     let full = this.full.get(machines);
     if (!full) this.full.set(machines, (full = new Set()));
-    const shape = shapeOf(spec);
+    const shape = schedulingShape(spec);
     if (full.has(shape)) return true;
-    if (machines.some((m) => fits(spec.need, m.free))) return false;
+    if (machines.some((machine) => fits(spec.need, machine.free))) return false;
     full.add(shape);
     return true;
   }
 
   /** Machines that are up and may hold a task of this shape, whatever is on them. */
   suitable(spec: JobSpec): MachineView[] {
-    const shape = shapeOf(spec);
+    const shape = schedulingShape(spec);
     let machines = this.byShape.get(shape);
     if (!machines) {
       machines = this.up.filter(
-        (m) => allows(spec, m.type.name, m.zone, m.spot) && fits(spec.need, m.type.room),
+        (machine) =>
+          isAllowedOn(spec, machine.type.name, machine.zone, machine.spot) &&
+          fits(spec.need, machine.type.capacity),
       );
       this.byShape.set(shape, machines);
     }
--- a/src/scheduler/consolidation.ts
+++ b/src/scheduler/consolidation.ts
@@ -1,9 +1,9 @@
-import { fits, take, type Need } from '../fleet/types.js';
-import type { JobView, MachineView, ReplicaView } from './model.js';
-import { allows, fetchSeconds, ZoneRules } from './placement.js';
+import { fits, subtract, type Resources } from '../fleet/resources.js';
+import type { JobView, MachineView, ReplicaView } from './scheduling-model.js';
+import { isAllowedOn, fetchSeconds, ZoneRules } from './placement.js';
 
 /** An empty machine that is kept for longer than this many boot times is not worth emptying. */
-const SOON_BOOTS = 2;
+const QUICK_RELEASE_BOOTS = 2;
 
 /**
  * Replicas that run for long stay behind on many half-empty machines once the work around them has
@@ -17,23 +17,27 @@
   jobs: JobView[],
 ): { job: string; task: number }[] {
   const byMachine = new Map<string, ReplicaView[]>();
-  for (const r of movable) {
-    const list = byMachine.get(r.machine);
-    if (list) list.push(r);
-    else byMachine.set(r.machine, [r]);
+  for (const replica of movable) {
+    const list = byMachine.get(replica.machine);
+    if (list) list.push(replica);
+    else byMachine.set(replica.machine, [replica]);
   }
   const clearable = up
-    .filter((m) => {
-      const here = byMachine.get(m.id)?.length ?? 0;
-      const tasks = [...m.tasksOf.values()].reduce((a, b) => a + b, 0);
-      return here > 0 && tasks === here && m.keepMs <= m.type.bootMs * SOON_BOOTS;
+    .filter((machine) => {
+      const here = byMachine.get(machine.id)?.length ?? 0;
+      const tasks = [...machine.tasksOf.values()].reduce((a, b) => a + b, 0);
+      return (
+        here > 0 &&
+        tasks === here &&
+        machine.idleTimeoutMs <= machine.type.bootMs * QUICK_RELEASE_BOOTS
+      );
     })
-    .sort((a, b) => b.free.gpus / b.type.room.gpus - a.free.gpus / a.type.room.gpus);
+    .sort((a, b) => b.free.gpus / b.type.capacity.gpus - a.free.gpus / a.type.capacity.gpus);
   const byId = new Map(jobs.map((j) => [j.id, j]));
   const hosts = withRoomForAny(movable, up);
   for (const from of clearable) {
     const moves = byMachine.get(from.id)!;
-    const fuller = hosts.filter((m) => isFuller(m, from));
+    const fuller = hosts.filter((machine) => isFuller(machine, from));
     if (fuller.length > 0 && allFit(moves, from, fuller, byId)) {
       return moves.map(({ job, task }) => ({ job, task }));
     }
@@ -46,10 +50,12 @@
  * fleet they are few, and for each machine that could be cleared all of them are looked at.
  */
 function withRoomForAny(movable: ReplicaView[], up: MachineView[]): MachineView[] {
-  const needs = new Map<string, Need>();
+  const needs = new Map<string, Resources>();
   for (const { job, spec } of movable) needs.set(job, spec.need);
   const sizes = [...needs.values()];
-  return up.filter((m) => m.replicas > 0 && sizes.some((need) => fits(need, m.free)));
+  return up.filter(
+    (machine) => machine.replicas > 0 && sizes.some((need) => fits(need, machine.free)),
+  );
 }
 
 /** A strict order, or two machines would swap their replicas for ever. */
@@ -62,30 +68,30 @@
   targets: MachineView[],
   jobs: ReadonlyMap<string, JobView>,
 ): boolean {
-  const left = new Map<MachineView, Need>();
+  const left = new Map<MachineView, Resources>();
   const holding = new Set<string>();
   return moves.every(({ job, spec }) => {
     const view = jobs.get(job);
     if (!view) return false;
-    const zones = new Map(view.zones);
+    const zones = new Map(view.tasksByZone);
     zones.set(from.zone, (zones.get(from.zone) ?? 0) - 1);
     const rules = new ZoneRules(spec, zones);
     const target = targets.find(
-      (m) =>
-        fits(spec.need, left.get(m) ?? m.free) &&
-        allows(spec, m.type.name, m.zone, m.spot) &&
-        !view.avoid.has(m.id) &&
+      (machine) =>
+        fits(spec.need, left.get(machine) ?? machine.free) &&
+        isAllowedOn(spec, machine.type.name, machine.zone, machine.spot) &&
+        !view.avoidedMachines.has(machine.id) &&
         // Its fellows are elsewhere, so that one loss takes little.
-        !m.tasksOf.has(job) &&
-        !holding.has(`${job} ${m.id}`) &&
-        m.images.has(spec.image) &&
-        fetchSeconds(spec, m) === 0 &&
+        !machine.tasksOf.has(job) &&
+        !holding.has(`${job} ${machine.id}`) &&
+        machine.images.has(spec.image) &&
+        fetchSeconds(spec, machine) === 0 &&
         // Several of one job may leave together: a zone that takes one has room for what left it.
-        (m.zone === from.zone || rules.room(m.zone) > 0),
+        (machine.zone === from.zone || rules.remaining(machine.zone) > 0),
     );
     if (!target) return false;
     const room = left.get(target) ?? { ...target.free };
-    take(room, spec.need);
+    subtract(room, spec.need);
     left.set(target, room);
     holding.add(`${job} ${target.id}`);
     return true;
--- a/src/scheduler/demand-forecast.ts
+++ b/src/scheduler/demand-forecast.ts
@@ -4,7 +4,7 @@
 const INTERVALS = 4;
 
 /** With fewer there is no telling growth from the load that was there when the term began. */
-const LEAST_INTERVALS = 2;
+const MIN_INTERVALS = 2;
 
 /**
  * For how many intervals ahead room is wanted: one until a machine that is rented now is up, and one
@@ -66,7 +66,7 @@
     for (let i = 1; i < this.samples.length; i++) {
       growths.push(this.open(i, name) - this.open(i - 1, name));
     }
-    if (growths.length < LEAST_INTERVALS) return 0;
+    if (growths.length < MIN_INTERVALS) return 0;
     growths.sort((a, b) => a - b);
     return growths[(growths.length - 1) >> 1]!;
   }
--- a/src/scheduler/gang-reservations.ts
+++ b/src/scheduler/gang-reservations.ts
@@ -1,12 +1,12 @@
-import { howMany } from '../fleet/types.js';
+import { copiesThatFit } from '../fleet/resources.js';
 import type { JobSpec } from '../jobs/job.js';
-import type { JobView, MachineView } from './model.js';
-import { rank } from './order.js';
-import { allows, shapeOf, ZoneRules } from './placement.js';
+import type { JobView, MachineView } from './scheduling-model.js';
+import { rank } from './job-order.js';
+import { isAllowedOn, schedulingShape, ZoneRules } from './placement.js';
 import type { Preemption } from './preemption.js';
-import type { RentalPlan } from './rental-plan.js';
+import type { ScaleOutPlan } from './scale-out-plan.js';
 import type { Reservations } from './reservations.js';
-import type { RoomFinder } from './room-finder.js';
+import type { CapacityFinder } from './capacity-finder.js';
 
 /** Sets aside room for whole gangs that do not find it free. */
 export class GangReservations {
@@ -17,8 +17,8 @@
     private readonly machines: MachineView[],
     private readonly up: MachineView[],
     private readonly guaranteed: ReadonlySet<string>,
-    private readonly finder: RoomFinder,
-    private readonly rentals: RentalPlan,
+    private readonly finder: CapacityFinder,
+    private readonly scaleOutPlan: ScaleOutPlan,
     private readonly reservations: Reservations,
     private readonly preemption: Preemption,
   ) {}
@@ -36,8 +36,8 @@
     const { spec } = job;
     // Room only shrinks while a round goes on: where a gang found none, one of its kind that is no
     // smaller finds none either.
-    const kind = `${shapeOf(spec)}|${spec.oneZone}|${rank(job.priority, this.isGuaranteed(job))}`;
-    const usual = job.avoid.size === 0 && job.zones.size === 0;
+    const kind = `${schedulingShape(spec)}|${spec.oneZone}|${rank(job.priority, this.isGuaranteed(job))}`;
+    const usual = job.avoidedMachines.size === 0 && job.tasksByZone.size === 0;
     if (usual && spec.tasks >= (this.tooLarge.get(kind) ?? Infinity)) return false;
     const best = this.bestZone(job);
     if (best) return this.reserveIn(job, best.zone);
@@ -54,14 +54,14 @@
     const { spec } = job;
     const { coming } = this.reservations;
     const zones = spec.oneZone
-      ? [...new Set([...this.machines.map((m) => m.zone), ...this.rentals.zones])]
+      ? [...new Set([...this.machines.map((machine) => machine.zone), ...this.scaleOutPlan.zones])]
       : [null];
     let best: { zone: string | null; missing: number; machines: number } | null = null;
     for (const zone of zones) {
       const missing = this.missingIn(job, zone, coming);
-      if (missing > 0 && !this.rentals.offersFor(spec, zone)) continue;
+      if (missing > 0 && !this.scaleOutPlan.offersFor(spec, zone)) continue;
       // Where nothing is missing the first will do: its choice has to stand until the gang starts.
-      const machines = missing > 0 && zone !== null ? this.rentals.machinesInZone(zone) : 0;
+      const machines = missing > 0 && zone !== null ? this.scaleOutPlan.machinesInZone(zone) : 0;
       const better =
         best === null ||
         missing < best.missing ||
@@ -80,28 +80,32 @@
     const { spec } = job;
     const guaranteed = this.isGuaranteed(job);
     let missing = spec.tasks;
-    for (const m of this.finder.suitable(spec)) {
+    for (const machine of this.finder.suitable(spec)) {
       if (missing <= 0) break;
-      if (isIn(zone, m) && !job.avoid.has(m.id)) {
-        missing -= howMany(spec.need, this.preemption.potential(job, m, guaranteed));
+      if (isIn(zone, machine) && !job.avoidedMachines.has(machine.id)) {
+        missing -= copiesThatFit(
+          spec.need,
+          this.preemption.capacityAfterPreemption(job, machine, guaranteed),
+        );
       }
     }
-    for (const m of coming) {
-      if (isIn(zone, m) && suits(job, spec, m)) missing -= howMany(spec.need, m.free);
+    for (const machine of coming) {
+      if (isIn(zone, machine) && suits(job, spec, machine))
+        missing -= copiesThatFit(spec.need, machine.free);
     }
     return Math.max(0, missing);
   }
 
   private reserveIn(job: JobView, zone: string | null): boolean {
     const { spec } = job;
-    const rules = new ZoneRules(spec, job.zones);
+    const rules = new ZoneRules(spec, job.tasksByZone);
     const { coming } = this.reservations;
-    const here = this.up.filter((m) => isIn(zone, m));
-    let left = spec.tasks - this.reservations.setAside(job, spec.tasks, here, rules);
-    if (left > 0) left -= this.preemption.free(job, left, this.isGuaranteed(job), here, rules);
-    const comingHere = coming.filter((m) => isIn(zone, m));
-    left -= this.reservations.setAside(job, left, comingHere, rules);
-    return this.rentals.rent(job, left, rules, zone) === 0;
+    const here = this.up.filter((machine) => isIn(zone, machine));
+    let left = spec.tasks - this.reservations.reserveOn(job, spec.tasks, here, rules);
+    if (left > 0) left -= this.preemption.makeRoom(job, left, this.isGuaranteed(job), here, rules);
+    const comingHere = coming.filter((machine) => isIn(zone, machine));
+    left -= this.reservations.reserveOn(job, left, comingHere, rules);
+    return this.scaleOutPlan.add(job, left, rules, zone) === 0;
   }
 
   private isGuaranteed(job: JobView): boolean {
@@ -110,7 +114,9 @@
 }
 
 /** `zone` null stands for any. */
-const isIn = (zone: string | null, m: MachineView): boolean => zone === null || m.zone === zone;
+const isIn = (zone: string | null, machine: MachineView): boolean =>
+  zone === null || machine.zone === zone;
 
-const suits = (job: JobView, spec: JobSpec, m: MachineView): boolean =>
-  allows(spec, m.type.name, m.zone, m.spot) && !job.avoid.has(m.id);
+const suits = (job: JobView, spec: JobSpec, machine: MachineView): boolean =>
+  isAllowedOn(spec, machine.type.name, machine.zone, machine.spot) &&
+  !job.avoidedMachines.has(machine.id);
--- a/src/scheduler/headroom.ts
+++ b/src/scheduler/headroom.ts
@@ -1,9 +1,9 @@
-import { howMany, take } from '../fleet/types.js';
+import { copiesThatFit, subtract } from '../fleet/resources.js';
 import type { ExpectedTasks } from './demand-forecast.js';
-import type { JobView, MachineView, Snapshot } from './model.js';
-import { allows, ZoneRules } from './placement.js';
+import type { JobView, MachineView, Snapshot } from './scheduling-model.js';
+import { isAllowedOn, ZoneRules } from './placement.js';
 import type { Preemption } from './preemption.js';
-import type { RentalPlan } from './rental-plan.js';
+import type { ScaleOutPlan } from './scale-out-plan.js';
 
 /** A job that nobody has submitted yet. */
 function expectedJob({ spec, count }: ExpectedTasks): JobView {
@@ -13,15 +13,15 @@
     priority: spec.priority,
     readyAt: Infinity,
     dueAt: Infinity,
-    patient: false,
-    opportunistic: null,
-    waiting: count,
-    unfinished: count,
-    zones: new Map(),
-    avoid: new Set(),
+    isBackfill: false,
+    opportunisticTasks: null,
+    waitingTasks: count,
+    unfinishedTasks: count,
+    tasksByZone: new Map(),
+    avoidedMachines: new Set(),
     gang: null,
-    admissible: true,
-    onTrial: false,
+    isAdmissible: true,
+    isLastResortRetry: false,
   };
 }
 
@@ -30,26 +30,30 @@
  * boots and what lesser work would leave. Work that has to begin sooner than a machine boots would else
  * be late as long as the fleet grows: each job would find the machines that the one before it needed.
  */
-export function rentHeadroom(
+export function scaleOutHeadroom(
   snapshot: Snapshot,
   up: readonly MachineView[],
   preemption: Preemption,
-  rentals: RentalPlan,
+  scaleOutPlan: ScaleOutPlan,
 ): void {
-  const coming = [...snapshot.machines.filter((m) => !m.up), ...rentals.machines];
-  const room = new Map(coming.map((m) => [m, { ...m.free }]));
-  for (const expected of snapshot.expected) {
+  const coming = [
+    ...snapshot.machines.filter((machine) => !machine.isUp),
+    ...scaleOutPlan.machines,
+  ];
+  const room = new Map(coming.map((machine) => [machine, { ...machine.free }]));
+  for (const expected of snapshot.expectedTasks) {
     const job = expectedJob(expected);
     let missing = expected.count;
-    for (const m of [...up, ...coming]) {
+    for (const machine of [...up, ...coming]) {
       if (missing <= 0) break;
-      if (!allows(job.spec, m.type.name, m.zone, m.spot)) continue;
-      let left = room.get(m);
-      if (!left) room.set(m, (left = { ...preemption.potential(job, m, false) }));
-      const found = Math.min(missing, howMany(job.spec.need, left));
-      take(left, job.spec.need, found);
+      if (!isAllowedOn(job.spec, machine.type.name, machine.zone, machine.spot)) continue;
+      let left = room.get(machine);
+      if (!left)
+        room.set(machine, (left = { ...preemption.capacityAfterPreemption(job, machine, false) }));
+      const found = Math.min(missing, copiesThatFit(job.spec.need, left));
+      subtract(left, job.spec.need, found);
       missing -= found;
     }
-    rentals.rent(job, missing, new ZoneRules(job.spec, job.zones), null);
+    scaleOutPlan.add(job, missing, new ZoneRules(job.spec, job.tasksByZone), null);
   }
 }
--- a/src/scheduler/spares.ts
+++ b/src/scheduler/idle-machines.ts
@@ -9,7 +9,7 @@
  * as long as one is worth keeping. Each machine's own idle time would tell less: where work comes
  * and goes on many machines, every one of them is used now and then though all at once never are.
  */
-export class Spares {
+export class IdleMachines {
   private readonly byType = new Map<string, History>();
 
   /**
@@ -23,22 +23,22 @@
   ) {}
 
   /** Notes how many are spare now, and answers how many of them can be given back. */
-  surplus(type: string, count: number, now: number, keepMs: number): number {
+  surplus(type: string, count: number, now: number, idleTimeoutMs: number): number {
     let history = this.byType.get(type);
     if (!history) {
-      history = { points: [], since: this.from - (this.before ? keepMs / 2 : 0) };
+      history = { points: [], since: this.from - (this.before ? idleTimeoutMs / 2 : 0) };
       this.byType.set(type, history);
     }
     const { points } = history;
     // Counts only rise along the list: one that a later, smaller one outlives is never the fewest.
     while (points.length > 0 && points[points.length - 1]!.count >= count) points.pop();
     points.push({ at: now, count });
-    while (points[0]!.at < now - keepMs) points.shift();
-    return now - history.since < keepMs ? 0 : points[0]!.count;
+    while (points[0]!.at < now - idleTimeoutMs) points.shift();
+    return now - history.since < idleTimeoutMs ? 0 : points[0]!.count;
   }
 
   /** So many were given back: they are not counted as spare any more. */
-  returned(type: string, count: number): void {
+  recordReleased(type: string, count: number): void {
     for (const p of this.byType.get(type)?.points ?? []) p.count = Math.max(0, p.count - count);
   }
 }
--- a/src/scheduler/order.ts
+++ b/src/scheduler/job-order.ts
@@ -1,5 +1,5 @@
 import type { Priority } from '../jobs/job.js';
-import type { JobView, TeamView } from './model.js';
+import type { JobView, TeamView } from './scheduling-model.js';
 
 /**
  * A job is within its team's guarantee if it fits into it together with the team's earlier
@@ -15,8 +15,8 @@
     const team = teams.get(job.spec.team);
     if (!team) continue;
     const sum = sums.get(job.spec.team) ?? { cpus: 0, gpus: 0 };
-    sum.cpus += job.spec.need.cpus * job.unfinished;
-    sum.gpus += job.spec.need.gpus * job.unfinished;
+    sum.cpus += job.spec.need.cpus * job.unfinishedTasks;
+    sum.gpus += job.spec.need.gpus * job.unfinishedTasks;
     sums.set(job.spec.team, sum);
     // 0 means that nothing of the kind is guaranteed, and nothing is asked of it either.
     const covers = (guarantee: number, used: number): boolean =>
@@ -59,15 +59,16 @@
   // Estimates are often wrong by half: only what even half of it cannot make is given up.
   const atBest = now + remainingMs / 2;
   const times = steps.length > 0 ? steps : [1];
-  const next = times.find((t) => submittedAt + deadlineMs * t >= atBest);
+  const next = times.find((time) => submittedAt + deadlineMs * time >= atBest);
   return submittedAt + deadlineMs * (next ?? times[times.length - 1]! * 2);
 }
 
-export function inOrder(jobs: JobView[], guaranteed: ReadonlySet<string>): JobView[] {
+export function inSchedulingOrder(jobs: JobView[], guaranteed: ReadonlySet<string>): JobView[] {
   const sameClass = (a: JobView, b: JobView): boolean =>
     a.priority === b.priority && a.spec.kind === b.spec.kind;
   return [...jobs].sort((a, b) => {
-    if (a.onTrial !== b.onTrial) return Number(a.onTrial) - Number(b.onTrial);
+    if (a.isLastResortRetry !== b.isLastResortRetry)
+      return Number(a.isLastResortRetry) - Number(b.isLastResortRetry);
     // The gang that holds the gate goes before other standard work: all other gangs wait for it.
     const byRank = rank(a.priority, guaranteed.has(a.id)) - rank(b.priority, guaranteed.has(b.id));
     if (byRank !== 0) return byRank;
--- a/src/scheduler/opportunistic.ts
+++ b/src/scheduler/opportunistic.ts
@@ -1,34 +1,34 @@
-import { fits, take, type Need } from '../fleet/types.js';
+import { fits, subtract, type Resources } from '../fleet/resources.js';
 import type { JobSpec } from '../jobs/job.js';
-import type { JobView, MachineView, VictimView } from './model.js';
-import { allows, ZoneRules } from './placement.js';
+import type { JobView, MachineView, PreemptionCandidate } from './scheduling-model.js';
+import { isAllowedOn, ZoneRules } from './placement.js';
 
 /** How many machines are cleared at once at most: a search for room takes time. */
-const MOST_CLEARED = 8;
+const MAX_DRAINED = 8;
 
 /** Which share of a machine is taken. */
-function usedShare(m: MachineView): number {
-  const { room } = m.type;
+function usedShare(machine: MachineView): number {
+  const { capacity: capacity } = machine.type;
   const share = (free: number, of: number): number => (of > 0 ? 1 - free / of : 0);
   return Math.max(
-    share(m.free.cpus, room.cpus),
-    share(m.free.gpus, room.gpus),
-    share(m.free.memoryGb, room.memoryGb),
+    share(machine.free.cpus, capacity.cpus),
+    share(machine.free.gpus, capacity.gpus),
+    share(machine.free.memoryGb, capacity.memoryGb),
   );
 }
 
 /** What a task takes of a machine, as the largest of its shares. */
-function shareOf({ need }: JobSpec, { room }: MachineView['type']): number {
+function shareOf({ need }: JobSpec, { capacity: capacity }: MachineView['type']): number {
   return Math.max(
-    need.cpus / room.cpus,
-    room.gpus > 0 ? need.gpus / room.gpus : 0,
-    need.memoryGb / room.memoryGb,
+    need.cpus / capacity.cpus,
+    capacity.gpus > 0 ? need.gpus / capacity.gpus : 0,
+    need.memoryGb / capacity.memoryGb,
   );
 }
 
 /** True if nothing is on a machine but work of these jobs, or nothing at all. */
-export const holdsOnly = (m: MachineView, jobs: ReadonlySet<string>): boolean =>
-  [...m.tasksOf.keys()].every((job) => jobs.has(job));
+export const holdsOnly = (machine: MachineView, jobs: ReadonlySet<string>): boolean =>
+  [...machine.tasksOf.keys()].every((job) => jobs.has(job));
 
 /**
  * Of machines that hold nothing but opportunistic work, those that can be cleared: all that is on
@@ -39,28 +39,28 @@
  * @param only machines that hold nothing else
  * @param up all machines that are up, with the room that this round leaves
  */
-export function clearable(
+export function drainableMachines(
   only: MachineView[],
   up: MachineView[],
-  victims: readonly VictimView[],
+  victims: readonly PreemptionCandidate[],
   jobs: ReadonlyMap<string, JobView>,
 ): string[] {
-  const held = new Map<string, VictimView[]>(only.map((m) => [m.id, []]));
-  for (const v of victims) held.get(v.machine)?.push(v);
-  const free = new Map<MachineView, Need>();
-  const roomOn = (m: MachineView): Need => {
-    let room = free.get(m);
-    if (!room) free.set(m, (room = { ...m.free }));
+  const held = new Map<string, PreemptionCandidate[]>(only.map((machine) => [machine.id, []]));
+  for (const candidate of victims) held.get(candidate.machine)?.push(candidate);
+  const free = new Map<MachineView, Resources>();
+  const roomOn = (machine: MachineView): Resources => {
+    let room = free.get(machine);
+    if (!room) free.set(machine, (room = { ...machine.free }));
     return room;
   };
-  const inUse = up.filter((m) => !held.has(m.id));
+  const inUse = up.filter((machine) => !held.has(machine.id));
   const order = only
-    .filter((m) => m.tasksOf.size > 0)
+    .filter((machine) => machine.tasksOf.size > 0)
     .sort((a, b) => usedShare(a) - usedShare(b) || (a.id < b.id ? -1 : 1));
   const cleared: string[] = [];
   const receivers = new Set<MachineView>();
   for (const [i, from] of order.entries()) {
-    if (cleared.length === MOST_CLEARED) break;
+    if (cleared.length === MAX_DRAINED) break;
     const tasks = held.get(from.id)!;
     if (receivers.has(from) || !isWorthIt(from, tasks)) continue;
     const targets = [...inUse, ...order.slice(i + 1)];
@@ -68,7 +68,7 @@
     if (!moves) break;
     cleared.push(from.id);
     for (const { to, spec } of moves) {
-      take(roomOn(to), spec.need);
+      subtract(roomOn(to), spec.need);
       receivers.add(to);
     }
   }
@@ -80,16 +80,18 @@
  * was lost once, or is half done and never saved, stays: moved from one spare machine to the next it
  * would be done late or never.
  */
-function isWorthIt(m: MachineView, tasks: VictimView[]): boolean {
+function isWorthIt(machine: MachineView, tasks: PreemptionCandidate[]): boolean {
   let lost = 0;
   let untilMs = 0;
-  for (const t of tasks) {
-    if (t.stopping || t.wholeGang || t.unsavedStops > 0) return false;
-    if (t.spec.checkpointMs === 0 && t.lossMs > t.remainingMs) return false;
-    lost += t.lossMs * shareOf(t.spec, m.type);
-    untilMs = Math.max(untilMs, t.remainingMs);
+  for (const candidate of tasks) {
+    if (candidate.isStopping || candidate.isGangMember || candidate.stopsWithoutCheckpoint > 0)
+      return false;
+    if (candidate.spec.checkpointMs === 0 && candidate.lostWorkMs > candidate.remainingMs)
+      return false;
+    lost += candidate.lostWorkMs * shareOf(candidate.spec, machine.type);
+    untilMs = Math.max(untilMs, candidate.remainingMs);
   }
-  return lost < untilMs * (1 - usedShare(m));
+  return lost < untilMs * (1 - usedShare(machine));
 }
 
 interface Move {
@@ -99,29 +101,29 @@
 
 /** Where each of the tasks would go; null if one finds no room. */
 function allFit(
-  tasks: VictimView[],
+  tasks: PreemptionCandidate[],
   targets: MachineView[],
-  roomOn: (m: MachineView) => Need,
+  roomOn: (machine: MachineView) => Resources,
   jobs: ReadonlyMap<string, JobView>,
 ): Move[] | null {
-  const taken = new Map<MachineView, Need>();
+  const taken = new Map<MachineView, Resources>();
   const moves: Move[] = [];
   for (const { job, spec } of tasks) {
     const view = jobs.get(job);
     if (!view) return null;
-    const rules = new ZoneRules(spec, view.zones);
-    const to = targets.find((m) => {
-      const room = taken.get(m) ?? roomOn(m);
+    const rules = new ZoneRules(spec, view.tasksByZone);
+    const to = targets.find((machine) => {
+      const room = taken.get(machine) ?? roomOn(machine);
       return (
         fits(spec.need, room) &&
-        allows(spec, m.type.name, m.zone, m.spot) &&
-        !view.avoid.has(m.id) &&
-        rules.room(m.zone) > 0
+        isAllowedOn(spec, machine.type.name, machine.zone, machine.spot) &&
+        !view.avoidedMachines.has(machine.id) &&
+        rules.remaining(machine.zone) > 0
       );
     });
     if (!to) return null;
     const room = taken.get(to) ?? { ...roomOn(to) };
-    take(room, spec.need);
+    subtract(room, spec.need);
     taken.set(to, room);
     moves.push({ to, spec });
   }
--- a/src/scheduler/pipelines.ts
+++ b/src/scheduler/pipelines.ts
@@ -1,5 +1,5 @@
 import type { JobSpec, Priority } from '../jobs/job.js';
-import { dueAt } from './order.js';
+import { dueAt } from './job-order.js';
 
 /** An open job as a step of the pipelines that it belongs to; times of day in milliseconds. */
 export interface PipelineStep {
@@ -23,7 +23,7 @@
   /** By when it should be done so that what comes after it can be in time. */
   dueAt: number;
   /** Its slack is short: it should not wait for room that others may leave. */
-  pressed: boolean;
+  isPressed: boolean;
   /** In how many milliseconds it is expected to be ready; 0 if it is. */
   readyInMs: number;
 }
@@ -50,7 +50,7 @@
  * A step is pressed when its slack is less than this share of all that is still to be run: estimates
  * are often wrong by half. With more slack it can wait for room that others leave.
  */
-const PRESSED_SHARE = 0.5;
+const PRESSED_SLACK_RATIO = 0.5;
 
 /**
  * Passes priorities and deadlines up the chains of jobs. Users set both on the last job of a
@@ -140,7 +140,7 @@
 function isPressed(node: Node, now: number): boolean {
   if (node.dueAt === null) return false;
   const slackMs = node.dueAt - now - node.step.remainingMs;
-  return slackMs < node.pathMs * PRESSED_SHARE;
+  return slackMs < node.pathMs * PRESSED_SLACK_RATIO;
 }
 
 function toUrgency(node: Node, now: number): StepUrgency {
@@ -149,7 +149,7 @@
     priority: node.priority,
     // Without a deadline the oldest goes first, and a job's age counts from when it could start.
     dueAt: node.dueAt ?? readyAt ?? submittedAt,
-    pressed: isPressed(node, now),
+    isPressed: isPressed(node, now),
     readyInMs: node.readyInMs,
   };
 }
--- a/src/scheduler/preemption.ts
+++ b/src/scheduler/preemption.ts
@@ -1,7 +1,7 @@
-import { fits, howMany, take, type Need } from '../fleet/types.js';
-import { outranks, rank } from './order.js';
-import type { JobView, MachineView, TeamView, VictimView } from './model.js';
-import { allows, shapeOf, type ZoneRules } from './placement.js';
+import { fits, copiesThatFit, subtract, type Resources } from '../fleet/resources.js';
+import { outranks, rank } from './job-order.js';
+import type { JobView, MachineView, TeamView, PreemptionCandidate } from './scheduling-model.js';
+import { isAllowedOn, schedulingShape, type ZoneRules } from './placement.js';
 
 /**
  * Stops work to make room: of lower priority, or, for a job within its team's guarantee, what
@@ -11,59 +11,61 @@
 export class Preemption {
   readonly stops: { job: string; task: number }[] = [];
   /** By machine, what may be stopped there task by task. */
-  private readonly byMachine = new Map<string, VictimView[]>();
-  private readonly chosen = new Set<VictimView>();
-  private readonly leavingOf = new Map<string, { cpus: number; gpus: number }>();
+  private readonly candidatesByMachine = new Map<string, PreemptionCandidate[]>();
+  private readonly chosen = new Set<PreemptionCandidate>();
+  private readonly exitingByTeam = new Map<string, { cpus: number; gpus: number }>();
   /** Room that what is being stopped on a machine will leave, beyond what is free there. */
-  private readonly leaving = new Map<string, Need>();
+  private readonly exitingByMachine = new Map<string, Resources>();
 
   /** Shapes for which no more was found, and after how many stops. */
-  private readonly inVain = new Map<string, number>();
+  private readonly exhaustedShapes = new Map<string, number>();
   /** The least important priority among what may be stopped. */
-  private lowest = -Infinity;
+  private lowestPriority = -Infinity;
 
   constructor(
-    victims: VictimView[],
+    victims: PreemptionCandidate[],
     private readonly up: MachineView[],
     private readonly teams: ReadonlyMap<string, TeamView>,
     private readonly guaranteed: ReadonlySet<string>,
   ) {
-    for (const m of up) this.leaving.set(m.id, { cpus: 0, gpus: 0, memoryGb: 0 });
-    for (const v of victims) {
-      if (v.stopping) {
-        const room = this.leaving.get(v.machine);
-        if (room) take(room, v.spec.need, -1);
-      } else if (!v.wholeGang) {
-        const list = this.byMachine.get(v.machine);
-        if (list) list.push(v);
-        else this.byMachine.set(v.machine, [v]);
-        this.lowest = Math.max(this.lowest, v.priority);
+    for (const machine of up)
+      this.exitingByMachine.set(machine.id, { cpus: 0, gpus: 0, memoryGb: 0 });
+    for (const candidate of victims) {
+      if (candidate.isStopping) {
+        const room = this.exitingByMachine.get(candidate.machine);
+        if (room) subtract(room, candidate.spec.need, -1);
+      } else if (!candidate.isGangMember) {
+        const list = this.candidatesByMachine.get(candidate.machine);
+        if (list) list.push(candidate);
+        else this.candidatesByMachine.set(candidate.machine, [candidate]);
+        this.lowestPriority = Math.max(this.lowestPriority, candidate.priority);
       }
     }
     // The least important first, and of these the cheapest loss.
-    for (const list of this.byMachine.values()) {
-      list.sort((a, b) => b.priority - a.priority || a.lossMs - b.lossMs);
+    for (const list of this.candidatesByMachine.values()) {
+      list.sort((a, b) => b.priority - a.priority || a.lostWorkMs - b.lostWorkMs);
     }
   }
 
   /** What is free there, or will be once all that is told to stop has left. */
-  coming(m: MachineView): Need {
-    const leaving = this.leaving.get(m.id)!;
+  capacityAfterExits(machine: MachineView): Resources {
+    const leaving = this.exitingByMachine.get(machine.id)!;
     return {
-      cpus: m.free.cpus + leaving.cpus,
-      gpus: m.free.gpus + leaving.gpus,
-      memoryGb: m.free.memoryGb + leaving.memoryGb,
+      cpus: machine.free.cpus + leaving.cpus,
+      gpus: machine.free.gpus + leaving.gpus,
+      memoryGb: machine.free.memoryGb + leaving.memoryGb,
     };
   }
 
   /** What there would be if all work of lower priority that comes after this job had left. */
-  potential(job: JobView, m: MachineView, guaranteed: boolean): Need {
-    const room = this.coming(m);
+  capacityAfterPreemption(job: JobView, machine: MachineView, guaranteed: boolean): Resources {
+    const room = this.capacityAfterExits(machine);
     const own = rank(job.priority, guaranteed);
-    for (const v of this.byMachine.get(m.id) ?? []) {
-      if (this.chosen.has(v)) continue;
-      if (!outranks(job.priority, v.priority)) continue;
-      if (rank(v.priority, this.guaranteed.has(v.job)) > own) take(room, v.spec.need, -1);
+    for (const candidate of this.candidatesByMachine.get(machine.id) ?? []) {
+      if (this.chosen.has(candidate)) continue;
+      if (!outranks(job.priority, candidate.priority)) continue;
+      if (rank(candidate.priority, this.guaranteed.has(candidate.job)) > own)
+        subtract(room, candidate.spec.need, -1);
     }
     return room;
   }
@@ -73,7 +75,7 @@
    * start: room made in a zone that already holds its share would be kept free in vain, round after
    * round, while the job waits for it.
    */
-  free(
+  makeRoom(
     job: JobView,
     count: number,
     guaranteed: boolean,
@@ -81,31 +83,33 @@
     rules: ZoneRules,
   ): number {
     // Room only shrinks within a round, but for what stops make: what was in vain once stays so.
-    const key = `${shapeOf(job.spec)}|${job.priority}|${guaranteed ? job.spec.team : ''}`;
+    const key = `${schedulingShape(job.spec)}|${job.priority}|${guaranteed ? job.spec.team : ''}`;
     const { spread, oneZone } = job.spec;
-    const whole = among === this.up && job.avoid.size === 0 && !spread && !oneZone;
-    if (whole && this.inVain.get(key) === this.stops.length) return 0;
+    const whole = among === this.up && job.avoidedMachines.size === 0 && !spread && !oneZone;
+    if (whole && this.exhaustedShapes.get(key) === this.stops.length) return 0;
     let found = 0;
     const suitable = among.filter(
-      (m) => allows(job.spec, m.type.name, m.zone, m.spot) && !job.avoid.has(m.id),
+      (machine) =>
+        isAllowedOn(job.spec, machine.type.name, machine.zone, machine.spot) &&
+        !job.avoidedMachines.has(machine.id),
     );
-    for (const m of suitable) {
+    for (const machine of suitable) {
       if (found === count) break;
-      const most = Math.min(count - found, rules.room(m.zone));
+      const most = Math.min(count - found, rules.remaining(machine.zone));
       if (most <= 0) continue;
-      const n = Math.min(most, howMany(job.spec.need, this.coming(m)));
-      if (n > 0) {
-        take(m.free, job.spec.need, n);
-        rules.add(m.zone, n);
-        found += n;
+      const total = Math.min(most, copiesThatFit(job.spec.need, this.capacityAfterExits(machine)));
+      if (total > 0) {
+        subtract(machine.free, job.spec.need, total);
+        rules.add(machine.zone, total);
+        found += total;
       }
     }
-    if (found < count) found += this.displace(job, count - found, guaranteed, suitable, rules);
-    if (whole && found < count) this.inVain.set(key, this.stops.length);
+    if (found < count) found += this.preempt(job, count - found, guaranteed, suitable, rules);
+    if (whole && found < count) this.exhaustedShapes.set(key, this.stops.length);
     return found;
   }
 
-  private displace(
+  private preempt(
     job: JobView,
     count: number,
     guaranteed: boolean,
@@ -113,52 +117,52 @@
     rules: ZoneRules,
   ): number {
     // Where nothing less important runs, only a guarantee could take room from others.
-    if (!guaranteed && !outranks(job.priority, this.lowest)) return 0;
-    let choices: Choice[] = [];
+    if (!guaranteed && !outranks(job.priority, this.lowestPriority)) return 0;
+    let choices: PreemptionChoice[] = [];
     for (const machine of suitable) {
-      if (!this.byMachine.has(machine.id)) continue;
-      if (rules.room(machine.zone) <= 0) continue;
-      const choice = this.cheapest(job, machine, guaranteed);
+      if (!this.candidatesByMachine.has(machine.id)) continue;
+      if (rules.remaining(machine.zone) <= 0) continue;
+      const choice = this.cheapestChoice(job, machine, guaranteed);
       if (choice) choices.push(choice);
     }
     let found = 0;
     while (found < count && choices.length > 0) {
       const best = choices.reduce((a, b) => (b.loss < a.loss ? b : a));
-      if (rules.room(best.machine.zone) <= 0) {
-        choices = choices.filter((c) => c.machine.zone !== best.machine.zone);
+      if (rules.remaining(best.machine.zone) <= 0) {
+        choices = choices.filter((choice) => choice.machine.zone !== best.machine.zone);
         continue;
       }
       // An earlier stop may have brought a team down to its guarantee: the choice is made anew.
-      const now = this.cheapest(job, best.machine, guaranteed);
+      const now = this.cheapestChoice(job, best.machine, guaranteed);
       if (now && now.loss <= best.loss) {
-        this.stopFor(job, now);
+        this.applyChoice(job, now);
         rules.add(best.machine.zone);
         found++;
       }
-      const next = this.cheapest(job, best.machine, guaranteed);
+      const next = this.cheapestChoice(job, best.machine, guaranteed);
       choices.splice(choices.indexOf(best), 1);
       if (next) choices.push(next);
     }
     return found;
   }
 
-  private stopFor(job: JobView, choice: Choice): void {
-    const leaving = this.leaving.get(choice.machine.id)!;
-    for (const v of choice.victims) {
-      this.chosen.add(v);
-      this.stops.push({ job: v.job, task: v.task });
-      take(leaving, v.spec.need, -1);
-      const leavingTeam = this.leavingTeam(v.spec.team);
-      leavingTeam.cpus += v.spec.need.cpus;
-      leavingTeam.gpus += v.spec.need.gpus;
+  private applyChoice(job: JobView, choice: PreemptionChoice): void {
+    const leaving = this.exitingByMachine.get(choice.machine.id)!;
+    for (const candidate of choice.candidates) {
+      this.chosen.add(candidate);
+      this.stops.push({ job: candidate.job, task: candidate.task });
+      subtract(leaving, candidate.spec.need, -1);
+      const leavingTeam = this.exitingOfTeam(candidate.spec.team);
+      leavingTeam.cpus += candidate.spec.need.cpus;
+      leavingTeam.gpus += candidate.spec.need.gpus;
     }
     // Claimed now, also where some is free already: smaller work must not slip into it.
-    take(choice.machine.free, job.spec.need, 1);
+    subtract(choice.machine.free, job.spec.need, 1);
   }
 
-  private overGuarantee(name: string): boolean {
+  private isOverGuarantee(name: string): boolean {
     const team = this.teams.get(name);
-    const leaving = this.leavingTeam(name);
+    const leaving = this.exitingOfTeam(name);
     return (
       team !== undefined &&
       (team.used.gpus - leaving.gpus > team.guarantee.gpus + 1e-6 ||
@@ -170,46 +174,52 @@
    * What is being stopped of a team. It is kept apart from what the team uses: until it is proven
    * gone it counts against the team's limit, and no other task may take its share.
    */
-  private leavingTeam(name: string): { cpus: number; gpus: number } {
-    let sum = this.leavingOf.get(name);
+  private exitingOfTeam(name: string): { cpus: number; gpus: number } {
+    let sum = this.exitingByTeam.get(name);
     if (!sum) {
       sum = { cpus: 0, gpus: 0 };
-      this.leavingOf.set(name, sum);
+      this.exitingByTeam.set(name, sum);
     }
     return sum;
   }
 
-  private cheapest(job: JobView, machine: MachineView, guaranteed: boolean): Choice | null {
-    const victims: VictimView[] = [];
-    const besideGpus = machine.type.room.gpus > 0 && job.spec.need.gpus === 0;
-    const room = this.coming(machine);
+  private cheapestChoice(
+    job: JobView,
+    machine: MachineView,
+    guaranteed: boolean,
+  ): PreemptionChoice | null {
+    const victims: PreemptionCandidate[] = [];
+    const besideGpus = machine.type.capacity.gpus > 0 && job.spec.need.gpus === 0;
+    const room = this.capacityAfterExits(machine);
     const { need } = job.spec;
     const own = rank(job.priority, guaranteed);
     let loss = 0;
-    for (const v of this.byMachine.get(machine.id) ?? []) {
+    for (const candidate of this.candidatesByMachine.get(machine.id) ?? []) {
       if (victims.length > 0 && fits(need, room)) break;
-      if (this.chosen.has(v)) continue;
+      if (this.chosen.has(candidate)) continue;
       // Two that both live on what work with GPUs leaves: the one would run again as long as the
       // other waits, and all of it makes room within seconds.
-      if (besideGpus && v.spec.need.gpus === 0) continue;
+      if (besideGpus && candidate.spec.need.gpus === 0) continue;
       // What goes before this job in the order would take the room back in the next round, and be
       // stopped again in the one after.
-      if (rank(v.priority, this.guaranteed.has(v.job)) <= own) continue;
+      if (rank(candidate.priority, this.guaranteed.has(candidate.job)) <= own) continue;
       const may =
-        outranks(job.priority, v.priority) ||
-        (guaranteed && v.spec.team !== job.spec.team && this.overGuarantee(v.spec.team));
+        outranks(job.priority, candidate.priority) ||
+        (guaranteed &&
+          candidate.spec.team !== job.spec.team &&
+          this.isOverGuarantee(candidate.spec.team));
       if (!may) continue;
-      victims.push(v);
-      loss += v.lossMs + 1;
-      take(room, v.spec.need, -1);
+      victims.push(candidate);
+      loss += candidate.lostWorkMs + 1;
+      subtract(room, candidate.spec.need, -1);
     }
-    return victims.length > 0 && fits(need, room) ? { machine, victims, loss } : null;
+    return victims.length > 0 && fits(need, room) ? { machine, candidates: victims, loss } : null;
   }
 }
 
 /** What is stopped on a machine to make room for one task. */
-interface Choice {
+interface PreemptionChoice {
   machine: MachineView;
-  victims: VictimView[];
+  candidates: PreemptionCandidate[];
   loss: number;
 }
--- a/src/scheduler/reservations.ts
+++ b/src/scheduler/reservations.ts
@@ -1,7 +1,7 @@
-import type { JobView, MachineView } from './model.js';
+import type { JobView, MachineView } from './scheduling-model.js';
 import type { ZoneRules } from './placement.js';
-import type { RentalPlan } from './rental-plan.js';
-import type { RoomFinder } from './room-finder.js';
+import type { ScaleOutPlan } from './scale-out-plan.js';
+import type { CapacityFinder } from './capacity-finder.js';
 
 /** Keeps room for tasks that cannot start in this round, and rents what is missing. */
 export class Reservations {
@@ -9,26 +9,26 @@
   readonly needed = new Set<string>();
 
   constructor(
-    private readonly finder: RoomFinder,
-    private readonly rentals: RentalPlan,
+    private readonly finder: CapacityFinder,
+    private readonly scaleOutPlan: ScaleOutPlan,
     private readonly booting: MachineView[],
   ) {}
 
   /** Machines that boot or will be rented. */
   get coming(): MachineView[] {
-    return [...this.booting, ...this.rentals.machines];
+    return [...this.booting, ...this.scaleOutPlan.machines];
   }
 
   /** Takes the room of up to `count` tasks on these machines; answers of how many. */
-  setAside(job: JobView, count: number, machines: MachineView[], rules: ZoneRules): number {
+  reserveOn(job: JobView, count: number, machines: MachineView[], rules: ZoneRules): number {
     const placed = this.finder.find(job, count, rules, machines);
     for (const { machine } of placed) this.needed.add(machine.id);
-    return placed.reduce((n, p) => n + p.count, 0);
+    return placed.reduce((sum, placed) => sum + placed.count, 0);
   }
 
   /** Room on machines that boot or will be rented, for tasks that found none. */
-  reserve(job: JobView, count: number, rules: ZoneRules): void {
+  reserveOrScaleOut(job: JobView, count: number, rules: ZoneRules): void {
     if (count <= 0) return;
-    this.rentals.rent(job, count - this.setAside(job, count, this.coming, rules), rules, null);
+    this.scaleOutPlan.add(job, count - this.reserveOn(job, count, this.coming, rules), rules, null);
   }
 }
--- a/src/scheduler/model.ts
+++ b/src/scheduler/scheduling-model.ts
@@ -1,4 +1,4 @@
-import type { MachineType, Need } from '../fleet/types.js';
+import type { MachineType, Resources } from '../fleet/resources.js';
 import type { JobSpec, Priority } from '../jobs/job.js';
 import type { ExpectedTasks } from './demand-forecast.js';
 
@@ -8,9 +8,9 @@
   type: MachineType;
   zone: string;
   spot: boolean;
-  free: Need;
+  free: Resources;
   /** False while it boots. */
-  up: boolean;
+  isUp: boolean;
   /** Images that are there or on their way, and how much is still to be fetched. */
   images: Set<string>;
   incomingGb: number;
@@ -19,7 +19,7 @@
   /** How many replicas of services it holds: they stay longest, and keep it from being given back. */
   replicas: number;
   /** Empty, it would be kept at least this long for what may come. */
-  keepMs: number;
+  idleTimeoutMs: number;
 }
 
 export interface JobView {
@@ -38,28 +38,28 @@
    * It takes what is left beside work with GPUs, and waits for room that its like leaves: nothing is
    * stopped for it yet, and no more is rented than its like will not leave.
    */
-  patient: boolean;
+  isBackfill: boolean;
   /**
    * Of work that may wait and has no claim to a guarantee: how many of its tasks have to run at once
    * for it to be in time. It takes what is left on machines that are up, nothing makes way for it,
    * and nothing is rented for more than these. Null for all other work.
    */
-  opportunistic: number | null;
+  opportunisticTasks: number | null;
   /** Tasks that are neither done nor possibly on a machine. */
-  waiting: number;
-  unfinished: number;
+  waitingTasks: number;
+  unfinishedTasks: number;
   /** Where its tasks are or may be, by zone. */
-  zones: ReadonlyMap<string, number>;
+  tasksByZone: ReadonlyMap<string, number>;
   /** Machines on which it failed. */
-  avoid: ReadonlySet<string>;
+  avoidedMachines: ReadonlySet<string>;
   gang: GangView | null;
   /** False while it waits after a failure or on the inadmissible list. */
-  admissible: boolean;
+  isAdmissible: boolean;
   /**
    * It has failed on every machine so far. It is tried after all else and where there is room anyway:
    * nothing makes way for it, is kept free or rented for it, and it is not admitted at the gate.
    */
-  onTrial: boolean;
+  isLastResortRetry: boolean;
 }
 
 export interface GangView {
@@ -75,7 +75,7 @@
 }
 
 /** Work that could be stopped. */
-export interface VictimView {
+export interface PreemptionCandidate {
   job: string;
   task: number;
   machine: string;
@@ -83,15 +83,15 @@
   /** That of its job, with what needs it. */
   priority: Priority;
   /** Work that would have to be done again, in machine milliseconds. */
-  lossMs: number;
+  lostWorkMs: number;
   /** How often it was stopped before without being saved. */
-  unsavedStops: number;
+  stopsWithoutCheckpoint: number;
   /** For how long it should still run, by its owner's estimate. */
   remainingMs: number;
   /** All tasks of a gang stop together. */
-  wholeGang: boolean;
+  isGangMember: boolean;
   /** It makes room by itself: it was told to stop, or will most likely fail. */
-  stopping: boolean;
+  isStopping: boolean;
 }
 
 /** A replica that runs, and whose image other machines may have. */
@@ -102,7 +102,7 @@
   spec: JobSpec;
 }
 
-export interface Offer {
+export interface InstanceOffer {
   type: MachineType;
   zone: string;
   spot: boolean;
@@ -114,48 +114,48 @@
   /** Open jobs that wait for no others. */
   jobs: JobView[];
   /** Work without GPUs that waits for other jobs, but not for longer than a machine boots. */
-  upcoming: JobView[];
+  upcomingJobs: JobView[];
   /** Work that nobody has submitted yet, but that is expected to need room before a machine could boot. */
-  expected: ExpectedTasks[];
+  expectedTasks: ExpectedTasks[];
   /** Processors that running work without GPUs holds; most of it ends before a machine could boot. */
   leavingCpus: number;
   teams: ReadonlyMap<string, TeamView>;
   types: MachineType[];
   /** What the cloud may rent out: offers refused lately are left out. */
-  offers: Offer[];
-  victims: VictimView[];
+  offers: InstanceOffer[];
+  preemptionCandidates: PreemptionCandidate[];
   /** Replicas that could move; none while some are on the move. */
-  movable: ReplicaView[];
+  movableReplicas: ReplicaView[];
   /** An admitted gang that is placed but not ready keeps the gate shut. */
-  gateShut: boolean;
+  isGateClosed: boolean;
 }
 
 export interface Start {
   job: string;
   /** How many of its waiting tasks go to which machine. */
-  on: { machine: string; count: number }[];
+  assignments: { machine: string; count: number }[];
 }
 
-export interface Rent {
+export interface ScaleOutRequest {
   type: string;
   zone: string;
   spot: boolean;
   count: number;
 }
 
-export interface Plan {
+export interface SchedulingPlan {
   starts: Start[];
   /** The gang that passes the gate to wait for room. */
-  admit: string | null;
+  admittedGang: string | null;
   stops: { job: string; task: number }[];
-  rents: Rent[];
+  scaleOut: ScaleOutRequest[];
   /** Machines that no task in sight needs, but opportunistic ones. */
-  spare: string[];
+  idleMachines: string[];
   /** Of these, what holds opportunistic work that finds room elsewhere; the emptiest first. */
-  clearable: string[];
+  drainableMachines: string[];
   /** Work that would start, or be given room, if its team's limit were higher. */
-  heldBack: HeldBack;
+  quotaLimited: QuotaLimitedTasks;
 }
 
 /** By team, how many waiting tasks its limit keeps from getting room; teams without any are left out. */
-export type HeldBack = ReadonlyMap<string, number>;
+export type QuotaLimitedTasks = ReadonlyMap<string, number>;
--- a/src/settings/deploy.ts
+++ b/src/settings/deploy.ts
@@ -1,7 +1,7 @@
 import { readFileSync } from 'node:fs';
 import { parse } from 'smol-toml';
 import { z } from 'zod/mini';
-import type { Limits } from '../state/limits.js';
+import type { Limits } from '../state/store-limits.js';
 import { SettingsError } from './error.js';
 
 const positive = z.number().check(z.positive());
@@ -91,13 +91,13 @@
   limit: { cpus: number; gpus: number };
 }
 
-export interface Objective {
+export interface ServiceLevelObjective {
   kind: string;
   jobClass: string | null;
   withinMs: number | null;
   share: number | null;
   /** Of aims on deadlines: by how many times the deadline. */
-  times: number;
+  deadlineMultiple: number;
 }
 
 export interface Settings {
@@ -112,9 +112,9 @@
   zones: string[];
   clockErrorMs: number;
   teams: Map<string, Team>;
-  objectives: Objective[];
+  objectives: ServiceLevelObjective[];
   workers: {
-    reportMs: number;
+    heartbeatIntervalMs: number;
     leaseMs: number;
     gangWaitMs: number;
     gangPeerMs: number;
@@ -126,7 +126,7 @@
   machine: { coreShare: number; memoryMb: number; sockets: number };
 }
 
-export function parseDeploy(text: string, file: string): Settings {
+export function parseSettings(text: string, file: string): Settings {
   let document: unknown;
   try {
     document = parse(text);
@@ -151,14 +151,14 @@
   throw new SettingsError(file, fields[unknown]!, `zone ${sites[unknown]} is not in facts.zones`);
 }
 
-export function loadDeploy(file: string): Settings {
+export function loadSettings(file: string): Settings {
   let text: string;
   try {
     text = readFileSync(file, 'utf8');
   } catch (error) {
     throw new SettingsError(file, null, firstLine(error));
   }
-  return parseDeploy(text, file);
+  return parseSettings(text, file);
 }
 
 function firstLine(error: unknown): string {
@@ -191,24 +191,24 @@
     zones: facts.zones,
     clockErrorMs: facts.clock_error_ms,
     teams: new Map(
-      facts.teams.map((t) => [
-        t.name,
+      facts.teams.map((team) => [
+        team.name,
         {
-          name: t.name,
-          guarantee: { cpus: t.cpus, gpus: t.gpus },
-          limit: { cpus: noLimit(t.cpus_max), gpus: noLimit(t.gpus_max) },
+          name: team.name,
+          guarantee: { cpus: team.cpus, gpus: team.gpus },
+          limit: { cpus: noLimit(team.cpus_max), gpus: noLimit(team.gpus_max) },
         },
       ]),
     ),
-    objectives: facts.objectives.map((o) => ({
-      kind: o.kind,
-      jobClass: o.class ?? null,
-      withinMs: o.within_s === undefined ? null : o.within_s * 1000,
-      share: o.share ?? null,
-      times: o.times ?? 1,
+    objectives: facts.objectives.map((objective) => ({
+      kind: objective.kind,
+      jobClass: objective.class ?? null,
+      withinMs: objective.within_s === undefined ? null : objective.within_s * 1000,
+      share: objective.share ?? null,
+      deadlineMultiple: objective.times ?? 1,
     })),
     workers: {
-      reportMs: facts.workers.report_s * 1000,
+      heartbeatIntervalMs: facts.workers.report_s * 1000,
       leaseMs: facts.workers.lease_s * 1000,
       gangWaitMs: facts.workers.gang_wait_s * 1000,
       gangPeerMs: facts.workers.gang_peer_s * 1000,
--- a/src/settings/extensions.ts
+++ b/src/settings/extensions.ts
@@ -1,13 +1,16 @@
 import { readFileSync } from 'node:fs';
-import type { AllowList } from '@leverhatch/operators/networks';
+import type { AllowList } from '@leverhatch/operators/allow-list';
 import type { Policy } from '@leverhatch/shares';
-import type { CreateExtension } from '../control/extension.js';
+import type { CreateExtension } from '../control/extensions/extension.js';
 import type { ReplicaProbe } from '@leverhatch/rollout';
-import { RolloutExtension, type RolloutPackage } from '../control/rollout-extension.js';
-import { SharesExtension, type SharesPackage } from '../control/shares-extension.js';
-import { httpTransports } from '../http/client.js';
+import { RolloutExtension, type RolloutPackage } from '../control/extensions/rollout-extension.js';
+import {
+  QuotaTransferExtension,
+  type QuotaTransferPackage,
+} from '../control/extensions/quota-transfer-extension.js';
+import { httpTransportFactory } from '../http/client.js';
 import { SettingsError } from './error.js';
-import type { Operator } from './operator.js';
+import type { OperatorSettings } from './operator.js';
 
 /** A policy has to propose the same so many times in a row, and rests for so long between two teams. */
 const POLICY_CONFIRMATIONS = 3;
@@ -40,7 +43,7 @@
  * @param file names the operators' file in errors
  */
 export async function loadExtensions(
-  operator: Operator,
+  operator: OperatorSettings,
   file: string,
 ): Promise<LoadedExtensions | null> {
   const create: CreateExtension[] = [];
@@ -48,7 +51,7 @@
   if (operator.shares.listen !== '' || operator.shares.enabled === 'yes') {
     const shares = await import('@leverhatch/shares');
     const policy = await loadPolicy(shares, operator, file);
-    create.push((host) => new SharesExtension({ package: shares, policy }, host));
+    create.push((host) => new QuotaTransferExtension({ package: shares, policy }, host));
   }
   if (operator.rollout.probe !== '') {
     const rollout = await import('@leverhatch/rollout');
@@ -63,8 +66,8 @@
 }
 
 /** Former settings files name the listener with the shares. */
-async function loadListener(operator: Operator, file: string): Promise<OperatorListener> {
-  const { AllowList, BadNetwork } = await import('@leverhatch/operators/networks');
+async function loadListener(operator: OperatorSettings, file: string): Promise<OperatorListener> {
+  const { AllowList, InvalidNetworkError } = await import('@leverhatch/operators/allow-list');
   const { operators, shares } = operator;
   const address = operators.listen || shares.listen;
   if (address === '') {
@@ -76,35 +79,39 @@
   try {
     return { address, allowed: new AllowList(text) };
   } catch (error) {
-    if (!(error instanceof BadNetwork)) throw error;
+    if (!(error instanceof InvalidNetworkError)) throw error;
     throw new SettingsError(file, `leverhatch.${field}`, error.message);
   }
 }
 
 /** As many as are probed while one is kept. */
-function probeSockets({ rollout }: Operator): number {
+function probeSockets({ rollout }: OperatorSettings): number {
   return Math.ceil(rollout.probesPerSecond * rollout.probeSeconds * KEEP_INTERVALS);
 }
 
-function createProbe(rollout: RolloutPackage, operator: Operator, file: string): ReplicaProbe {
+function createProbe(
+  rollout: RolloutPackage,
+  operator: OperatorSettings,
+  file: string,
+): ReplicaProbe {
   const { probe, probeSeconds } = operator.rollout;
   try {
     const template = new rollout.AddressTemplate(probe);
     const limits = {
       sockets: probeSockets(operator),
-      answerBytes: PROBE_ANSWER_BYTES,
+      maxResponseBytes: PROBE_ANSWER_BYTES,
       keepIdleMs: probeSeconds * 1000 * KEEP_INTERVALS,
     };
-    return new rollout.HttpReplicaProbe(template, httpTransports(limits));
+    return new rollout.HttpReplicaProbe(template, httpTransportFactory(limits));
   } catch (error) {
-    if (!(error instanceof rollout.BadTemplate)) throw error;
+    if (!(error instanceof rollout.InvalidTemplateError)) throw error;
     throw new SettingsError(file, 'leverhatch.rollout.probe', error.message);
   }
 }
 
 async function loadPolicy(
-  shares: SharesPackage,
-  operator: Operator,
+  shares: QuotaTransferPackage,
+  operator: OperatorSettings,
   file: string,
 ): Promise<Policy | null> {
   const { policy, policySeconds, policyMovesPerHour } = operator.shares;
--- a/src/settings/operator.ts
+++ b/src/settings/operator.ts
@@ -7,7 +7,7 @@
  * What operators may set beyond the platform's file. Each number is a ratio to a figure from the
  * deploy file or from the machine types, so that one set of defaults fits different fleets.
  */
-export interface Operator {
+export interface OperatorSettings {
   election: { lifetime: number };
   gate: { slackSeconds: number; returnSeconds: number };
   fleet: { idleBoots: number };
@@ -36,7 +36,7 @@
 
 const LOOPBACK = '127.0.0.0/8 ::1/128';
 
-export const OPERATOR_DEFAULTS: Operator = {
+export const OPERATOR_DEFAULTS: OperatorSettings = {
   election: { lifetime: 0.3 },
   gate: { slackSeconds: 30, returnSeconds: 30 },
   fleet: { idleBoots: 1 },
@@ -52,7 +52,7 @@
   rollout: { probe: '', probeSeconds: 2, probesPerSecond: 50 },
 };
 
-export function parseOperator(text: string, file: string): Operator {
+export function parseOperatorSettings(text: string, file: string): OperatorSettings {
   const valid = XMLValidator.validate(text);
   if (valid !== true) throw new SettingsError(file, null, valid.err.msg);
   const document: unknown = new XMLParser({ ignoreDeclaration: true }).parse(text);
@@ -76,7 +76,7 @@
 }
 
 /** Operators ask all parts at one address; the one in `shares` is where former files name it. */
-function checkListeners({ operators, shares }: Operator, file: string): void {
+function checkListeners({ operators, shares }: OperatorSettings, file: string): void {
   for (const [name, { listen }] of Object.entries({ operators, shares })) {
     if (listen === '' || splitAddress(listen) !== null) continue;
     throw new SettingsError(file, `leverhatch.${name}.listen`, 'must be HOST:PORT');
@@ -89,14 +89,14 @@
   throw new SettingsError(file, 'leverhatch.shares.listen', what);
 }
 
-export function loadOperator(file: string): Operator {
+export function loadOperatorSettings(file: string): OperatorSettings {
   let text: string;
   try {
     text = readFileSync(file, 'utf8');
   } catch (error) {
     throw new SettingsError(file, null, error instanceof Error ? error.message : String(error));
   }
-  return parseOperator(text, file);
+  return parseOperatorSettings(text, file);
 }
 
 function section(value: unknown, file: string, path: string): Record<string, unknown> {
--- a/src/state/keys.ts
+++ b/src/state/keys.ts
@@ -8,21 +8,22 @@
   types: 'types',
   jobs: 'jobs/',
   runs: 'runs/',
-  rentals: 'rent/',
-  needs: 'needs/',
+  provisioningRequests: 'rent/',
+  dependencies: 'needs/',
   members: 'members/',
   zoneDelegates: 'keeper/',
   job: (id: string): string => `jobs/${id}`,
   /** One piece of a long list of dependencies; `mark` names the list, see jobs/dependencies.ts. */
-  need: (id: string, mark: string, piece: number): string => `needs/${id}/${mark}/${piece}`,
-  needsOf: (id: string, mark: string): string => `needs/${id}/${mark}/`,
+  dependencyChunk: (id: string, mark: string, piece: number): string =>
+    `needs/${id}/${mark}/${piece}`,
+  dependencyChunks: (id: string, mark: string): string => `needs/${id}/${mark}/`,
   run: (id: string, index: number): string => `runs/${id}/${index}`,
   runRange: (id: string, from: number): string => `runs/${id}/p${from}`,
   member: (name: string): string => `members/${encodeURIComponent(name)}`,
   zoneDelegate: (zone: string): string => `keeper/${encodeURIComponent(zone)}`,
-  rental: (request: string): string => `rent/${request}`,
+  provisioningRequest: (request: string): string => `rent/${request}`,
   /** No order: see fleet/rental-records.ts. */
-  rentalGuard: 'rent/guard',
+  provisioningGuard: 'rent/guard',
 } as const;
 
 /** What the key of a run record says: its number, or the first task of its range. */
--- a/src/state/budget.ts
+++ b/src/state/rate-limiter.ts
@@ -1,11 +1,11 @@
 import type { Clock } from '@leverhatch/core/clock';
-import type { Urgency } from '@leverhatch/core/store';
+import { RequestPriority } from '@leverhatch/core/store';
 import { TokenBucket } from '@leverhatch/core/token-bucket';
 
-export type { Urgency } from '@leverhatch/core/store';
+export { RequestPriority } from '@leverhatch/core/store';
 
 /** Callers of this urgency are not counted as waiting. */
-const NO_HURRY: Urgency = 3;
+const BACKGROUND_PRIORITY: RequestPriority = RequestPriority.Background;
 
 interface Waiter {
   cost: number;
@@ -16,10 +16,10 @@
  * A token bucket with a queue for each urgency: the first queue is always served first. It holds
  * one node's callers below a rate that a partner enforces with refusals.
  */
-export class Budget {
+export class RateLimiter {
   private readonly bucket: TokenBucket;
   private readonly queues: Waiter[][] = [[], [], [], []];
-  private serving = false;
+  private isDraining = false;
 
   constructor(
     private readonly clock: Clock,
@@ -30,17 +30,17 @@
   }
 
   /** Resolves once `cost` may be spent; rejects if `signal` is aborted first. */
-  take(cost: number, urgency: Urgency, signal?: AbortSignal): Promise<void> {
+  acquire(cost: number, priority: RequestPriority, signal?: AbortSignal): Promise<void> {
     signal?.throwIfAborted();
     const tokens = this.bucket.fill();
     // A cost above the burst would never be covered; it is let through once the bucket is full.
     const price = Math.min(cost, this.bucket.burst);
-    if (this.queues.every((q) => q.length === 0) && tokens >= price) {
+    if (this.queues.every((queue) => queue.length === 0) && tokens >= price) {
       this.bucket.spend(price);
       return Promise.resolve();
     }
     return new Promise((resolve, reject) => {
-      const queue = this.queues[urgency]!;
+      const queue = this.queues[priority]!;
       const leave = (): void => {
         const at = queue.indexOf(waiter);
         if (at >= 0) queue.splice(at, 1);
@@ -55,7 +55,7 @@
       };
       signal?.addEventListener('abort', leave, { once: true });
       queue.push(waiter);
-      if (!this.serving) void this.serve();
+      if (!this.isDraining) void this.drainQueues();
     });
   }
 
@@ -65,29 +65,29 @@
   }
 
   /** How many callers wait that are in a hurry: callers widen their batches by it. */
-  get waiting(): number {
-    return this.queues.slice(0, NO_HURRY).reduce((sum, q) => sum + q.length, 0);
+  get queueLength(): number {
+    return this.queues.slice(0, BACKGROUND_PRIORITY).reduce((sum, queue) => sum + queue.length, 0);
   }
 
   /** How long a caller of this urgency would wait for `cost`, in milliseconds. */
-  delayMs(cost: number, urgency: Urgency): number {
+  delayMs(cost: number, priority: RequestPriority): number {
     const tokens = this.bucket.fill();
     let ahead = 0;
-    for (const queue of this.queues.slice(0, urgency + 1)) {
+    for (const queue of this.queues.slice(0, priority + 1)) {
       for (const waiter of queue) ahead += waiter.cost;
     }
     const missing = ahead + Math.min(cost, this.bucket.burst) - tokens;
     return Math.max(0, this.bucket.msFor(missing));
   }
 
-  private async serve(): Promise<void> {
+  private async drainQueues(): Promise<void> {
     // A flag rather than the promise: where the bucket fills between two readings of the clock, this
     // ends before its promise is known to anybody, and a promise kept then would look like a
     // queue that is being served for ever after.
-    this.serving = true;
+    this.isDraining = true;
     for (;;) {
       const tokens = this.bucket.fill();
-      const queue = this.queues.find((q) => q.length > 0);
+      const queue = this.queues.find((queue) => queue.length > 0);
       if (!queue) break;
       const next = queue[0]!;
       // The small allowance keeps rounding from turning into a wait of no length.
@@ -100,6 +100,6 @@
         await this.clock.sleep(this.bucket.msFor(cost - tokens) + 1);
       }
     }
-    this.serving = false;
+    this.isDraining = false;
   }
 }
--- a/src/state/store-contact.ts
+++ b/src/state/store-health.ts
@@ -1,19 +1,19 @@
-import { NoAnswer } from '../http/client.js';
+import { NoResponseError } from '../http/client.js';
 import type { Clock } from '@leverhatch/core/clock';
 
 /**
  * So many requests in a row without any answer, over this share of a request's time, are more than
  * answers that were lost one by one; users are sent away then.
  */
-const SILENT_REQUESTS = 3;
-const SILENT_SHARE = 0.5;
+const UNRESPONSIVE_REQUESTS = 3;
+const UNRESPONSIVE_RATIO = 0.5;
 
 /** Whether the store serves this controller, as told by the outcome of each request. */
-export class StoreContact {
+export class StoreHealth {
   private servedAt = -Infinity;
   private failedSince: number | null = null;
-  private noAnswerSince: number | null = null;
-  private withoutAnswer = 0;
+  private noResponseSince: number | null = null;
+  private requestsWithoutResponse = 0;
 
   /** `timeoutMs`: how long a request may take. */
   constructor(
@@ -22,40 +22,40 @@
   ) {}
 
   /** When the store last answered anything but a refusal. */
-  get answeredAt(): number {
+  get lastServedAt(): number {
     return this.servedAt;
   }
 
   /** Since when every request has failed; null while the store serves. */
-  get failingSince(): number | null {
+  get unavailableSince(): number | null {
     return this.failedSince;
   }
 
   /** Requests get no answer at all, not even a refusal. */
-  get silent(): boolean {
-    if (this.withoutAnswer < SILENT_REQUESTS) return false;
-    const silentMs = this.clock.now() - (this.noAnswerSince ?? Infinity);
-    return silentMs >= this.timeoutMs * SILENT_SHARE;
+  get isUnresponsive(): boolean {
+    if (this.requestsWithoutResponse < UNRESPONSIVE_REQUESTS) return false;
+    const silentMs = this.clock.now() - (this.noResponseSince ?? Infinity);
+    return silentMs >= this.timeoutMs * UNRESPONSIVE_RATIO;
   }
 
   /** An answer has come, be it a refusal. */
-  answered(): void {
-    this.noAnswerSince = null;
-    this.withoutAnswer = 0;
+  recordResponse(): void {
+    this.noResponseSince = null;
+    this.requestsWithoutResponse = 0;
   }
 
   /** The store executed a request, or refused it for its rate alone. */
-  served(): void {
+  recordSuccess(): void {
     this.servedAt = this.clock.now();
     this.failedSince = null;
   }
 
   /** A request was not executed, or got no answer. */
-  failed(error: unknown): void {
+  recordFailure(error: unknown): void {
     const now = this.clock.now();
     this.failedSince ??= now;
-    if (!(error instanceof NoAnswer)) return;
-    this.noAnswerSince ??= now;
-    this.withoutAnswer++;
+    if (!(error instanceof NoResponseError)) return;
+    this.noResponseSince ??= now;
+    this.requestsWithoutResponse++;
   }
 }
--- a/src/state/limits.ts
+++ b/src/state/store-limits.ts
@@ -20,7 +20,7 @@
  * every refusal: where the store takes less than anybody said, nothing else tells how much. What it
  * was halved to holds for all that is made after it.
  */
-export class AdaptiveSize {
+export class AdaptiveLimit {
   private learned = Infinity;
 
   /** @param announced the announced size, which may fall at any time */
@@ -31,7 +31,7 @@
   }
 
   /** Something of this size was refused for good; one that no longer counts changes nothing. */
-  refused(size: number): void {
+  reduceBelow(size: number): void {
     if (size <= this.current) this.learned = Math.max(1, Math.floor(size / 2));
   }
 }
@@ -40,7 +40,7 @@
  * How many times values and changes of submissions are made half as large as announced before a job
  * is called too large.
  */
-const MOST_HALVINGS = 3;
+const MAX_HALVINGS = 3;
 
 /**
  * The limits of the store as this controller knows them. The settings may announce smaller ones
@@ -52,15 +52,15 @@
   /** Emits when the limits in force have changed. */
   readonly changed = new Subject<void>();
   private readonly announced: Limits;
-  private lowered = false;
+  private areAnnouncedApplied = false;
   /** How many keys one comparison takes. */
-  readonly comparedKeys = new AdaptiveSize(
+  readonly comparedKeys = new AdaptiveLimit(
     () => this.effective().txnOps * CONDITIONS_PER_OPERATION,
   );
   /** How many changes a transaction of pieces takes; they are laid out for the limits to come. */
-  readonly pieceChanges = new AdaptiveSize(() => this.smallest().txnOps);
+  readonly chunkChanges = new AdaptiveLimit(() => this.smallest().txnOps);
   /** How many bytes of a value submissions are laid out for. */
-  readonly submittedBytes = new AdaptiveSize(() => this.smallest().valueBytes);
+  readonly submittedBytes = new AdaptiveLimit(() => this.smallest().valueBytes);
 
   constructor(
     private readonly current: Limits,
@@ -78,7 +78,7 @@
 
   /** The limits to keep within now. */
   effective(): Limits {
-    return this.lowered ? this.announced : this.current;
+    return this.areAnnouncedApplied ? this.announced : this.current;
   }
 
   /** The smaller of the current and the announced limits: for what must be rewritten later on. */
@@ -90,10 +90,10 @@
    * A submission laid out for these sizes was refused for good, whichever of them it was for; false if
    * nothing smaller is worth a try.
    */
-  submissionRefused(valueBytes: number, changes: number): boolean {
-    if (valueBytes * 2 ** MOST_HALVINGS <= this.smallest().valueBytes) return false;
-    this.submittedBytes.refused(valueBytes);
-    this.pieceChanges.refused(changes);
+  onSubmissionRejected(valueBytes: number, changes: number): boolean {
+    if (valueBytes * 2 ** MAX_HALVINGS <= this.smallest().valueBytes) return false;
+    this.submittedBytes.reduceBelow(valueBytes);
+    this.chunkChanges.reduceBelow(changes);
     return true;
   }
 
@@ -106,9 +106,9 @@
   }
 
   /** From now on the announced limits are in force; false if they were already. */
-  lower(): boolean {
-    if (this.lowered) return false;
-    this.lowered = true;
+  applyAnnounced(): boolean {
+    if (this.areAnnouncedApplied) return false;
+    this.areAnnouncedApplied = true;
     this.changed.next();
     return true;
   }
--- a/src/state/probe.ts
+++ b/src/state/store-probe.ts
@@ -1,12 +1,13 @@
+import { RequestPriority } from '@leverhatch/core/store';
 import type { Clock } from '@leverhatch/core/clock';
 import { KEYS } from './keys.js';
 import type { Store } from './store.js';
 
 /** How soon a probe that failed is repeated, as a share of the time for which the store may be silent. */
-const RETRY_SHARE = 0.25;
+const RETRY_RATIO = 0.25;
 
 /** How much later than it falls due a probe may come: most often another request is answered first. */
-const SLACK_SHARE = 0.2;
+const SLACK_RATIO = 0.2;
 
 /**
  * Asks the store something whenever nothing else had an answer from it for `everyMs`, so that this
@@ -15,16 +16,16 @@
  * controller has little processor time, and looking every now and then costs some of it for nothing.
  */
 export async function probeStore(
-  store: Pick<Store, 'answeredAt' | 'get'>,
+  store: Pick<Store, 'lastServedAt' | 'get'>,
   clock: Clock,
   everyMs: number,
   signal: AbortSignal,
 ): Promise<void> {
   while (!signal.aborted) {
-    const silentMs = clock.now() - store.answeredAt;
-    const dueMs = everyMs * (1 + SLACK_SHARE) - silentMs;
-    await clock.sleep(Math.max(everyMs * RETRY_SHARE, dueMs), signal);
-    if (signal.aborted || clock.now() - store.answeredAt < everyMs) continue;
-    await store.get(KEYS.leader, 1, signal).catch(() => undefined);
+    const silentMs = clock.now() - store.lastServedAt;
+    const dueMs = everyMs * (1 + SLACK_RATIO) - silentMs;
+    await clock.sleep(Math.max(everyMs * RETRY_RATIO, dueMs), signal);
+    if (signal.aborted || clock.now() - store.lastServedAt < everyMs) continue;
+    await store.get(KEYS.leader, RequestPriority.High, signal).catch(() => undefined);
   }
 }
--- a/src/state/store-rates.ts
+++ b/src/state/store-rate-limiter.ts
@@ -1,22 +1,22 @@
 import type { Clock } from '@leverhatch/core/clock';
-import { Budget, type Urgency } from './budget.js';
-import type { StoreLimits } from './limits.js';
+import { RateLimiter, RequestPriority } from './rate-limiter.js';
+import type { StoreLimits } from './store-limits.js';
 
 /** Requests for users' questions have a rate of their own and come after all others. */
-export type RequestClass = Urgency | 'question';
+export type RequestClass = RequestPriority | 'question';
 
 /** What users' questions come after: all that has a smaller urgency. */
-const LEAST_URGENT: Urgency = 2;
+const QUERY_PRIORITY: RequestPriority = RequestPriority.Normal;
 
 /**
  * What users' questions at all controllers together may take of the store's requests, so that a storm
  * of them leaves room for submissions, leadership and the leader's writes. One comparison answers as
  * many questions as a transaction has conditions.
  */
-const QUESTIONS_SHARE = 0.5;
+const QUERY_RATE_RATIO = 0.5;
 
 /** How many seconds' worth of these requests may come at once, as when a controller has just started. */
-const QUESTIONS_BURST_S = 0.5;
+const QUERY_BURST_SECONDS = 0.5;
 
 interface Rate {
   perSecond: number;
@@ -27,10 +27,10 @@
  * Holds one controller's requests to the store below the rates that the store enforces for all
  * controllers together. Callers wait here for their share, the most urgent first.
  */
-export class StoreRates {
-  private readonly requests: Budget;
-  private readonly questions: Budget;
-  private readonly writes: Budget;
+export class StoreRateLimiter {
+  private readonly requests: RateLimiter;
+  private readonly queries: RateLimiter;
+  private readonly writes: RateLimiter;
 
   /** `controllers`: how many share the rates. */
   constructor(
@@ -38,14 +38,14 @@
     private readonly limits: StoreLimits,
     private readonly controllers: number,
   ) {
-    const { requests, questions, writes } = this.rates();
-    this.requests = new Budget(clock, requests.perSecond, requests.burst);
-    this.questions = new Budget(clock, questions.perSecond, questions.burst);
-    this.writes = new Budget(clock, writes.perSecond, writes.burst);
+    const { requests, queries: queries, writes } = this.rates();
+    this.requests = new RateLimiter(clock, requests.perSecond, requests.burst);
+    this.queries = new RateLimiter(clock, queries.perSecond, queries.burst);
+    this.writes = new RateLimiter(clock, writes.perSecond, writes.burst);
     limits.changed.subscribe(() => {
       const lower = this.rates();
       this.requests.setRate(lower.requests.perSecond, lower.requests.burst);
-      this.questions.setRate(lower.questions.perSecond, lower.questions.burst);
+      this.queries.setRate(lower.queries.perSecond, lower.queries.burst);
       this.writes.setRate(lower.writes.perSecond, lower.writes.burst);
     });
   }
@@ -54,41 +54,44 @@
    * The limits hold for all nodes together. One node does nearly all of the writing, so each may
    * take half of the requests; what is refused all the same is tried again after a wait.
    */
-  private rates(): { requests: Rate; questions: Rate; writes: Rate } {
+  private rates(): { requests: Rate; queries: Rate; writes: Rate } {
     const { rps, writeRps } = this.limits.effective();
-    const questions = (rps * QUESTIONS_SHARE) / this.controllers;
+    const questions = (rps * QUERY_RATE_RATIO) / this.controllers;
     return {
       requests: { perSecond: rps / 2, burst: rps / 4 },
-      questions: { perSecond: questions, burst: Math.max(1, questions * QUESTIONS_BURST_S) },
+      queries: { perSecond: questions, burst: Math.max(1, questions * QUERY_BURST_SECONDS) },
       writes: { perSecond: writeRps * 0.85, burst: writeRps * 0.5 },
     };
   }
 
   /** Waits until one more request may be sent; rejects if `signal` is aborted first. */
-  async admit(from: RequestClass, signal?: AbortSignal): Promise<void> {
-    if (from !== 'question') return this.requests.take(1, from, signal);
-    await this.questions.take(1, 0, signal);
-    await this.requests.take(1, LEAST_URGENT, signal);
+  async admit(requestClass: RequestClass, signal?: AbortSignal): Promise<void> {
+    if (requestClass !== 'question') return this.requests.acquire(1, requestClass, signal);
+    await this.queries.acquire(1, RequestPriority.Critical, signal);
+    await this.requests.acquire(1, QUERY_PRIORITY, signal);
   }
 
   /** Waits until so many puts and deletes may be sent; rejects if `signal` is aborted first. */
-  admitWrites(changes: number, urgency: Urgency, signal?: AbortSignal): Promise<void> {
-    return this.writes.take(changes, urgency, signal);
+  admitWrites(changes: number, priority: RequestPriority, signal?: AbortSignal): Promise<void> {
+    return this.writes.acquire(changes, priority, signal);
   }
 
   /** How many callers wait for their share of the writes. */
-  get writesWaiting(): number {
-    return this.writes.waiting;
+  get queuedWrites(): number {
+    return this.writes.queueLength;
   }
 
   /** How long a transaction of so many puts and deletes would queue here, in milliseconds. */
-  writeDelayMs(changes: number, urgency: Urgency): number {
-    return Math.max(this.writes.delayMs(changes, urgency), this.requests.delayMs(1, urgency));
+  writeDelayMs(changes: number, priority: RequestPriority): number {
+    return Math.max(this.writes.delayMs(changes, priority), this.requests.delayMs(1, priority));
   }
 
   /** How long the last of so many requests for users' questions would queue here, in milliseconds. */
-  questionDelayMs(requests: number): number {
-    const queuedMs = Math.max(this.questions.delayMs(1, 0), this.requests.delayMs(1, LEAST_URGENT));
-    return queuedMs + ((requests - 1) / this.rates().questions.perSecond) * 1000;
+  queryDelayMs(requests: number): number {
+    const queuedMs = Math.max(
+      this.queries.delayMs(1, RequestPriority.Critical),
+      this.requests.delayMs(1, QUERY_PRIORITY),
+    );
+    return queuedMs + ((requests - 1) / this.rates().queries.perSecond) * 1000;
   }
 }
--- a/src/wire/cloud.ts
+++ b/src/wire/cloud.ts
@@ -1,5 +1,5 @@
 import { z } from 'zod/mini';
-import type { MachineType } from '../fleet/types.js';
+import type { MachineType } from '../fleet/resources.js';
 
 const amount = z.number().check(z.nonnegative());
 
@@ -20,20 +20,20 @@
   ),
 });
 
-export function parseTypes(body: unknown): MachineType[] {
-  return z.parse(flavors, body).hulls.map((h) => ({
-    name: h.sku,
-    room: { cpus: h.vcpus, gpus: h.gpus, memoryGb: h.memoryGb },
-    cacheGb: h.cacheGb,
-    fetchGbPerS: h.fetchGbPerS,
-    price: h.price,
-    spotPrice: h.marketPrice,
-    bootMs: h.readyS * 1000,
-    zones: h.yards,
+export function parseMachineTypes(body: unknown): MachineType[] {
+  return z.parse(flavors, body).hulls.map((hull) => ({
+    name: hull.sku,
+    capacity: { cpus: hull.vcpus, gpus: hull.gpus, memoryGb: hull.memoryGb },
+    cacheGb: hull.cacheGb,
+    fetchGbPerS: hull.fetchGbPerS,
+    price: hull.price,
+    spotPrice: hull.marketPrice,
+    bootMs: hull.readyS * 1000,
+    zones: hull.yards,
   }));
 }
 
-export interface Listed {
+export interface ListedMachine {
   id: string;
   type: string;
   zone: string;
@@ -56,24 +56,27 @@
   more: z._default(z.boolean(), false),
 });
 
-const LISTED_STATES: Record<string, Listed['state']> = { starting: 'booting', failed: 'failed' };
+const LISTED_STATES: Record<string, ListedMachine['state']> = {
+  starting: 'booting',
+  failed: 'failed',
+};
 
-export function parseList(body: unknown): { machines: Listed[]; more: boolean } {
+export function parseMachineList(body: unknown): { machines: ListedMachine[]; more: boolean } {
   const page = z.parse(list, body);
   return {
-    machines: page.rigs.map((m) => ({
-      id: m.ref,
-      type: m.hull,
-      zone: m.yard,
-      spot: m.driftwood,
-      state: LISTED_STATES[m.phase] ?? 'running',
-      ageMs: m.ageS * 1000,
+    machines: page.rigs.map((rig) => ({
+      id: rig.ref,
+      type: rig.hull,
+      zone: rig.yard,
+      spot: rig.driftwood,
+      state: LISTED_STATES[rig.phase] ?? 'running',
+      ageMs: rig.ageS * 1000,
     })),
     more: page.more,
   };
 }
 
-export interface RentRequest {
+export interface ProvisioningRequest {
   request: string;
   type: string;
   zone: string;
@@ -81,20 +84,24 @@
   count: number;
 }
 
-export const MAX_RENT = 50;
-export const MAX_RETURN = 100;
+export const MAX_MACHINES_PER_REQUEST = 50;
+export const MAX_MACHINES_PER_RELEASE = 100;
 export const LIST_PAGE = 500;
 
-export function rentBody(r: RentRequest): object {
+export function provisioningBody(r: ProvisioningRequest): object {
   return { charter: r.request, hull: r.type, yard: r.zone, driftwood: r.spot, number: r.count };
 }
 
-const rented = z.object({ rigs: z.array(z.string()) });
+const provisioned = z.object({ rigs: z.array(z.string()) });
 
-export const parseRented = (body: unknown): string[] => z.parse(rented, body).rigs;
-export const returnBody = (machines: string[]): object => ({ rigs: machines });
+export const parseProvisioned = (body: unknown): string[] => z.parse(provisioned, body).rigs;
+export const releaseBody = (machines: string[]): object => ({ rigs: machines });
 export const listPath = (after: string | null): string =>
   after === null
     ? `/hosts?page=${LIST_PAGE}`
     : `/hosts?since=${encodeURIComponent(after)}&page=${LIST_PAGE}`;
-export const PATHS = { types: '/flavors', rent: '/hosts', giveBack: '/hosts/return' } as const;
+export const CLOUD_PATHS = {
+  types: '/flavors',
+  provision: '/hosts',
+  release: '/hosts/return',
+} as const;
--- a/src/wire/store.ts
+++ b/src/wire/store.ts
@@ -47,7 +47,7 @@
 export const parseConflict = (body: unknown): string[] => z.parse(conflict, body).failed;
 export const parseGranted = (body: unknown): number => z.parse(granted, body).hold;
 
-export function parseFollow(body: unknown): { revision: number; events: StoreEvent[] } {
+export function parseWatch(body: unknown): { revision: number; events: StoreEvent[] } {
   const page = z.parse(follow, body);
   return {
     revision: page.ledgerRev,
@@ -59,13 +59,17 @@
   };
 }
 
-export function txnBody(when: Condition[], then: Change[]): object {
+export function transactionBody(conditions: Condition[], changes: Change[]): object {
   return {
-    when: when.map((c) => ({ k: c.key, stamp: c.version })),
-    then: then.map((c) =>
-      'put' in c
-        ? { write: c.put, value: c.value, ...(c.lease === undefined ? {} : { hold: c.lease }) }
-        : { delete: c.delete },
+    when: conditions.map((condition) => ({ k: condition.key, stamp: condition.version })),
+    then: changes.map((change) =>
+      'put' in change
+        ? {
+            write: change.put,
+            value: change.value,
+            ...(change.lease === undefined ? {} : { hold: change.lease }),
+          }
+        : { delete: change.delete },
     ),
   };
 }
@@ -76,7 +80,7 @@
     `/store?starts=${encodeURIComponent(prefix)}` +
     (after === null ? '' : `&since=${encodeURIComponent(after)}`) +
     `&page=${limit}`,
-  txn: '/txn',
+  transaction: '/txn',
   leases: '/grants',
   renew: (lease: number): string => `/grants/${lease}/extend`,
   lease: (lease: number): string => `/grants/${lease}`,
@@ -85,4 +89,4 @@
     `/follow?starts=${encodeURIComponent(prefix)}&since=${after}&holdMs=${Math.round(waitMs)}`,
 };
 export const RANGE_PAGE = 1000;
-export const grantBody = (ttlMs: number): object => ({ lifeMs: ttlMs });
+export const leaseBody = (ttlMs: number): object => ({ lifeMs: ttlMs });
--- a/src/wire/submission.ts
+++ b/src/wire/submission.ts
@@ -46,9 +46,9 @@
   dependencies: readonly string[];
 }
 
-export type Parsed<T> = { ok: true; value: T } | { ok: false; reason: string };
+export type ParseResult<T> = { ok: true; value: T } | { ok: false; reason: string };
 
-export function parseSubmission(body: unknown): Parsed<Submission> {
+export function parseSubmission(body: unknown): ParseResult<Submission> {
   const result = schema.safeParse(body);
   if (!result.success) {
     const issue = result.error.issues[0];
@@ -93,12 +93,12 @@
 
 export const isJobId = (id: string): boolean => /^req-\d{1,20}$/.test(id);
 
-export type PhaseName = 'pending' | 'running' | 'done' | 'withdrawn';
+export type PublicPhase = 'pending' | 'running' | 'done' | 'withdrawn';
 
-export function jobAnswer(id: string, phase: PhaseName): object {
+export function jobAnswer(id: string, phase: PublicPhase): object {
   return { ref: id, phase };
 }
 
-export function jobStatus(id: string, phase: PhaseName, done: number, running: number): object {
+export function jobStatus(id: string, phase: PublicPhase, done: number, running: number): object {
   return { ref: id, phase, done, running };
 }
--- a/src/wire/report.ts
+++ b/src/wire/worker-heartbeat.ts
@@ -4,46 +4,53 @@
  */
 
 export type TaskState = 'fetching' | 'waiting' | 'running' | 'saving' | 'exited';
-export type ExitWhy =
-  'done' | 'stopped' | 'peers' | 'alone' | 'error' | 'no_room' | 'busy' | 'unknown';
+export type ExitReason =
+  | 'done'
+  | 'stopped'
+  | 'gang_member_lost'
+  | 'gang_incomplete'
+  | 'error'
+  | 'insufficient_capacity'
+  | 'already_running'
+  | 'unknown';
 
-export interface TaskReport {
+export interface TaskStatus {
   job: string;
   task: number;
   attempt: number;
   state: TaskState;
-  why: ExitWhy | null;
-  saved: boolean;
+  exitReason: ExitReason | null;
+  checkpointed: boolean;
 }
 
-export interface Report {
+export interface WorkerHeartbeat {
   machine: string;
   address: string;
   type: string;
   zone: string;
   spot: boolean;
-  session: number;
-  seq: number;
-  token: number;
-  noticeMs: number | null;
-  tasks: TaskReport[];
+  agentEpoch: number;
+  sequence: number;
+  fencingToken: number;
+  preemptionNoticeMs: number | null;
+  tasks: TaskStatus[];
 }
 
-const STATES: Record<string, TaskState> = {
+const TASK_STATES: Record<string, TaskState> = {
   fetching: 'fetching',
   gathering: 'waiting',
   running: 'running',
   flushing: 'saving',
   ended: 'exited',
 };
-const WHYS: Record<string, ExitWhy> = {
+const EXIT_REASONS: Record<string, ExitReason> = {
   done: 'done',
   stopped: 'stopped',
-  peers: 'peers',
-  incomplete: 'alone',
+  peers: 'gang_member_lost',
+  incomplete: 'gang_incomplete',
   error: 'error',
-  no_room: 'no_room',
-  in_use: 'busy',
+  no_room: 'insufficient_capacity',
+  in_use: 'already_running',
   unknown: 'unknown',
 };
 
@@ -54,14 +61,14 @@
   typeof v === 'string' && v.length > 0 && v.length <= 200;
 
 /** Null where any field is missing or invalid: such a report changes nothing. */
-export function parseReport(body: unknown): Report | null {
+export function parseHeartbeat(body: unknown): WorkerHeartbeat | null {
   if (!isObject(body)) return null;
   const { rig, address, hull, yard, driftwood, shift, tick, baton, warningS, pieces } = body;
   if (!isName(rig) || !isName(address) || !isName(hull) || !isName(yard)) return null;
   if (typeof driftwood !== 'boolean' || !Array.isArray(pieces)) return null;
   if (!isCount(shift) || !isCount(tick) || !isCount(baton)) return null;
   if (warningS != null && !(typeof warningS === 'number' && warningS >= 0)) return null;
-  const tasks: TaskReport[] = [];
+  const tasks: TaskStatus[] = [];
   for (const piece of pieces as unknown[]) {
     const task = parseTask(piece);
     if (!task) return null;
@@ -73,62 +80,66 @@
     type: hull,
     zone: yard,
     spot: driftwood,
-    session: shift,
-    seq: tick,
-    token: baton,
-    noticeMs: warningS == null ? null : warningS * 1000,
+    agentEpoch: shift,
+    sequence: tick,
+    fencingToken: baton,
+    preemptionNoticeMs: warningS == null ? null : warningS * 1000,
     tasks,
   };
 }
 
-function parseTask(piece: unknown): TaskReport | null {
+function parseTask(piece: unknown): TaskStatus | null {
   if (!isObject(piece) || typeof piece.piece !== 'string' || !isCount(piece.try)) return null;
   const slash = piece.piece.lastIndexOf('/');
   const task = Number(piece.piece.slice(slash + 1));
-  const state = typeof piece.phase === 'string' ? STATES[piece.phase] : undefined;
+  const state = typeof piece.phase === 'string' ? TASK_STATES[piece.phase] : undefined;
   if (slash <= 0 || !isCount(task) || !state) return null;
-  let why: ExitWhy | null = null;
+  let why: ExitReason | null = null;
   if (state === 'exited') {
     // An unknown cause is treated as a failure: the task is off the machine either way.
-    why = (typeof piece.cause === 'string' ? WHYS[piece.cause] : undefined) ?? 'error';
+    why = (typeof piece.cause === 'string' ? EXIT_REASONS[piece.cause] : undefined) ?? 'error';
   }
   return {
     job: piece.piece.slice(0, slash),
     task,
     attempt: piece.try,
     state,
-    why,
-    saved: piece.stored === true,
+    exitReason: why,
+    checkpointed: piece.stored === true,
   };
 }
 
-export type Order =
-  | { op: 'start'; job: string; task: number; attempt: number }
-  | { op: 'stop'; job: string; task: number; attempt: number; graceMs: number }
-  | { op: 'forget'; job: string; task: number; attempt: number };
+export type WorkerCommand =
+  | { kind: 'start'; job: string; task: number; attempt: number }
+  | { kind: 'stop'; job: string; task: number; attempt: number; graceMs: number }
+  | { kind: 'forget'; job: string; task: number; attempt: number };
 
-export function reportAnswer(token: number, orders: Order[]): object {
-  return { baton: token, orders: orders.map(orderOut) };
+export function heartbeatResponse(fencingToken: number, commands: WorkerCommand[]): object {
+  return { baton: fencingToken, orders: commands.map(encodeCommand) };
 }
 
-export const DIRECT_PATH = '/do';
+export const DIRECT_COMMAND_PATH = '/do';
 
-export function directBody(token: number, session: number, orders: Order[]): object {
-  return { baton: token, shift: session, orders: orders.map(orderOut) };
+export function directCommandBody(
+  fencingToken: number,
+  agentEpoch: number,
+  commands: WorkerCommand[],
+): object {
+  return { baton: fencingToken, shift: agentEpoch, orders: commands.map(encodeCommand) };
 }
 
-export function redirectAnswer(member: string | null): object {
+export function redirectResponse(member: string | null): object {
   return member === null ? {} : { foreman: member };
 }
 
-function orderOut(order: Order): object {
-  const piece = `${order.job}/${order.task}`;
-  switch (order.op) {
+function encodeCommand(command: WorkerCommand): object {
+  const piece = `${command.job}/${command.task}`;
+  switch (command.kind) {
     case 'start':
-      return { verb: 'launch', piece, try: order.attempt };
+      return { verb: 'launch', piece, try: command.attempt };
     case 'stop':
-      return { verb: 'halt', piece, try: order.attempt, windDownS: order.graceMs / 1000 };
+      return { verb: 'halt', piece, try: command.attempt, windDownS: command.graceMs / 1000 };
     case 'forget':
-      return { verb: 'forget', piece, try: order.attempt };
+      return { verb: 'forget', piece, try: command.attempt };
   }
 }
