--- a/test/asymmetric-partition.test.ts
+++ b/test/asymmetric-partition.test.ts
@@ -2,7 +2,7 @@
 import { machines, runScenarios, type FaultScenario } from './fakes/fault-scenario.js';
 import type { SimulatedCluster } from './fakes/simulated-cluster.js';
 
-/** Replicas and tasks that outlast the story, running. */
+/** Replicas and tasks that outlast the scenario, running. */
 async function work(cluster: SimulatedCluster): Promise<string> {
   cluster.balanced = true;
   const wish = { pieces: 3, runMs: 0, urgency: 'production', crew: 'speech' };
--- a/test/cancellation-during-outage.test.ts
+++ b/test/cancellation-during-outage.test.ts
@@ -216,7 +216,7 @@
 test('a leader that cannot read the records renews no lease', async () => {
   const gap = await refusedLeader();
   const { w: cluster, leader, confirming, other, cancelled } = gap;
-  // Its successor takes office, and can do nothing but hold it.
+  // Its successor becomes leader, and can do nothing but hold it.
   cluster.nodes[other]!.fate = (_method, path) => (path.startsWith('/store?') ? 'refuse' : 'serve');
   cluster.crash(leader);
   cluster.nodes[confirming]!.fate = (_method, path) => (path === '/grants' ? 'refuse' : 'serve');
--- a/test/expired-leader-lease.test.ts
+++ b/test/expired-leader-lease.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { encode } from '../src/peer/frames.js';
-import { SimulatedCluster, type Node } from './fakes/simulated-cluster.js';
+import { SimulatedCluster, type SimulatedController } from './fakes/simulated-cluster.js';
 
 const FOUR = [{ yard: 'a' }, { yard: 'a' }, { yard: 'b' }, { yard: 'b' }];
 const OUTAGE_S = 40;
@@ -17,7 +17,7 @@
   starts: number;
 }
 
-async function runningFleet(fate: Node['fate'] = () => 'serve'): Promise<Fleet> {
+async function runningFleet(fate: SimulatedController['fate'] = () => 'serve'): Promise<Fleet> {
   const simulatedCluster = new SimulatedCluster(FOUR, 3);
   for (const node of simulatedCluster.nodes) node.fate = fate;
   await simulatedCluster.start();
--- a/test/fakes/clock.ts
+++ b/test/fakes/clock.ts
@@ -10,7 +10,7 @@
 const isBefore = (a: Timer, b: Timer): boolean =>
   a.at < b.at || (a.at === b.at && a.order < b.order);
 
-/** Timers by when they fire, as a binary heap: a story of thousands of machines has as many. */
+/** Timers by when they fire, as a binary heap: a scenario of thousands of machines has as many. */
 class TimerQueue {
   private readonly heap: Timer[] = [];
 
@@ -49,7 +49,7 @@
   }
 }
 
-/** Time that only moves when a story says so. */
+/** Time that only moves when a scenario says so. */
 export class FakeClock implements Clock {
   private time = 0;
   private order = 0;
--- a/test/fakes/cloud.ts
+++ b/test/fakes/cloud.ts
@@ -36,7 +36,7 @@
   yards: ['a', 'b'],
 };
 
-/** A type with half the room of the usual one, for stories of jobs that allow one type only. */
+/** A type with half the room of the usual one, for scenarios of jobs that allow one type only. */
 export const G4: Hull = { ...G8, sku: 'g4', vcpus: 24, gpus: 4, memoryGb: 144, price: 11 };
 
 /** A cloud that rents machines, usually of one type, in two zones. */
--- a/test/fakes/controllers.ts
+++ b/test/fakes/controllers.ts
@@ -21,7 +21,7 @@
   message: string;
 }
 
-export interface Node {
+export interface SimulatedController {
   name: string;
   zone: string;
   /** The version that its next process runs. */
@@ -43,9 +43,9 @@
   lateMs(): number;
 }
 
-/** The controllers of a story: processes that start, stand still and end, and their connections. */
-export class Controllers {
-  readonly nodes: Node[] = [];
+/** The controllers of a scenario: processes that start, stand still and end, and their connections. */
+export class SimulatedControllers {
+  readonly nodes: SimulatedController[] = [];
   /** The zones cannot reach each other; both reach the store. */
   apart = false;
   private lives = 0;
@@ -162,23 +162,29 @@
   }
 
   /** What becomes of a request of one process to the store. */
-  private fate(node: Node, life: AbortSignal, method: string, path: string, body: unknown): Fate {
+  private fate(
+    node: SimulatedController,
+    life: AbortSignal,
+    method: string,
+    path: string,
+    body: unknown,
+  ): Fate {
     if (life.aborted) return 'refuse';
     const own = node.fate(method, path, body);
     const at = this.nodes.indexOf(node);
     return own === 'serve' ? this.world.faults.storeFate(at, method, path, body) : own;
   }
 
-  private directReaches(node: Node, worker: FakeWorker): boolean {
+  private directReaches(node: SimulatedController, worker: FakeWorker): boolean {
     return this.world.directOpen && this.reaches(node, worker);
   }
 
   /** Whether the network lets a controller reach a machine. */
-  reaches(node: Node, worker: FakeWorker): boolean {
+  reaches(node: SimulatedController, worker: FakeWorker): boolean {
     return !(this.apart && worker.yard !== this.zoneOf(node));
   }
 
-  zoneOf(node: Node): string {
+  zoneOf(node: SimulatedController): string {
     return node.zone;
   }
 
@@ -191,7 +197,7 @@
     this.nodes[i]!.frozenUntil = this.world.clock.now() + ms;
   }
 
-  private async thaw(node: Node): Promise<void> {
+  private async thaw(node: SimulatedController): Promise<void> {
     while (this.world.clock.now() < node.frozenUntil) {
       // A moment more, or rounding could leave a wait of no length.
       await this.world.clock.sleep(node.frozenUntil - this.world.clock.now() + 1);
@@ -199,13 +205,13 @@
   }
 
   /** It comes to what is due: at once, or later if it is slow or stands still. */
-  private async behind(node: Node): Promise<void> {
+  private async behind(node: SimulatedController): Promise<void> {
     const lateMs = node.lateMs();
     if (lateMs > 0) await this.world.clock.sleep(lateMs);
     await this.thaw(node);
   }
 
-  private clockOf(node: Node): Clock {
+  private clockOf(node: SimulatedController): Clock {
     return {
       now: () => this.world.clock.now(),
       wall: () => this.world.clock.wall(),
@@ -217,7 +223,11 @@
   }
 
   /** Requests leave at once; their answers are seen when the controller moves again. */
-  private through(border: 'store' | 'cloud', node: Node, link: Transport): Transport {
+  private through(
+    border: 'store' | 'cloud',
+    node: SimulatedController,
+    link: Transport,
+  ): Transport {
     return {
       request: async (...args) => {
         await this.thaw(node);
@@ -258,7 +268,7 @@
     return this.nodes.findIndex((node) => node.name === holder?.member);
   }
 
-  /** A report's way to a controller; also for copies that come late. */
+  /** A heartbeat's way to a controller; also for copies that come late. */
   async deliver(node: number, report: object): Promise<Answered> {
     const { controller, program } = this.nodes[node]!;
     await this.behind(this.nodes[node]!);
--- a/test/fakes/deployment-shape.ts
+++ b/test/fakes/deployment-shape.ts
@@ -1,7 +1,7 @@
 import type { Settings } from '../../src/settings/deploy.js';
 import { settings } from './sample-settings.js';
 
-/** How a story's deployment differs from the sample: its controllers, its zones and its timing. */
+/** How a scenario's deployment differs from the sample: its controllers, its zones and its timing. */
 export interface DeploymentShape {
   /** The zone of each controller. */
   controllers: readonly string[];
--- a/test/fakes/fault-scenario.ts
+++ b/test/fakes/fault-scenario.ts
@@ -2,7 +2,7 @@
 import type { Settings } from '../../src/settings/deploy.js';
 import { SimulatedCluster, type MachineWish } from './simulated-cluster.js';
 
-/** Two troubles or more that meet, as a short story. */
+/** Two faults or more that meet, as a short scenario. */
 export interface FaultScenario {
   name: string;
   /** Four machines in two zones unless it says otherwise. */
@@ -22,7 +22,7 @@
 
 /**
  * Plays each meeting under the checker of all rules, with users that ask for their jobs all the
- * while. When its troubles are over, whatever was accepted and not cancelled has to run.
+ * while. When its faults are over, whatever was accepted and not cancelled has to run.
  */
 export function runScenarios(meetings: FaultScenario[]): void {
   for (const meeting of meetings) {
--- a/test/fakes/fault-search.ts
+++ b/test/fakes/fault-search.ts
@@ -10,16 +10,16 @@
 import type { FakeWorker } from './worker.js';
 import { SimulatedCluster, type JobTemplate } from './simulated-cluster.js';
 
-/** Starts a trouble on victims of its choice, for so many seconds; what it returns ends it. */
-type Begin = (cluster: SimulatedCluster, random: SeededRandom, seconds: number) => () => void;
+/** Starts a fault on victims of its choice, for so many seconds; what it returns ends it. */
+type InjectFault = (cluster: SimulatedCluster, random: SeededRandom, seconds: number) => () => void;
 
-/** How long a report without an answer is waited for, with some more. */
+/** How long a heartbeat without an answer is waited for, with some more. */
 const NO_ANSWER_MS = 6000;
-const LEASE_S = 10;
-/** The pause between the beginnings of a trouble that returns. */
-const RETURNS_S = 20;
-/** All troubles are over this long after work began, if none returns. */
-const TROUBLED_S = 30;
+const LEASE_SECONDS = 10;
+/** The pause between the beginnings of a fault that returns. */
+const RECURRENCE_SECONDS = 20;
+/** All faults are over this long after work began, if none returns. */
+const FAULTS_END_SECONDS = 30;
 
 const changes = ({ path, body }: StoreRequest): boolean =>
   path === '/txn' && (body as { then: unknown[] }).then.length > 0;
@@ -43,7 +43,7 @@
 }
 
 /** A fault on one controller's way to the store. */
-function storeFault(fate: (request: StoreRequest) => Fate): Begin {
+function storeFault(fate: (request: StoreRequest) => Fate): InjectFault {
   return (cluster, random) => {
     const victim = aController(cluster, random);
     const fault = (request: StoreRequest): Fate =>
@@ -53,21 +53,21 @@
   };
 }
 
-function storeFaultForAll(fate: (request: StoreRequest) => Fate): Begin {
+function storeFaultForAll(fate: (request: StoreRequest) => Fate): InjectFault {
   return (cluster) => {
     cluster.faults.storeFaults.add(fate);
     return () => void cluster.faults.storeFaults.delete(fate);
   };
 }
 
-function share(name: keyof SimulatedCluster['faults']['share'], of: number): Begin {
+function share(name: keyof SimulatedCluster['faults']['share'], of: number): InjectFault {
   return (cluster) => {
     cluster.faults.share[name] = of;
     return () => void (cluster.faults.share[name] = 0);
   };
 }
 
-function toWorkers(what: 'deaf' | 'mute' | 'hung'): Begin {
+function toWorkers(what: 'deaf' | 'mute' | 'hung'): InjectFault {
   return (cluster, random) => {
     const victims = someWorkers(cluster, random);
     for (const worker of victims) worker[what] = true;
@@ -78,7 +78,7 @@
 }
 
 /** Messages between controllers get lost in one direction only. */
-function oneWay(isLost: (from: string, to: string, victim: string) => boolean): Begin {
+function oneWay(isLost: (from: string, to: string, victim: string) => boolean): InjectFault {
   return (cluster, random) => {
     const victim = cluster.nodes[aController(cluster, random)]!.name;
     const before = cluster.wire.loses;
@@ -97,7 +97,7 @@
   };
 }
 
-const FAULTS: Record<string, Begin> = {
+const FAULTS: Record<string, InjectFault> = {
   'a controller ends': (cluster, random) => crash(cluster, [aController(cluster, random)]),
   'all controllers end': (cluster) => crash(cluster, [...cluster.nodes.keys()]),
   'the store is down': (cluster) => {
@@ -188,7 +188,7 @@
   },
 };
 
-interface Planned {
+interface PlannedFault {
   name: string;
   /** Seconds after work has begun. */
   from: number;
@@ -196,35 +196,42 @@
   times: number;
 }
 
-/** Two or three troubles, at moments of the first quarter of a minute; some return. */
-export function plan(random: SeededRandom): Planned[] {
+/** Two or three faults, at moments of the first quarter of a minute; some return. */
+export function planFaults(random: SeededRandom): PlannedFault[] {
   const names = Object.keys(FAULTS);
   const count = random.next() < 0.5 ? 2 : 3;
   return Array.from({ length: count }, () => {
     const times = random.next() < 0.15 ? 3 : 1;
     const from = random.between(0, 10);
     // Shorter and longer than a lease of a leader, of a worker, and than `cancel_s`.
-    const lasts = random.pick([0.5, 2, 5, 9, 13, TROUBLED_S - 10]) * random.between(0.8, 1.2);
-    return { name: random.pick(names), from, lasts: Math.min(lasts, RETURNS_S - 1), times };
+    const lasts =
+      random.pick([0.5, 2, 5, 9, 13, FAULTS_END_SECONDS - 10]) * random.between(0.8, 1.2);
+    return {
+      name: random.pick(names),
+      from,
+      lasts: Math.min(lasts, RECURRENCE_SECONDS - 1),
+      times,
+    };
   });
 }
 
-async function bring(
+async function inject(
   cluster: SimulatedCluster,
   random: SeededRandom,
-  planned: Planned,
+  planned: PlannedFault,
 ): Promise<void> {
   await cluster.clock.sleep(planned.from * 1000);
   for (let i = 0; i < planned.times; i++) {
     const end = FAULTS[planned.name]!(cluster, random, planned.lasts);
     await cluster.clock.sleep(planned.lasts * 1000);
     end();
-    if (i + 1 < planned.times) await cluster.clock.sleep((RETURNS_S - planned.lasts) * 1000);
+    if (i + 1 < planned.times)
+      await cluster.clock.sleep((RECURRENCE_SECONDS - planned.lasts) * 1000);
   }
 }
 
 /** Small jobs come, some are cancelled, and users look closely at what ends. */
-async function trickle(cluster: SimulatedCluster, random: SeededRandom): Promise<void> {
+async function submitSmallJobs(cluster: SimulatedCluster, random: SeededRandom): Promise<void> {
   cluster.onDone = (piece) => void (random.next() < 0.3 && cluster.queryEverywhere(piece.job));
   while (!cluster.settling) {
     const wish = { pieces: 1 + Math.floor(random.next() * 3), runMs: 2500, fetchMs: 500 };
@@ -246,7 +253,7 @@
 }
 
 /** Work of every kind; with `full` the team is at its limit. */
-async function begin(cluster: SimulatedCluster, full: boolean): Promise<void> {
+async function submitInitialWork(cluster: SimulatedCluster, full: boolean): Promise<void> {
   await cluster.accept({
     shape: 'service',
     pieces: 3,
@@ -327,7 +334,7 @@
     this.from = await this.w.accept({ ...ROLLED, crate: 'v1' });
   }
 
-  /** In the background, while troubles go on. */
+  /** In the background, while faults go on. */
   async operate(): Promise<void> {
     const { w: cluster, random, from, next } = this;
     const request = { id: 'r', from, to: next.ref, ...SHORT_ROLLOUT };
@@ -356,7 +363,7 @@
       if (phase() === 'paused') void this.api()?.order('r', 'resume');
       return ['done', 'rolled-back', 'failed', 'refused'].includes(phase());
     };
-    await cluster.until(over, SETTLED_S * 2, 'the rollout is over');
+    await cluster.until(over, SETTLE_SECONDS * 2, 'the rollout is over');
     const loser = { done: from, 'rolled-back': next.ref }[phase()];
     if (loser && cluster.stored(loser) === 'open') await cluster.cancel(loser);
   }
@@ -380,28 +387,33 @@
   { readyMs: 500, latencyMs: () => 100, errorRate: 0.2 },
 ];
 
-/** What goes on beside the troubles. */
-export interface Beside {
+/** What goes on beside the faults. */
+export interface SearchOptions {
   /** Shares are moved all the while. */
-  moving?: boolean;
+  quotaTransfers?: boolean;
   /** A version is rolled out. */
-  rolling?: boolean;
+  rollout?: boolean;
   /** Five controllers in three zones with slow reports, in place of the sample's. */
   threeZones?: boolean;
-  /** Is told of the world before anything happens in it. */
+  /** Is told of the simulation before anything happens in it. */
   observe?(world: SimulatedCluster): void;
 }
 
-/** Plays one short world; throws what went wrong, with its plan. */
+/** Plays one short simulation; throws what went wrong, with its plan. */
 export async function simulateSeed(
   seed: number,
-  { moving = false, rolling = false, threeZones = false, observe }: Beside = {},
+  {
+    quotaTransfers: moving = false,
+    rollout: rolling = false,
+    threeZones = false,
+    observe,
+  }: SearchOptions = {},
 ): Promise<void> {
   const random = new SeededRandom(seed * 2654435761);
   const zones = random.pick(['aabb', 'aabb', 'aaabb', 'ab']);
   const controllers = random.next() < 0.8 ? 3 : 2;
   const full = random.next() < 0.4;
-  const troubles = plan(random);
+  const troubles = planFaults(random);
   const cluster = threeZones
     ? new SimulatedCluster(machines('aabbcc'), THREE_ZONES, seed)
     : new SimulatedCluster(machines(zones), controllers, seed);
@@ -412,36 +424,40 @@
   try {
     await cluster.start();
     void cluster.keepAsking();
-    await begin(cluster, full);
+    await submitInitialWork(cluster, full);
     await rollout?.begin();
-    void trickle(cluster, random);
+    void submitSmallJobs(cluster, random);
     if (moving) void moveShares(cluster, random);
     void rollout?.operate();
     let over = false;
-    void Promise.all(troubles.map((trouble) => bring(cluster, random, trouble))).then(
+    void Promise.all(troubles.map((trouble) => inject(cluster, random, trouble))).then(
       () => (over = true),
     );
-    await cluster.until(() => over, TROUBLED_S + 3 * RETURNS_S, 'troubles are over');
-    await cluster.pass(random.between(0, LEASE_S));
+    await cluster.until(
+      () => over,
+      FAULTS_END_SECONDS + 3 * RECURRENCE_SECONDS,
+      'troubles are over',
+    );
+    await cluster.pass(random.between(0, LEASE_SECONDS));
     if (rollout) {
       cluster.faults.over();
       await rollout.finish();
     }
-    await cluster.settle(SETTLED_S);
-    if (moving) await cluster.until(() => movesRest(cluster), SETTLED_S, 'all moves are over');
+    await cluster.settle(SETTLE_SECONDS);
+    if (moving) await cluster.until(() => movesRest(cluster), SETTLE_SECONDS, 'all moves are over');
     await cluster.close();
     rollout?.check();
   } catch (error) {
     // A broken rule says more than what it led to.
     const broken = await cluster.close().catch((error: unknown) => `${String(error)}; `);
-    throw new Error(told(seed, troubles, `${broken ?? ''}${String(error)}`), { cause: error });
+    throw new Error(describe(seed, troubles, `${broken ?? ''}${String(error)}`), { cause: error });
   }
 }
 
 /** A machine boots, and what waited for it runs. */
-const SETTLED_S = 150;
+const SETTLE_SECONDS = 150;
 
-function told(seed: number, troubles: Planned[], said: string): string {
+function describe(seed: number, troubles: PlannedFault[], said: string): string {
   const plans = troubles.map(
     (trouble) =>
       `${trouble.name} (${trouble.from.toFixed(1)} s, ${trouble.lasts.toFixed(1)} s, ${trouble.times} times)`,
--- a/test/fakes/faults.ts
+++ b/test/fakes/faults.ts
@@ -5,13 +5,13 @@
 
 type DirectCommand = Parameters<FakeWorker['direct']>[0];
 
-/** When copies of reports arrive again: from 2 s to well over a lease later. */
+/** When copies of heartbeats arrive again: from 2 s to well over a lease later. */
 const COPY_MS = [2000, 18_000] as const;
 /** When transactions without an answer are carried out. */
 const WRITE_MS = [2000, 12_000] as const;
 /** For how long direct commands are held up. */
 const COMMAND_MS = [2000, 16_000] as const;
-/** The pauses after a leader took office between which reports kept for it arrive. */
+/** The pauses after a leader became leader between which heartbeats kept for it arrive. */
 const NEXT_LEADER_MS = [5, 10, 10, 20, 40, 100, 300];
 
 /** What a share of something meets; 0: none of it. */
@@ -37,7 +37,7 @@
 }
 
 /**
- * The troubles that stories are told in. All of them begin when they are called and last until
+ * The faults that scenarios are told in. All of them begin when they are called and last until
  * `over`, unless they say for how long.
  */
 export class Faults {
@@ -188,7 +188,7 @@
 
   // ---- reports that come again
 
-  /** Makes the copies of a report that has just been sent. */
+  /** Makes the copies of a heartbeat that has just been sent. */
   copyReport(node: number, report: object): void {
     const { lateReports, reportsForNext } = this.share;
     const { clock, random } = this.world;
@@ -202,7 +202,7 @@
     });
   }
 
-  /** A copy of a report reaches every controller now. */
+  /** A copy of a heartbeat reaches every controller now. */
   everywhere(report: object): void {
     for (const [i] of this.world.nodes.entries()) this.deliver(i, report);
   }
@@ -225,7 +225,7 @@
     this.kept.push(...reports);
   }
 
-  // ---- the end of all troubles
+  // ---- the end of all faults
 
   /** Everything is as it should be again; what has been sent may still arrive. */
   over(): void {
--- a/test/fakes/job-factory.ts
+++ b/test/fakes/job-factory.ts
@@ -34,7 +34,7 @@
   private readonly bodies = new Map<string, object>();
   private nextId = 1;
 
-  wish(template: JobTemplate): { ref: string; body: object } {
+  create(template: JobTemplate): { ref: string; body: object } {
     const ref = `req-${String(this.nextId++).padStart(6, '0')}`;
     const body = {
       ref,
@@ -73,7 +73,7 @@
   }
 
   /** What was wished for under this id. */
-  wished(ref: string): { ref: string; body: object } {
+  created(ref: string): { ref: string; body: object } {
     return { ref, body: this.bodies.get(ref)! };
   }
 }
--- a/test/fakes/loopback.ts
+++ b/test/fakes/loopback.ts
@@ -44,7 +44,7 @@
 
 /**
  * A small fleet of real processes: controllers as operators start them, over TCP, with this
- * repository's stand-ins for the state service, the cloud and the workers, in real time.
+ * repository's fakes for the state service, the cloud and the workers, in real time.
  */
 export class Loopback {
   readonly store = new FakeStore(systemClock);
@@ -73,7 +73,7 @@
     private readonly switches = SHARES,
   ) {
     this.cloud.capacity = machines;
-    // Every worker and stand-in listens to it.
+    // Every worker and fake listens to it.
     setMaxListeners(0, this.end.signal);
   }
 
@@ -101,7 +101,7 @@
     for (let i = 0; i < this.machines; i++) await this.addWorker(i % 2 ? 'b' : 'a');
   }
 
-  /** One stand-in behind HTTP; answers its address. */
+  /** One fake behind HTTP; answers its address. */
   private async serve(service: Transport): Promise<string> {
     const server = createServer((request, response) => {
       const parts: Buffer[] = [];
@@ -256,7 +256,7 @@
 
   /** A user submits at one controller, and at the next while one does not serve. */
   submit(wish: JobTemplate, first = 0): Promise<string> {
-    return this.submitWished(this.wishes.wish(wish), first);
+    return this.submitWished(this.wishes.create(wish), first);
   }
 
   /** The same of a job that was wished for before. */
--- a/test/fakes/machines.ts
+++ b/test/fakes/machines.ts
@@ -1,13 +1,13 @@
-import { FakeWorker, type Piece } from './worker.js';
+import { FakeWorker, type FakeTask } from './worker.js';
 import type { Host } from './cloud.js';
 import type { MachineSeen, TaskSeen } from './rule-checker.js';
 import type { SimulatedCluster } from './simulated-cluster.js';
 
-/** The machines of a story, and what really is on them. */
-export class Machines {
+/** The machines of a scenario, and what really is on them. */
+export class SimulatedMachines {
   readonly workers = new Map<string, FakeWorker>();
   /** What runs on workers from the beginning, by machine. */
-  readonly onWorkers = new Map<string, Piece[]>();
+  readonly onWorkers = new Map<string, FakeTask[]>();
 
   constructor(private readonly world: SimulatedCluster) {}
 
@@ -20,7 +20,7 @@
   }
 
   /** The tasks of a job that are on machines now. */
-  on(ref: string): Piece[] {
+  on(ref: string): FakeTask[] {
     return [...this.workers.values()]
       .filter((worker) => !worker.dead)
       .flatMap((worker) => worker.pieces)
--- a/test/fakes/model-servers.ts
+++ b/test/fakes/model-servers.ts
@@ -1,6 +1,6 @@
 import { build, encodeIntoCompressedBase64 } from 'hdr-histogram-js';
 import type { Replica, ReplicaProbe } from '@leverhatch/rollout';
-import type { FakeWorker, Piece } from './worker.js';
+import type { FakeWorker, FakeTask } from './worker.js';
 
 /** How the replicas of one job serve. */
 export interface Model {
@@ -24,7 +24,7 @@
 /** For so long it is not counted again who shares them. */
 const LOAD_MS = 250;
 
-/** Where the stand-in model servers run: what the world knows of replicas. */
+/** Where the fake model servers run: what the simulation knows of replicas. */
 export interface ModelHost {
   now(): number;
   sleep(ms: number): Promise<void>;
@@ -34,7 +34,7 @@
   image(job: string): string;
 }
 
-/** Model servers beside the stand-in workers: they answer probes for the tasks that run there. */
+/** Model servers beside the fake workers: they answer probes for the tasks that run there. */
 export class ModelServers {
   /** How the replicas of a job serve, where that is not well. */
   readonly models = new Map<string, Model>();
@@ -54,7 +54,7 @@
   }
 
   /** Whether requests of users to this replica are answered now. */
-  isServing(worker: FakeWorker, piece: Piece): boolean {
+  isServing(worker: FakeWorker, piece: FakeTask): boolean {
     if (worker.dead || worker.hung || worker.expired || piece.phase !== 'running') return false;
     return this.host.now() - piece.since >= this.modelOf(piece.job).readyMs;
   }
--- a/test/fakes/peer-transport.ts
+++ b/test/fakes/peer-transport.ts
@@ -21,7 +21,7 @@
 export class FakeWire {
   private readonly ends = new Map<string, End>();
   readonly cut = new Set<string>();
-  /** Whether a message gets lost between two that are not cut off; none does unless a story says so. */
+  /** Whether a message gets lost between two that are not cut off; none does unless a scenario says so. */
   loses: (from: string, to: string, message: PeerMessage) => boolean = () => false;
   /** How long a message takes, in milliseconds. */
   delayMs: (from: string, to: string) => number = () => 2;
--- a/test/fakes/persistent-users.ts
+++ b/test/fakes/persistent-users.ts
@@ -16,7 +16,7 @@
 
   constructor(
     private readonly world: SimulatedCluster,
-    /** Ends with the story. */
+    /** Ends with the scenario. */
     private readonly end: AbortSignal,
   ) {}
 
--- a/test/fakes/program.ts
+++ b/test/fakes/program.ts
@@ -16,7 +16,7 @@
   Decoder: new () => { push(chunk: Buffer): PeerMessage[] };
 }
 
-/** One version of the controller, as a story runs it: this tree's, or an earlier one. */
+/** One version of the controller, as a scenario runs it: this tree's, or an earlier one. */
 export interface Program {
   readonly version: string;
   readonly frames: FrameCodec;
--- a/test/fakes/quota-checker.ts
+++ b/test/fakes/quota-checker.ts
@@ -5,7 +5,7 @@
 import { askUntilServed, extensionOf, observed } from './operators.js';
 import type { SimulatedCluster } from './simulated-cluster.js';
 
-/** The machines of most stories of shares: 64 GPUs in two zones. */
+/** The machines of most scenarios of shares: 64 GPUs in two zones. */
 export const EIGHT = [...machines('aaaa'), ...machines('bbbb')];
 
 interface Amounts {
@@ -26,7 +26,7 @@
 const HELD = ['draining', 'lent', 'done', 'returning'];
 
 /**
- * Judges shares by what the workers of a story run: no team may use more than the limit of the
+ * Judges shares by what the workers of a scenario run: no team may use more than the limit of the
  * settings, less what the store says it has passed on, plus what was passed to it. It shares no code
  * with the package, and sets the limits by which the rule `quota` is judged at every step.
  */
--- a/test/fakes/released.ts
+++ b/test/fakes/released.ts
@@ -223,7 +223,7 @@
   };
 }
 
-/** The released versions, as programs that stories can run. */
+/** The released versions, as programs that scenarios can run. */
 export const RELEASED: Record<Release, Program> = {
   '78ff1b1': programOf('78ff1b1'),
   '104c759': programOf('104c759'),
--- a/test/fakes/rollout-checker.ts
+++ b/test/fakes/rollout-checker.ts
@@ -2,10 +2,10 @@
 import { RolloutExtension } from '../../src/control/extensions/rollout-extension.js';
 import { ModelServers } from './model-servers.js';
 import { extensionOf, observed } from './operators.js';
-import type { FakeWorker, Piece } from './worker.js';
+import type { FakeWorker, FakeTask } from './worker.js';
 import type { SimulatedCluster } from './simulated-cluster.js';
 
-/** How replicas are probed in stories. */
+/** How replicas are probed in scenarios. */
 export const PROBING = { intervalMs: 1000, perSecond: 200 };
 
 /** For so long after a fault nobody can know of it: a proof is fresh, and a stop is on its way. */
@@ -29,7 +29,7 @@
 }
 
 /**
- * Judges rollouts by what the stand-in workers and model servers do: at each moment as many replicas
+ * Judges rollouts by what the fake workers and model servers do: at each moment as many replicas
  * serve as the level says, less what faults took; nothing is stopped that the level needs; and no more is
  * placed than the level and the surge. It shares no code with the package.
  */
@@ -80,7 +80,7 @@
   }
 
   /** A replica is told to stop: those that stay have to reach the level. */
-  private onHalted(worker: FakeWorker, piece: Piece): void {
+  private onHalted(worker: FakeWorker, piece: FakeTask): void {
     this.halted.add(keyOf(worker, piece));
     const { job, task } = piece;
     const status = this.statuses().find(({ from, to }) => job === from || job === to);
@@ -144,10 +144,10 @@
   }
 }
 
-const keyOf = (worker: FakeWorker, { job, task, attempt }: Piece): string =>
+const keyOf = (worker: FakeWorker, { job, task, attempt }: FakeTask): string =>
   `${worker.id}#${worker.shift} ${job}/${task}/${attempt}`;
 
-/** Model servers beside the workers of a story, and rollouts switched on at controllers that start from now on. */
+/** Model servers beside the workers of a scenario, and rollouts switched on at controllers that start from now on. */
 export function withRollouts(world: SimulatedCluster, probing = PROBING): ModelServers {
   const models = new ModelServers({
     now: () => world.clock.now(),
--- a/test/fakes/rollout-scenario.ts
+++ b/test/fakes/rollout-scenario.ts
@@ -13,7 +13,7 @@
 export const REPLICAS = 8;
 export const MAX_SURGE = 2;
 
-/** Short windows, so that stories are. */
+/** Short windows, so that scenarios are. */
 export const REQUEST = {
   id: 'r1',
   steps: [0.25, 1],
@@ -36,7 +36,7 @@
 export interface StoryOptions {
   seed?: number;
   machines?: MachineWish[];
-  /** Changes the world before any controller starts. */
+  /** Changes the simulation before any controller starts. */
   before?(cluster: SimulatedCluster): void;
   /** What differs of both jobs. */
   wish?: JobTemplate;
--- a/test/fakes/rule-checker.ts
+++ b/test/fakes/rule-checker.ts
@@ -45,13 +45,13 @@
     return this.cancellation.startsAfterCancel;
   }
 
-  /** All troubles are over from now on. */
+  /** All faults are over from now on. */
   calm(): void {
     this.seen.calmSince = this.seen.now;
     for (const job of this.seen.all()) job.fittingSince = null;
   }
 
-  /** There is trouble again. */
+  /** There is fault again. */
   trouble(): void {
     this.seen.calmSince = null;
   }
@@ -97,7 +97,7 @@
     this.cancellation.started(machine, history, task);
   }
 
-  /** A job that was accepted and done before the story began. */
+  /** A job that was accepted and done before the scenario began. */
   doneBefore(ref: string): void {
     const job = this.seen.job(ref);
     job.submitAskedAt = -Infinity;
@@ -117,7 +117,7 @@
 
   // ---- looked at again and again
 
-  /** Judges the present moment: called at every step of a story and at its end. */
+  /** Judges the present moment: called at every step of a scenario and at its end. */
   check(): void {
     const machines = this.seen.options.machines();
     judgeQuota(this.seen, machines);
--- a/test/fakes/rules/model.ts
+++ b/test/fakes/rules/model.ts
@@ -39,7 +39,7 @@
 
 export interface Violation {
   rule: Rule;
-  /** Milliseconds since the start of the story. */
+  /** Milliseconds since the start of the scenario. */
   at: number;
   what: string;
 }
--- a/test/fakes/rules/observed.ts
+++ b/test/fakes/rules/observed.ts
@@ -11,7 +11,7 @@
 /** All that was seen so far, and the breaches found in it. Every rule reads it, none changes another's. */
 export class Observed {
   readonly violations: Violation[] = [];
-  /** Since when there has been no trouble; null while there is. */
+  /** Since when there has been no fault; null while there is. */
   calmSince: number | null = null;
   private readonly jobs = new Map<string, JobHistory>();
   private readonly reported = new Set<string>();
--- a/test/fakes/rules/silence.ts
+++ b/test/fakes/rules/silence.ts
@@ -1,9 +1,9 @@
 import type { JobHistory, Question, Told } from './model.js';
 import type { Observed } from './observed.js';
 
-/** For how long a job may have no answered question once all troubles are over. */
+/** For how long a job may have no answered question once all faults are over. */
 const UNANSWERED_CALM_MS = 75_000;
-/** The same while there are troubles, if most questions about other jobs are answered. */
+/** The same while there are faults, if most questions about other jobs are answered. */
 const UNANSWERED_MS = 90_000;
 
 /** The rule `forgotten`, where it is broken by giving no answer. */
--- a/test/fakes/rules/waiting.ts
+++ b/test/fakes/rules/waiting.ts
@@ -3,12 +3,12 @@
 import type { JobHistory, MachineSeen } from './model.js';
 import type { Observed } from './observed.js';
 
-/** For how long a task may wait beside room that fits once all troubles are over. */
+/** For how long a task may wait beside room that fits once all faults are over. */
 const LEFT_WAITING_MS = 90_000;
 
 const NOTHING_USED: Amounts = { cpus: 0, gpus: 0 };
 
-/** The rule `left_waiting`, once all troubles are over. */
+/** The rule `left_waiting`, once all faults are over. */
 export function judgeWaiting(seen: Observed, machines: MachineSeen[], job: JobHistory): void {
   if (!hasFittingRoom(seen, machines, job)) {
     job.fittingSince = null;
--- a/test/fakes/samples.ts
+++ b/test/fakes/samples.ts
@@ -7,7 +7,7 @@
   TeamView,
 } from '../../src/scheduler/scheduling-model.js';
 
-/** A machine type and a job that stories of the scheduler vary. */
+/** A machine type and a job that scenarios of the scheduler vary. */
 export const TYPE: MachineType = {
   name: 'g8',
   capacity: { cpus: 48, gpus: 8, memoryGb: 288 },
@@ -19,7 +19,7 @@
   zones: ['a', 'b'],
 };
 
-/** An empty machine as a round of decisions sees it. */
+/** An empty machine as a scheduling cycle sees it. */
 export function machine(id: string, view: Partial<MachineView> = {}): MachineView {
   return {
     id,
@@ -57,7 +57,7 @@
   deadlineMs: null,
 };
 
-/** A job as a round of decisions sees it: all of its tasks wait. */
+/** A job as a scheduling cycle sees it: all of its tasks wait. */
 export function jobView(id: string, spec: JobSpec, view: Partial<JobView> = {}): JobView {
   return {
     id,
@@ -78,7 +78,7 @@
   };
 }
 
-/** What a round of decisions looks at where there is nothing but teams. */
+/** What a scheduling cycle looks at where there is nothing but teams. */
 export function snapshotWith(
   teams: ReadonlyMap<string, TeamView>,
   what: Partial<Snapshot> = {},
--- a/test/fakes/simulated-cluster.ts
+++ b/test/fakes/simulated-cluster.ts
@@ -3,9 +3,9 @@
 import type { Settings, Team } from '../../src/settings/deploy.js';
 import { FakeClock } from './clock.js';
 import { FakeCloud } from './cloud.js';
-import { Controllers, type LogLine, type Node } from './controllers.js';
+import { SimulatedControllers, type LogLine, type SimulatedController } from './controllers.js';
 import { JobFactory, type JobTemplate } from './job-factory.js';
-import { Machines, seenOn } from './machines.js';
+import { SimulatedMachines, seenOn } from './machines.js';
 import { FakeWire } from './peer-transport.js';
 import { PERSIST_MS, PersistentUsers } from './persistent-users.js';
 import { SeededRandom } from './random.js';
@@ -15,14 +15,14 @@
 import { FakeStore } from './store.js';
 import { Faults } from './faults.js';
 import { Users } from './users.js';
-import type { Answered, FakeWorker, Piece } from './worker.js';
+import type { Answered, FakeWorker, FakeTask } from './worker.js';
 
-export type { LogLine, Node } from './controllers.js';
+export type { LogLine, SimulatedController } from './controllers.js';
 export type { JobTemplate } from './job-factory.js';
 export { fakeRandom } from './random.js';
 export { settings, SETTINGS } from './sample-settings.js';
 
-/** How many broken rules a failed story tells of. */
+/** How many broken rules a failed scenario tells of. */
 const MOST_TOLD = 6;
 
 const ENDS = ['done', 'withdrawn'];
@@ -38,14 +38,14 @@
   hull?: string;
 }
 
-/** A small fleet with two or three controllers; it checks the rules at every step of every story. */
+/** A small fleet with two or three controllers; it checks the rules at every step of every scenario. */
 export class SimulatedCluster {
   readonly clock = new FakeClock();
   readonly store = new FakeStore(this.clock);
   readonly cloud = new FakeCloud(this.clock, (id) => this.kill(id));
   readonly wire = new FakeWire(this.clock, (from, to) => this.separated(from, to));
-  readonly controllers: Controllers;
-  readonly machines = new Machines(this);
+  readonly controllers: SimulatedControllers;
+  readonly machines = new SimulatedMachines(this);
   readonly wishes = new JobFactory();
   readonly starts: string[] = [];
   /** What the controllers logged, without what is for debugging. */
@@ -65,12 +65,12 @@
   readonly users: Users;
   private readonly persistent: PersistentUsers;
   readonly faults: Faults;
-  /** All troubles are over, and no more work is submitted. */
+  /** All faults are over, and no more work is submitted. */
   settling = false;
   /** A task has just completed. */
-  onDone: (piece: Piece) => void = () => undefined;
+  onDone: (piece: FakeTask) => void = () => undefined;
   /** A task that ran has just been told to stop. */
-  onHalted: (worker: FakeWorker, piece: Piece) => void = () => undefined;
+  onHalted: (worker: FakeWorker, piece: FakeTask) => void = () => undefined;
   /** Something has just crossed the border of a controller; see `behavior-trace.ts`. */
   onCrossing: (border: Border, ...what: unknown[]) => void = () => undefined;
   /** What else is looked at whenever the rules are checked. */
@@ -95,7 +95,7 @@
     for (const machine of machines)
       this.cloud.add(machine.yard, 0, machine.spot ?? false, machine.hull);
     this.shape = typeof controllers === 'number' ? sampleShape(controllers, state) : controllers;
-    this.controllers = new Controllers(this, this.shape);
+    this.controllers = new SimulatedControllers(this, this.shape);
     this.cloud.offerIn(this.shape.zones);
     for (const [name, { limit }] of this.teams) this.teamLimits.set(name, limit);
     this.checker = new RuleChecker({
@@ -146,7 +146,7 @@
 
   // ---- controllers
 
-  get nodes(): Node[] {
+  get nodes(): SimulatedController[] {
     return this.controllers.nodes;
   }
 
@@ -196,11 +196,11 @@
     return this.controllers.separated(from, to);
   }
 
-  zoneOf(node: Node): string {
+  zoneOf(node: SimulatedController): string {
     return this.controllers.zoneOf(node);
   }
 
-  /** A report's way to a controller; also for copies that come late. */
+  /** A heartbeat's way to a controller; also for copies that come late. */
   deliver(node: number, report: object): Promise<Answered> {
     return this.controllers.deliver(node, report);
   }
@@ -212,7 +212,7 @@
   }
 
   /** What runs on workers from the beginning, by machine. */
-  get onWorkers(): Map<string, Piece[]> {
+  get onWorkers(): Map<string, FakeTask[]> {
     return this.machines.onWorkers;
   }
 
@@ -222,7 +222,7 @@
   }
 
   /** The tasks of a job that are on machines now. */
-  on(ref: string): Piece[] {
+  on(ref: string): FakeTask[] {
     return this.machines.on(ref);
   }
 
@@ -235,7 +235,7 @@
   }
 
   /** A task begins on a machine. */
-  onMachine(worker: FakeWorker, piece: Piece): void {
+  onMachine(worker: FakeWorker, piece: FakeTask): void {
     const name = `${piece.job}/${piece.task}`;
     this.starts.push(name);
     for (const needed of this.wishes.needs.get(piece.job)!) {
@@ -287,7 +287,7 @@
   }
 
   wish(template: JobTemplate): { ref: string; body: object } {
-    return this.wishes.wish(template);
+    return this.wishes.create(template);
   }
 
   async submit(template: JobTemplate, node = 0): Promise<string> {
@@ -308,7 +308,7 @@
     return this.drive(this.cancelling(ref, node));
   }
 
-  /** The same in the background of a story. */
+  /** The same in the background of a scenario. */
   accepting(template: JobTemplate): Promise<string> {
     return this.persistent.accepting(template);
   }
@@ -318,7 +318,7 @@
     return this.persistent.acceptingWished(wished);
   }
 
-  /** The same in the background of a story; answers what the job is called then. */
+  /** The same in the background of a scenario; answers what the job is called then. */
   cancelling(ref: string, node?: number): Promise<string> {
     return this.persistent.cancelling(ref, node);
   }
@@ -333,7 +333,7 @@
     return this.persistent.keepAsking(everyMs);
   }
 
-  /** All troubles are over: whatever was accepted ends, or runs as a service, or is cancelled. */
+  /** All faults are over: whatever was accepted ends, or runs as a service, or is cancelled. */
   async settle(seconds = 100): Promise<void> {
     this.settling = true;
     this.faults.over();
@@ -365,7 +365,7 @@
     return answer.status === 200 ? (answer.body as { phase: string }).phase : String(answer.status);
   }
 
-  /** Puts a job into the store that was done before the story began. */
+  /** Puts a job into the store that was done before the scenario began. */
   doneBefore(ref: string): void {
     this.store.write(`jobs/${ref}`, { w: 'w', phase: 'done', tasks: 1 });
     this.checker.doneBefore(ref);
--- a/test/fakes/store.ts
+++ b/test/fakes/store.ts
@@ -120,7 +120,7 @@
     return this.keys.get(key)?.value;
   }
 
-  /** A change by somebody who is no part of the story. */
+  /** A change by somebody who is no part of the scenario. */
   write(key: string, value: unknown): void {
     this.txn({ when: [], then: [{ write: key, value }] });
   }
--- a/test/fakes/three-zones.ts
+++ b/test/fakes/three-zones.ts
@@ -3,7 +3,7 @@
 import { machines } from './fault-scenario.js';
 import { SimulatedCluster } from './simulated-cluster.js';
 
-/** What runs in the stories of the shape with three zones. */
+/** What runs in the scenarios of the shape with three zones. */
 export interface Work {
   /** Services of three replicas with 2 GPUs each, spread over zones. */
   replicas: string[];
@@ -13,7 +13,7 @@
   sweeps: string[];
 }
 
-/** How large a story is. */
+/** How large a scenario is. */
 export interface StorySize {
   machinesPerZone: number;
   /** Machines that can be rented beside them. */
--- a/test/fakes/versions.ts
+++ b/test/fakes/versions.ts
@@ -13,7 +13,7 @@
 /** How long a controller is away when it ends. */
 const AWAY_S = 3;
 
-/** How long work runs that is to outlast a story. */
+/** How long work runs that is to outlast a scenario. */
 export const LONG_MS = 400_000;
 
 /** Sets which version each controller runs; before they start. */
@@ -62,7 +62,7 @@
   await cluster.pass(5);
 }
 
-/** Work that is to outlast a story: an array too large for the limits to come, replicas and a gang. */
+/** Work that is to outlast a scenario: an array too large for the limits to come, replicas and a gang. */
 export interface LongWork {
   array: string;
   service: string;
--- a/test/fakes/worker.ts
+++ b/test/fakes/worker.ts
@@ -1,6 +1,6 @@
 import type { Clock } from '@leverhatch/core/clock';
 
-export interface Piece {
+export interface FakeTask {
   job: string;
   task: number;
   attempt: number;
@@ -52,11 +52,11 @@
   facts(job: string): JobFacts | null;
   /** Whether all tasks of this attempt have their image. */
   assembled(job: string, attempt: number): boolean;
-  onMachine(worker: FakeWorker, piece: Piece): void;
-  onDone(piece: Piece): void;
+  onMachine(worker: FakeWorker, piece: FakeTask): void;
+  onDone(piece: FakeTask): void;
   /** A task that ran was told to stop. */
-  onHalted?(worker: FakeWorker, piece: Piece): void;
-  /** Sends a report on its way; rejects if no connection comes about. */
+  onHalted?(worker: FakeWorker, piece: FakeTask): void;
+  /** Sends a heartbeat on its way; rejects if no connection comes about. */
   call(node: number, report: object, worker: FakeWorker): Promise<Answered>;
 }
 
@@ -73,7 +73,7 @@
   shift = 1;
   tick = 0;
   baton = 0;
-  pieces: Piece[] = [];
+  pieces: FakeTask[] = [];
   dead = false;
   hung = false;
   /** Reports arrive; answers and direct commands do not. */
@@ -210,7 +210,7 @@
   private execute(order: Record<string, unknown>): void {
     const [job, task] = String(order.piece).split('/') as [string, string];
     const attempt = Number(order.try);
-    const same = (piece: Piece): boolean => piece.job === job && piece.task === Number(task);
+    const same = (piece: FakeTask): boolean => piece.job === job && piece.task === Number(task);
     const here = this.pieces.find((piece) => same(piece) && piece.attempt === attempt);
     if (order.verb === 'forget') {
       this.pieces = this.pieces.filter((piece) => piece !== here || piece.phase !== 'ended');
@@ -236,14 +236,14 @@
     return null;
   }
 
-  private halt(piece: Piece, windDownMs: number): void {
+  private halt(piece: FakeTask, windDownMs: number): void {
     if (piece.phase === 'ended') return;
     const ran = piece.phase === 'running';
     this.stopPiece(piece, windDownMs);
     if (ran) this.host.onHalted?.(this, piece);
   }
 
-  private stopPiece(piece: Piece, windDownMs: number): void {
+  private stopPiece(piece: FakeTask, windDownMs: number): void {
     const saveMs = this.host.facts(piece.job)?.saveMs ?? 0;
     const saves = piece.phase === 'running' || piece.phase === 'flushing';
     if (saves && saveMs > 0 && windDownMs >= saveMs) {
--- a/test/fault-search.test.ts
+++ b/test/fault-search.test.ts
@@ -2,7 +2,7 @@
 import { simulateSeed } from './fakes/fault-search.js';
 
 /**
- * A seeded search over orders of troubles, in place of one fixed story for each: every world picks two
+ * A seeded search over orders of faults, in place of one fixed scenario for each: every simulation picks two
  * or three of them, their moments and their victims, and plays under the checker of all rules.
  */
 
@@ -16,12 +16,12 @@
 
 for (let seed = FROM; seed <= TO; seed++) {
   test(`two or three troubles meet while shares are moved (seed ${seed})`, () =>
-    simulateSeed(seed, { moving: true }));
+    simulateSeed(seed, { quotaTransfers: true }));
 }
 
 for (let seed = FROM; seed <= TO; seed++) {
   test(`two or three troubles meet while a version is rolled out (seed ${seed})`, () =>
-    simulateSeed(seed, { rolling: true }));
+    simulateSeed(seed, { rollout: true }));
 }
 
 /** Fewer of these: with five controllers each takes longer. */
--- a/test/leader-failover.test.ts
+++ b/test/leader-failover.test.ts
@@ -20,7 +20,7 @@
   return jobs;
 }
 
-/** Users submit and cancel small jobs in the background, until the troubles are over. */
+/** Users submit and cancel small jobs in the background, until the faults are over. */
 async function trickle(cluster: SimulatedCluster, seconds: number): Promise<void> {
   for (
     const until = cluster.clock.now() + seconds * 1000;
--- a/test/loopback-rollout.test.ts
+++ b/test/loopback-rollout.test.ts
@@ -78,7 +78,7 @@
 
 async function deploy(t: TestContext, fleet: Loopback, id: string): Promise<Rolled> {
   const from = await fleet.submit({ ...SERVICE, crate: 'v1' });
-  const next = fleet.wishes.wish({ ...SERVICE, crate: 'v2' });
+  const next = fleet.wishes.create({ ...SERVICE, crate: 'v2' });
   await fleet.until(() => fleet.models.serving(from) === REPLICAS, 40, 'the old version serves');
   const checker = new LevelChecker(fleet, [from, next.ref]);
   t.after(() => checker.stop());
@@ -124,7 +124,7 @@
   for (const { id, from, to } of services) {
     const started = await operator('start', '--from', from, '--to', to, ...START, '--id', id);
     assert.equal(started.code, 0, started.said);
-    await fleet.submitWished(fleet.wishes.wished(to));
+    await fleet.submitWished(fleet.wishes.created(to));
   }
   const phase = (id: string): string | undefined =>
     (fleet.store.get(`rollouts/status/${id}`) as { phase: string } | undefined)?.phase;
--- a/test/measurements/behavior-trace.ts
+++ b/test/measurements/behavior-trace.ts
@@ -19,7 +19,7 @@
   transferPhase,
   withQuotaTransfers,
 } from '../fakes/quota-checker.js';
-import { simulateSeed, type Beside } from '../fakes/fault-search.js';
+import { simulateSeed, type SearchOptions } from '../fakes/fault-search.js';
 import { NEXT, ranged, runKeys } from '../fakes/upgrade.js';
 import { change, install, startLongWork } from '../fakes/versions.js';
 import { machines } from '../fakes/fault-scenario.js';
@@ -27,7 +27,7 @@
 
 type Observe = (world: SimulatedCluster) => void;
 
-/** One simulation: it calls `observe` with its world before anything happens there. */
+/** One simulation: it calls `observe` with its simulation before anything happens there. */
 interface Simulation {
   name: string;
   play(observe: Observe): Promise<void>;
@@ -38,10 +38,10 @@
 );
 
 /** The settings of the seeded search, and how many seeds of each are played. */
-const SEARCHES: { name: string; seeds: number; beside: Beside }[] = [
+const SEARCHES: { name: string; seeds: number; beside: SearchOptions }[] = [
   { name: 'search', seeds: 16, beside: {} },
-  { name: 'search with moves of shares', seeds: 10, beside: { moving: true } },
-  { name: 'search with a rollout', seeds: 10, beside: { rolling: true } },
+  { name: 'search with moves of shares', seeds: 10, beside: { quotaTransfers: true } },
+  { name: 'search with a rollout', seeds: 10, beside: { rollout: true } },
   { name: 'search in three zones', seeds: 6, beside: { threeZones: true } },
 ];
 
--- a/test/measurements/shares.ts
+++ b/test/measurements/shares.ts
@@ -27,7 +27,7 @@
   replicas: number;
   /** Changes of the store for the move itself. */
   shareWrites: number;
-  /** How long this took in real time, with all stand-ins. */
+  /** How long this took in real time, with all fakes. */
   realSeconds: number;
 }
 
--- a/test/mixed-version-faults.test.ts
+++ b/test/mixed-version-faults.test.ts
@@ -23,7 +23,7 @@
   fall: Fall;
   /** Called after each upgrade. */
   trouble(cluster: SimulatedCluster, seed: number, upgraded: number): Promise<void>;
-  /** The troubles are such that running work survives them: nothing of it is started again. */
+  /** The faults are such that running work survives them: nothing of it is started again. */
   keepsWork?: true;
   seeds?: number[];
 }
@@ -42,7 +42,7 @@
     const work = await startLongWork(cluster);
     const starts = startsOf(cluster, work);
     await limitsFall(cluster, fall === 0);
-    // The leader goes first each time for the first seed, so that office passes on at each upgrade.
+    // The leader goes first each time for the first seed, so that leadership passes on at each upgrade.
     const old = new Set(ALL);
     for (let upgraded = 1; old.size > 0; upgraded++) {
       const node = seed === 1 && old.has(cluster.leader) ? cluster.leader : [...old][0]!;
@@ -81,7 +81,7 @@
   assert.equal(await cluster.cancel(gone), 'withdrawn');
 }
 
-/** What would outlast the story ends by its users. */
+/** What would outlast the scenario ends by its users. */
 async function cancelLong(cluster: SimulatedCluster, work: LongWork): Promise<void> {
   await cluster.cancel(work.array);
   await cluster.cancel(work.gang);
--- a/test/quota-transfer-unheard-machines.test.ts
+++ b/test/quota-transfer-unheard-machines.test.ts
@@ -6,7 +6,7 @@
   transferPhase,
   withQuotaTransfers,
 } from './fakes/quota-checker.js';
-import type { FakeWorker, Piece } from './fakes/worker.js';
+import type { FakeWorker, FakeTask } from './fakes/worker.js';
 import { SimulatedCluster } from './fakes/simulated-cluster.js';
 
 /** As many GPUs as the limits of both teams add up to. */
@@ -69,7 +69,7 @@
   cluster.faults.mute(cluster.holding(tuning).slice(0, SILENT));
 }
 
-const isBeingStopped = ({ phase }: Piece): boolean => phase === 'flushing' || phase === 'ended';
+const isBeingStopped = ({ phase }: FakeTask): boolean => phase === 'flushing' || phase === 'ended';
 
 async function move(cluster: SimulatedCluster, wanted: object): Promise<void> {
   const answer = await askQuotaTransfers(cluster, cluster.leader, (api) => api.submit(wanted));
--- a/test/quota-transfers.test.ts
+++ b/test/quota-transfers.test.ts
@@ -12,7 +12,7 @@
 import type { Fate } from './fakes/store.js';
 import { SimulatedCluster } from './fakes/simulated-cluster.js';
 
-/** What is moved in most stories: a third of what the team speech may use. */
+/** What is moved in most scenarios: a third of what the team speech may use. */
 const MOVE = {
   id: 'm1',
   from: 'speech',
@@ -328,7 +328,7 @@
       await submit(cluster, { ...MOVE, forSeconds: 40 }, 2);
       await phaseIs(cluster, 'm1', 'returned', 150);
       assert.ok(writes > step, 'the failure came about');
-      // Until the last trouble is over, so that every controller answers.
+      // Until the last fault is over, so that every controller answers.
       await cluster.pass(10);
       await cluster.settle();
       assert.equal(await cluster.phase(rest, 1), 'done');
--- a/test/request-cascade.test.ts
+++ b/test/request-cascade.test.ts
@@ -33,7 +33,7 @@
   return { root, dependents, others };
 }
 
-/** What every story ends with: nothing of the tree has run or runs, and nothing else is cancelled. */
+/** What every scenario ends with: nothing of the tree has run or runs, and nothing else is cancelled. */
 async function check(cluster: SimulatedCluster, { root, dependents, others }: Tree): Promise<void> {
   await cluster.settle();
   for (const ref of [root, ...dependents]) {
--- a/test/rollout-failures.test.ts
+++ b/test/rollout-failures.test.ts
@@ -76,7 +76,7 @@
       await phaseIs(cluster, 'done', 240);
       assert.ok(failed(), 'the failure came about');
       assert.equal(models.serving(to), REPLICAS);
-      // Until the last trouble is over, so that every controller answers.
+      // Until the last fault is over, so that every controller answers.
       await cluster.pass(AWAY_MS / 1000);
       await finish(story, 'to');
     });
--- a/test/rollout-guards.test.ts
+++ b/test/rollout-guards.test.ts
@@ -15,7 +15,7 @@
 } from './fakes/rollout-scenario.js';
 import { mostOn, writes } from './fakes/observe.js';
 
-// What each guard is for: a story that fails without it (docs/rollout.md has the list).
+// What each guard is for: a scenario that fails without it (docs/rollout.md has the list).
 
 test('no more of the new version comes than a rollout allows, though its leader has not heard of it', async () => {
   const story = await begin();
--- a/test/rule-checker.test.ts
+++ b/test/rule-checker.test.ts
@@ -8,7 +8,7 @@
 const CANCEL_MS = 35_000;
 const ROOM = { cpus: 48, gpus: 8, memoryGb: 288 };
 
-/** A checker with machines that a story moves by hand. */
+/** A checker with machines that a scenario moves by hand. */
 class Scene {
   time = 0;
   readonly machines: MachineSeen[] = [];
@@ -492,7 +492,7 @@
 
 const TWO = [{ yard: 'a' }, { yard: 'b' }];
 
-/** Ends a story in which rules were broken on purpose. */
+/** Ends a scenario in which rules were broken on purpose. */
 async function brokenRules(cluster: SimulatedCluster): Promise<Rule[]> {
   await assert.rejects(cluster.close());
   return [...new Set(cluster.checker.violations.map((violation) => violation.rule))];
--- a/test/stop-commands.test.ts
+++ b/test/stop-commands.test.ts
@@ -26,7 +26,7 @@
     );
     while (simulatedCluster.on(job).length > 0 && simulatedCluster.clock.now() - from < 5000)
       await simulatedCluster.clock.advance(10);
-    // The cancellation itself takes up to a step of the story's clock.
+    // The cancellation itself takes up to a step of the scenario's clock.
     const took = simulatedCluster.clock.now() - from;
     assert.ok(took <= 250 + withinMs, `direct ${open}: ${took} ms`);
     await simulatedCluster.close();
@@ -82,7 +82,7 @@
   });
   const [one, two] = [place(0), place(1)];
   for (const placement of [one, two]) fleet.addPlacement(placement, 100);
-  // Both starts are on their way in the answer to a report, when a stop of the first overtakes them.
+  // Both starts are on their way in the answer to a heartbeat, when a stop of the first overtakes them.
   assert.equal(fleet.applyHeartbeat(report(2, []), TYPE, 200, true).length, 2);
   one.stop = { graceMs: 0 };
   const leaseExpiry = fleet.leaseExpiryOf(machine);
--- a/test/successor-policy.test.ts
+++ b/test/successor-policy.test.ts
@@ -10,7 +10,7 @@
 const SILENT_MS = 90_000;
 const LEASE_S = 10;
 
-/** A world in which a service runs, and how many of its workers have lost their leases. */
+/** A simulation in which a service runs, and how many of its workers have lost their leases. */
 async function withService(seed: number): Promise<{
   w: SimulatedCluster;
   service: string;
@@ -32,7 +32,7 @@
   };
 }
 
-/** Who is silent speaks again before the story ends. */
+/** Who is silent speaks again before the scenario ends. */
 async function end(cluster: SimulatedCluster): Promise<void> {
   await cluster.pass(SILENT_MS / 1000);
   await cluster.close();
@@ -71,7 +71,7 @@
 
 // The leader that is left had given up before its workers could be there, and turned them away for a
 // second round. If it hears no other controller it may also be cut off from all: then it gives up
-// sooner, but is back in office when they come.
+// sooner, but is back in leadership when they come.
 test('workers that have to pass two silent controllers are answered by the third as they come', async () => {
   const { w: cluster, service, lost } = await withService(1);
   const first = cluster.leader;
@@ -80,7 +80,7 @@
   await cluster.pass(LEASE_S);
   cluster.freeze(first, SILENT_MS);
   await cluster.until(() => cluster.leader === third, LEASE_S, 'the third leads');
-  // A lease and the report interval in which it began; one that is turned away comes 11 s later.
+  // A lease and the heartbeat interval in which it began; one that is turned away comes 11 s later.
   await cluster.pass(1.25 * LEASE_S);
   assert.equal(cluster.leader, third);
   assert.ok([...cluster.workers.values()].every((worker) => worker.shift <= 2));
--- a/test/unreadable-records.test.ts
+++ b/test/unreadable-records.test.ts
@@ -24,7 +24,7 @@
   return { w: simulatedCluster, service, terms: () => terms };
 }
 
-// It stayed in office and turned its workers away for as long as it could not read.
+// It stayed in leadership and turned its workers away for as long as it could not read.
 for (const since of ['its term began', 'it has led for a while']) {
   test(`a leader that has read no records since ${since} hands over, and no lease runs out`, async () => {
     const { w: cluster, service, terms } = await withService();
--- a/test/unresponsive-controllers.test.ts
+++ b/test/unresponsive-controllers.test.ts
@@ -106,7 +106,7 @@
         await cluster.pass(5);
         assert.equal(await cluster.phase(job, others[(i + 1) % 2]), 'done');
       }
-      // Where the silent one is the next that workers would try, office goes once to the one behind it;
+      // Where the silent one is the next that workers would try, leadership goes once to the one behind it;
       // but not where it is alone in its zone, which may be cut off.
       const zoneOf = (i: number): string => cluster.zoneOf(cluster.nodes[i]!);
       const cutOff = !others.some((i) => zoneOf(i) === zoneOf(silent));
--- a/test/unresponsive-workers.test.ts
+++ b/test/unresponsive-workers.test.ts
@@ -7,7 +7,7 @@
 const LEASE_S = 10;
 const BOOT_S = 40;
 
-/** Counts the terms that begin while a story goes on. */
+/** Counts the terms that begin while a scenario goes on. */
 function countTerms(cluster: SimulatedCluster): () => number {
   const tokens = new Set<number>();
   const look = (): void => {
@@ -47,7 +47,7 @@
         await simulatedCluster.pass(10);
         simulatedCluster.restart(old);
       }
-      // Each controller may give office up once before it waits for the proof that nothing runs.
+      // Each controller may give leadership up once before it waits for the proof that nothing runs.
       const givingUpS = listed ? 3 * LEASE_S : 0;
       await simulatedCluster.until(
         () => simulatedCluster.running(job) === 4,
@@ -164,7 +164,7 @@
   await simulatedCluster.close();
 });
 
-// It is back in office with nobody to hand it to, and waits for leases and a boot before it resigns again.
+// It is back in leadership with nobody to hand it to, and waits for leases and a boot before it resigns again.
 test('a leader that no worker reaches hands over to the first controller that comes back', async () => {
   const simulatedCluster = new SimulatedCluster(FOUR, 3);
   await simulatedCluster.start();
--- a/test/upgrade-faults.test.ts
+++ b/test/upgrade-faults.test.ts
@@ -17,7 +17,7 @@
 
 /**
  * All controllers are upgraded, the limits fall, and work comes and is cancelled all the while.
- * `trouble` is called after each upgrade and after the fall.
+ * `fault` is called after each upgrade and after the fall.
  */
 async function roll(
   cluster: SimulatedCluster,
--- a/test/upgrade.test.ts
+++ b/test/upgrade.test.ts
@@ -54,7 +54,7 @@
   await simulatedCluster.start();
   const work = await longWork(simulatedCluster);
   const starts = simulatedCluster.starts.length;
-  // The leader goes first each time, so that office passes between old and new ones.
+  // The leader goes first each time, so that leadership passes between old and new ones.
   const order = [
     simulatedCluster.leader,
     ...[0, 1, 2].filter((i) => i !== simulatedCluster.leader),
@@ -275,7 +275,7 @@
 test('a description too large for the limits to come is refused at once, a known job never', async () => {
   const simulatedCluster = new SimulatedCluster(SIX, 2, 0, { next: { valueBytes: 1024 } });
   await simulatedCluster.start();
-  // Not as the world's users: the checker of rules knows no limit on descriptions.
+  // Not as the simulation's users: the checker of rules knows no limit on descriptions.
   const api = simulatedCluster.nodes[0]!.controller!.jobApi;
   const { ref, body } = simulatedCluster.wish({ pieces: 1 });
   const long = '\u20ac'.repeat(200);
