--- a/src/control/dependencies/dependency-tracker.ts
+++ b/src/control/dependencies/dependency-tracker.ts
@@ -1,17 +1,35 @@
+import type { Runtime } from '@leverhatch/core/duty';
 import { RequestPriority } from '@leverhatch/core/store';
+import type { Term } from '../../election/term.js';
 import { readDependencies } from '../../jobs/dependencies.js';
 import type { JobPhase } from '../../jobs/job.js';
 import { readJobEntries } from '../../jobs/job-reader.js';
+import type { JobRecordWriter } from '../../jobs/job-record-writer.js';
 import type { Job } from '../../jobs/tracked-job.js';
 import type { DependenciesRecord } from '../../jobs/records.js';
 import { jitter } from '@leverhatch/core/random';
 import { KEYS } from '../../state/keys.js';
-import { isSizeRejection } from '../../state/store.js';
+import { isSizeRejection, type Entry, type Store } from '../../state/store.js';
 import { dropOldest } from '../../runtime/drop-oldest.js';
-import type { Leader } from '../leader.js';
 
 type ChunkedDependencies = Extract<DependenciesRecord, { mark: string }>;
 
+/** What a `DependencyTracker` works with. */
+export interface DependencyTrackerContext {
+  readonly runtime: Runtime;
+  readonly store: Store;
+  readonly term: Pick<Term, 'fencingToken' | 'signal'>;
+  /** The controller's memory; it bounds how many ended jobs are remembered. */
+  readonly memoryMb: number;
+  /** How soon a request that failed is made again. */
+  readonly retryMs: number;
+  readonly jobs: ReadonlyMap<string, Job>;
+  readonly recordWriter: Pick<JobRecordWriter, 'flush'>;
+  /** A job record has been read that no watch has brought. */
+  onJobEntry(entry: Entry): void;
+  requestSchedule(): void;
+}
+
 /** The stored final state of a job. */
 interface EndedJob {
   phase: Exclude<JobPhase, 'open'>;
@@ -54,7 +72,7 @@
   /** Jobs read during recovery: what they need is looked at when all records have been read. */
   private recovering: [Job, DependenciesRecord][] | null = [];
 
-  constructor(private readonly leader: Leader) {}
+  constructor(private readonly context: DependencyTrackerContext) {}
 
   /** Recovery begins anew. */
   clear(): void {
@@ -89,7 +107,7 @@
     // Also while the records are read: what is dropped is read again where a job needs it.
     this.trim();
     if (this.recovering) return;
-    const own = this.leader.jobs.get(id);
+    const own = this.context.jobs.get(id);
     if (own) this.forget(own);
     this.removeChunks(id);
     const waiting = this.dependents.get(id);
@@ -101,7 +119,7 @@
   }
 
   private trim(): void {
-    const most = this.leader.context.settings.machine.memoryMb * ENDED_JOBS_PER_MB;
+    const most = this.context.memoryMb * ENDED_JOBS_PER_MB;
     dropOldest(this.endedJobs, most);
   }
 
@@ -112,8 +130,8 @@
 
   /** Reads the pieces of a long list, however long it takes. */
   private async load(job: Job, needs: ChunkedDependencies): Promise<void> {
-    const { store } = this.leader.context;
-    const { signal } = this.leader.term;
+    const { store } = this.context;
+    const { signal } = this.context.term;
     await this.repeat(job, 'dependencies cannot be read, the job waits', async () => {
       const ids = await readDependencies(store, job.id, needs, signal);
       if (ids && job.phase === 'open') this.resolve(job, ids);
@@ -122,7 +140,7 @@
   }
 
   private resolve(job: Job, ids: readonly string[]): void {
-    job.dependencies = ids.map((id) => this.leader.jobs.get(id)?.id ?? id);
+    job.dependencies = ids.map((id) => this.context.jobs.get(id)?.id ?? id);
     const wait: Wait = { missing: new Set(), since: job.submittedAt };
     const unknown: string[] = [];
     for (const id of job.dependencies) {
@@ -133,7 +151,7 @@
         continue;
       }
       wait.missing.add(id);
-      const known = this.leader.jobs.get(id);
+      const known = this.context.jobs.get(id);
       if (known) known.hasDependents = true;
       else unknown.push(id);
     }
@@ -150,7 +168,7 @@
 
   private logWait(job: Job, { missing }: Wait): void {
     const [first] = missing;
-    this.leader.context.runtime.log.info(
+    this.context.runtime.log.info(
       { job: job.id, class: job.spec.jobClass, waitsFor: first, dependencies: missing.size },
       'waits for other jobs to be done',
     );
@@ -158,13 +176,13 @@
 
   /** Jobs that are over since long, or that the store's news have not shown yet. */
   private async lookUp(job: Job, ids: readonly string[]): Promise<void> {
-    const { store } = this.leader.context;
-    const { signal } = this.leader.term;
+    const { store } = this.context;
+    const { signal } = this.context.term;
     await this.repeat(job, 'a dependency has no record, the job waits', async () => {
       const open = ids.filter((id) => this.waits.get(job)?.missing.has(id));
       const entries = await readJobEntries(store, open, { signal });
       for (const [id, entry] of entries) {
-        if (!this.endedJobs.has(id)) this.leader.jobRecords.onJobEntry(entry);
+        if (!this.endedJobs.has(id)) this.context.onJobEntry(entry);
       }
       return entries.size === open.length;
     });
@@ -176,8 +194,8 @@
     complaint: string,
     attempt: () => Promise<boolean>,
   ): Promise<void> {
-    const { clock, log, random } = this.leader.context.runtime;
-    const { signal } = this.leader.term;
+    const { clock, log, random } = this.context.runtime;
+    const { signal } = this.context.term;
     let complained = false;
     let backoff = 1;
     while (!signal.aborted && job.phase === 'open') {
@@ -189,7 +207,7 @@
         if (signal.aborted) return;
         log.debug({ job: job.id, error: String(error) }, 'dependencies are read again');
       }
-      await clock.sleep(jitter(this.leader.retryMs * backoff, random), signal);
+      await clock.sleep(jitter(this.context.retryMs * backoff, random), signal);
       backoff = Math.min(backoff * 2, MAX_BACKOFF);
     }
   }
@@ -206,14 +224,14 @@
     if (wait.missing.size > 0 || job.phase !== 'open') return;
     this.waits.delete(job);
     job.readyAt = wait.since;
-    this.leader.context.runtime.log.debug({ job: job.id }, 'all jobs that it needs are done');
-    this.leader.requestSchedule();
+    this.context.runtime.log.debug({ job: job.id }, 'all jobs that it needs are done');
+    this.context.requestSchedule();
   }
 
   /** Cancels a job that waits; those that wait for it follow once that is stored. */
   private cancel(job: Job, because: string): void {
     if (job.phase !== 'open') return;
-    this.leader.context.runtime.log.info(
+    this.context.runtime.log.info(
       { job: job.id, class: job.spec.jobClass, cancelled: because },
       'cancelled with a job that it needs',
     );
@@ -221,8 +239,8 @@
     job.isPhaseStored = false;
     job.cancelledBecauseOf = because;
     this.forget(job);
-    this.leader.recordWriter.flush(job);
-    this.leader.requestSchedule();
+    this.context.recordWriter.flush(job);
+    this.context.requestSchedule();
   }
 
   private forget(job: Job): void {
@@ -243,14 +261,13 @@
     if (!needs) return;
     this.chunks.delete(id);
     void this.deleteChunks(id, needs).catch((error: unknown) => {
-      if (this.leader.term.signal.aborted) return;
-      this.leader.context.runtime.log.warn({ job: id, error: String(error) }, 'pieces are left');
+      if (this.context.term.signal.aborted) return;
+      this.context.runtime.log.warn({ job: id, error: String(error) }, 'pieces are left');
     });
   }
 
   private async deleteChunks(id: string, { mark, pieces }: ChunkedDependencies): Promise<void> {
-    const { store } = this.leader.context;
-    const { term } = this.leader;
+    const { store, term } = this.context;
     const when = [{ key: KEYS.leader, version: term.fencingToken }];
     const keys = Array.from({ length: pieces }, (_, i) => KEYS.dependencyChunk(id, mark, i));
     const { chunkChanges: chunkChanges } = store.limits;
--- a/src/control/leader.ts
+++ b/src/control/leader.ts
@@ -25,6 +25,7 @@
 import { SchedulingLoop } from './scheduling/scheduling-loop.js';
 import type { Extension, TeamQuotaMap } from './extensions/extension.js';
 import { GangGate } from './admission/gang-gate.js';
+import { GangTimeouts } from './admission/gang-timeouts.js';
 import { JobRecordWatcher } from './reconciliation/job-record-watcher.js';
 import { LongPoll } from './reconciliation/long-poll.js';
 import { MachineReconciler } from './reconciliation/machine-reconciler.js';
@@ -93,11 +94,11 @@
   readonly longPoll: LongPoll;
   readonly stopCommands: StopCommands;
   readonly taskStopper: TaskStopper;
-  readonly jobRecords = new JobRecordWatcher(this);
-  readonly dependencies = new DependencyTracker(this);
-  readonly heartbeatHandler = new HeartbeatHandler(this);
-  readonly taskLifecycle = new TaskLifecycle(this);
-  readonly schedulingLoop = new SchedulingLoop(this);
+  readonly jobRecords: JobRecordWatcher;
+  readonly dependencies: DependencyTracker;
+  readonly heartbeatHandler: HeartbeatHandler;
+  readonly taskLifecycle: TaskLifecycle;
+  readonly schedulingLoop: SchedulingLoop;
   readonly expectedDemand: ExpectedDemand;
   /** True once the cloud has listed its machines in this term. */
   hasListedMachines = false;
@@ -173,6 +174,125 @@
       () => this.machineTypes,
       term.startedAt,
     );
+    this.dependencies = this.createDependencyTracker();
+    this.jobRecords = this.createJobRecordWatcher();
+    this.heartbeatHandler = this.createHeartbeatHandler();
+    this.taskLifecycle = this.createTaskLifecycle();
+    this.schedulingLoop = this.createSchedulingLoop();
+  }
+
+  private createDependencyTracker(): DependencyTracker {
+    const { runtime, store, settings } = this.context;
+    return new DependencyTracker({
+      runtime,
+      store,
+      term: this.term,
+      memoryMb: settings.machine.memoryMb,
+      retryMs: this.retryMs,
+      jobs: this.jobs,
+      recordWriter: this.recordWriter,
+      onJobEntry: (entry) => this.jobRecords.onJobEntry(entry),
+      requestSchedule: () => this.requestSchedule(),
+    });
+  }
+
+  private createJobRecordWatcher(): JobRecordWatcher {
+    const { runtime, store, settings, membership } = this.context;
+    return new JobRecordWatcher({
+      runtime,
+      store,
+      settings,
+      membership,
+      leaderLeaseMs: this.leaderLeaseMs,
+      retryMs: this.retryMs,
+      jobs: this.jobs,
+      fleet: this.fleet,
+      provisioner: this.provisioner,
+      reconciler: this.reconciler,
+      zoneDelegates: this.zoneDelegates,
+      extensions: this.extensions,
+      recordWriter: this.recordWriter,
+      dependencies: this.dependencies,
+      taskStopper: this.taskStopper,
+      cancellationView: this.cancellationView,
+      recordReadMonitor: this.recordReadMonitor,
+      requestSchedule: () => this.requestSchedule(),
+    });
+  }
+
+  private createHeartbeatHandler(): HeartbeatHandler {
+    const { runtime, settings } = this.context;
+    return new HeartbeatHandler({
+      runtime,
+      settings,
+      term: this.term,
+      fleet: this.fleet,
+      longPoll: this.longPoll,
+      workerLiveness: this.workerLiveness,
+      jobRecords: this.jobRecords,
+      machineTypes: () => this.machineTypes,
+      mayRenewWorkerLeases: (now) => this.mayRenewWorkerLeases(now),
+      requestSchedule: () => this.requestSchedule(),
+    });
+  }
+
+  private createTaskLifecycle(): TaskLifecycle {
+    return new TaskLifecycle({
+      runtime: this.context.runtime,
+      fleet: this.fleet,
+      recordWriter: this.recordWriter,
+      gangGate: this.gangGate,
+      taskStopper: this.taskStopper,
+      requestSchedule: () => this.requestSchedule(),
+    });
+  }
+
+  private createGangTimeouts(): GangTimeouts {
+    const { runtime, operator } = this.context;
+    return new GangTimeouts({
+      runtime,
+      operator,
+      fleet: this.fleet,
+      provisioner: this.provisioner,
+      gangGate: this.gangGate,
+      taskStopper: this.taskStopper,
+      recordWriter: this.recordWriter,
+      machineTypes: () => this.machineTypes,
+    });
+  }
+
+  private createSchedulingLoop(): SchedulingLoop {
+    const { runtime, settings, store, workerlessTerms, successorPolicy } = this.context;
+    return new SchedulingLoop({
+      runtime,
+      settings,
+      store,
+      term: this.term,
+      leaderLeaseMs: this.leaderLeaseMs,
+      jobs: this.jobs,
+      fleet: this.fleet,
+      provisioner: this.provisioner,
+      reconciler: this.reconciler,
+      extensions: this.extensions,
+      expectedDemand: this.expectedDemand,
+      gangGate: this.gangGate,
+      gangTimeouts: this.createGangTimeouts(),
+      taskLifecycle: this.taskLifecycle,
+      taskStopper: this.taskStopper,
+      recordWriter: this.recordWriter,
+      machineLivenessLog: this.machineLivenessLog,
+      quotaWaitLog: this.quotaWaitLog,
+      workerLiveness: this.workerLiveness,
+      workerlessTerms,
+      successorPolicy,
+      zoneDelegates: this.zoneDelegates,
+      machineTypes: () => this.machineTypes,
+      quotas: () => this.quotas(),
+      mayRenewWorkerLeases: (now) => this.mayRenewWorkerLeases(now),
+      hasListedMachines: () => this.hasListedMachines,
+      isStoreAvailableToOthers: () => this.context.isStoreAvailableToOthers(),
+      resign: () => this.resign(),
+    });
   }
 
   private createTaskStopper(): TaskStopper {
--- a/src/control/reconciliation/heartbeat-handler.ts
+++ b/src/control/reconciliation/heartbeat-handler.ts
@@ -1,6 +1,13 @@
+import type { Runtime } from '@leverhatch/core/duty';
+import type { Term } from '../../election/term.js';
+import type { Fleet } from '../../fleet/fleet.js';
 import type { Machine } from '../../fleet/machine.js';
+import type { MachineType } from '../../fleet/resources.js';
+import type { Settings } from '../../settings/deploy.js';
 import type { WorkerCommand, WorkerHeartbeat } from '../../wire/worker-heartbeat.js';
-import type { Leader } from '../leader.js';
+import type { WorkerLiveness } from '../leadership/worker-liveness.js';
+import type { JobRecordWatcher } from './job-record-watcher.js';
+import type { LongPoll } from './long-poll.js';
 
 /**
  * How long the answer to a report may be kept back, as a share of the time between two, so that the
@@ -13,18 +20,34 @@
 export const longestHoldMs = (heartbeatIntervalMs: number): number =>
   Math.min(heartbeatIntervalMs * HOLD_RATIO, MAX_HOLD_MS);
 
-/** Takes workers' reports, and says what to answer and when. */
+/** What a `HeartbeatHandler` works with. */
+export interface HeartbeatHandlerContext {
+  readonly runtime: Pick<Runtime, 'clock'>;
+  readonly settings: Pick<Settings, 'workers'>;
+  readonly term: Pick<Term, 'holdsLease'>;
+  readonly fleet: Fleet;
+  readonly longPoll: LongPoll;
+  readonly workerLiveness: Pick<WorkerLiveness, 'recordHeartbeat'>;
+  readonly jobRecords: Pick<JobRecordWatcher, 'isRecovered' | 'recoveredSignal'>;
+  machineTypes(): ReadonlyMap<string, MachineType>;
+  mayRenewWorkerLeases(now: number): boolean;
+  requestSchedule(): void;
+}
+
+/** Takes workers' heartbeats, and says what to answer and when. */
 export class HeartbeatHandler {
-  constructor(private readonly leader: Leader) {}
+  constructor(private readonly context: HeartbeatHandlerContext) {}
 
   /** What to answer; null if the worker's lease must not be renewed now. */
   receive(heartbeat: WorkerHeartbeat): WorkerCommand[] | null | Promise<WorkerCommand[] | null> {
     // A copy that comes late tells of no worker that reaches us now.
-    const known = this.leader.fleet.machines.get(heartbeat.machine);
+    const known = this.context.fleet.machines.get(heartbeat.machine);
     if (known?.isNewerHeartbeat(heartbeat.agentEpoch, heartbeat.sequence) ?? true)
-      this.leader.workerLiveness.recordHeartbeat(this.leader.now);
-    if (!this.leader.jobRecords.isRecovered) return this.afterRecovery(heartbeat);
-    return this.leader.mayRenewWorkerLeases(this.leader.now) ? this.apply(heartbeat, true) : null;
+      this.context.workerLiveness.recordHeartbeat(this.context.runtime.clock.now());
+    if (!this.context.jobRecords.isRecovered) return this.afterRecovery(heartbeat);
+    return this.context.mayRenewWorkerLeases(this.context.runtime.clock.now())
+      ? this.apply(heartbeat, true)
+      : null;
   }
 
   /**
@@ -32,9 +55,10 @@
    * within the time that a worker waits for its answer.
    */
   private async afterRecovery(heartbeat: WorkerHeartbeat): Promise<WorkerCommand[] | null> {
-    const { jobRecords: jobRecords, context: context } = this.leader;
-    await context.runtime.clock.sleep(MAX_HOLD_MS, jobRecords.recoveredSignal);
-    return jobRecords.isRecovered && this.leader.mayRenewWorkerLeases(this.leader.now)
+    const { jobRecords, runtime } = this.context;
+    await runtime.clock.sleep(MAX_HOLD_MS, jobRecords.recoveredSignal);
+    return jobRecords.isRecovered &&
+      this.context.mayRenewWorkerLeases(this.context.runtime.clock.now())
       ? this.apply(heartbeat, false)
       : null;
   }
@@ -44,26 +68,26 @@
     heartbeat: WorkerHeartbeat,
     mayHold: boolean,
   ): WorkerCommand[] | Promise<WorkerCommand[]> {
-    const type = this.leader.machineTypes.get(heartbeat.type) ?? null;
-    const machine = this.leader.fleet.machines.get(heartbeat.machine);
+    const type = this.context.machineTypes().get(heartbeat.type) ?? null;
+    const machine = this.context.fleet.machines.get(heartbeat.machine);
     const before = machine
       ? Number(machine.isTokenConfirmed) + (machine.preemptionNoticeAt === null ? 0 : 2)
       : -1;
     const fresh =
-      this.leader.jobRecords.isRecovered &&
+      this.context.jobRecords.isRecovered &&
       (machine?.isNewer(heartbeat.agentEpoch, heartbeat.sequence) ?? true);
-    if (fresh) this.leader.longPoll.supersede(heartbeat.machine);
-    const commands = this.leader.fleet.applyHeartbeat(
+    if (fresh) this.context.longPoll.supersede(heartbeat.machine);
+    const commands = this.context.fleet.applyHeartbeat(
       heartbeat,
       type,
-      this.leader.now,
-      this.leader.jobRecords.isRecovered,
+      this.context.runtime.clock.now(),
+      this.context.jobRecords.isRecovered,
     );
-    const after = this.leader.fleet.machines.get(heartbeat.machine)!;
+    const after = this.context.fleet.machines.get(heartbeat.machine)!;
     if (Number(after.isTokenConfirmed) + (after.preemptionNoticeAt === null ? 0 : 2) !== before)
-      this.leader.requestSchedule();
+      this.context.requestSchedule();
     // On others' votes alone running work is kept, but nothing is begun.
-    if (!this.leader.term.holdsLease(this.leader.now))
+    if (!this.context.term.holdsLease(this.context.runtime.clock.now()))
       return commands.filter((command) => command.kind !== 'start');
     const holdMs = mayHold && fresh && commands.length === 0 ? this.holdMs(after) : 0;
     return holdMs === 0 ? commands : this.heldCommands(after, holdMs);
@@ -77,15 +101,15 @@
   }
 
   private async heldCommands(machine: Machine, holdMs: number): Promise<WorkerCommand[]> {
-    const newest = await this.leader.longPoll.wait(machine.id, holdMs);
-    if (this.leader.fleet.machines.get(machine.id) !== machine) return [];
-    const mayStart = newest && this.leader.term.holdsLease(this.leader.now);
+    const newest = await this.context.longPoll.wait(machine.id, holdMs);
+    if (this.context.fleet.machines.get(machine.id) !== machine) return [];
+    const mayStart = newest && this.context.term.holdsLease(this.context.runtime.clock.now());
     return mayStart
-      ? this.leader.fleet.pendingCommands(machine)
-      : this.leader.fleet.pendingStopCommands(machine);
+      ? this.context.fleet.pendingCommands(machine)
+      : this.context.fleet.pendingStopCommands(machine);
   }
 
   private get longestHoldMs(): number {
-    return longestHoldMs(this.leader.context.settings.workers.heartbeatIntervalMs);
+    return longestHoldMs(this.context.settings.workers.heartbeatIntervalMs);
   }
 }
--- a/src/control/reconciliation/job-record-watcher.ts
+++ b/src/control/reconciliation/job-record-watcher.ts
@@ -1,16 +1,50 @@
 import { setMaxListeners } from 'node:events';
+import type { Runtime } from '@leverhatch/core/duty';
+import type { ZoneDelegateWatch } from '../../election/zone-delegate.js';
+import type { Fleet } from '../../fleet/fleet.js';
+import type { MachineProvisioner } from '../../fleet/machine-provisioner.js';
+import type { JobRecordWriter } from '../../jobs/job-record-writer.js';
 import { Job, type StoredRuns } from '../../jobs/tracked-job.js';
 import { parseJob, tasksPerRange, tasksPerRecord, type JobRecord } from '../../jobs/records.js';
 import { readRuns } from '../../jobs/run-reader.js';
-import { RECORD_FORMATS } from '../../membership/membership.js';
+import { RECORD_FORMATS, type Membership } from '../../membership/membership.js';
 import { MAX_CANCELLATIONS } from '../../peer/frames.js';
 import { jobOfKey, jobOfRunKey, KEYS } from '../../state/keys.js';
-import { RevisionCompactedError, type Entry } from '../../state/store.js';
-import type { Leader } from '../leader.js';
+import type { Settings } from '../../settings/deploy.js';
+import { RevisionCompactedError, type Entry, type Store } from '../../state/store.js';
+import type { DependencyTracker } from '../dependencies/dependency-tracker.js';
+import type { TermExtensions } from '../extensions/term-extensions.js';
+import type { RecordReadMonitor } from '../leadership/record-read-monitor.js';
+import type { CancellationView } from '../partition/cancellation-view.js';
+import type { MachineReconciler } from './machine-reconciler.js';
+import type { TaskStopper } from './task-stopper.js';
 
 /** For how long one request waits for changes, as a share of the leader lease. */
 const WATCH_RATIO = 0.25;
 
+/** What a `JobRecordWatcher` works with. */
+export interface JobRecordWatcherContext {
+  readonly runtime: Runtime;
+  readonly store: Store;
+  readonly settings: Pick<Settings, 'state' | 'workers'>;
+  readonly membership: Pick<Membership, 'refresh' | 'allRead'>;
+  readonly leaderLeaseMs: number;
+  /** How soon a request that failed is made again. */
+  readonly retryMs: number;
+  readonly jobs: Map<string, Job>;
+  readonly fleet: Pick<Fleet, 'addPlacement'>;
+  readonly provisioner: Pick<MachineProvisioner, 'restore'>;
+  readonly reconciler: Pick<MachineReconciler, 'recovered'>;
+  readonly zoneDelegates: Pick<ZoneDelegateWatch, 'refresh'>;
+  readonly extensions: Pick<TermExtensions, 'load'>;
+  readonly recordWriter: Pick<JobRecordWriter, 'flush' | 'leftovers'>;
+  readonly dependencies: Pick<DependencyTracker, 'add' | 'clear' | 'onJobEnded' | 'recovered'>;
+  readonly taskStopper: Pick<TaskStopper, 'stopAll'>;
+  readonly cancellationView: Pick<CancellationView, 'completeAt'>;
+  readonly recordReadMonitor: RecordReadMonitor;
+  requestSchedule(): void;
+}
+
 /** Reads the records of earlier leaders at the start of a term, and follows the users' changes. */
 export class JobRecordWatcher {
   private readonly recoveredController = new AbortController();
@@ -23,8 +57,8 @@
   /** Those of them of which the store held only the final state. */
   private readonly endedJobs = new Set<string>();
 
-  constructor(private readonly leader: Leader) {
-    // Every report that waits for the records listens to it.
+  constructor(private readonly context: JobRecordWatcherContext) {
+    // Every heartbeat that waits for the records listens to it.
     setMaxListeners(0, this.recoveredController.signal);
   }
 
@@ -39,58 +73,58 @@
   }
 
   async recover(signal: AbortSignal): Promise<void> {
-    const { runtime } = this.leader.context;
+    const { runtime } = this.context;
     for (;;) {
       try {
         // Nobody but us writes run records while our leader key is there, so they may be read before the
         // jobs; of the many jobs that are over only those with run records have to be remembered then.
         const runs = await this.range(KEYS.runs, signal);
-        const sentAt = this.leader.now;
+        const sentAt = this.context.runtime.clock.now();
         const revision = await this.readJobs(runs, signal);
         const rentals = await this.range(KEYS.provisioningRequests, signal);
-        await this.leader.zoneDelegates.refresh(signal);
-        await this.leader.context.membership.refresh(signal);
-        await this.leader.extensions.load(signal);
+        await this.context.zoneDelegates.refresh(signal);
+        await this.context.membership.refresh(signal);
+        await this.context.extensions.load(signal);
         this.restoreRuns(runs);
-        for (const entry of rentals) this.leader.provisioner.restore(entry);
-        this.leader.reconciler.recovered(this.leader.jobs.size > 0);
+        for (const entry of rentals) this.context.provisioner.restore(entry);
+        this.context.reconciler.recovered(this.context.jobs.size > 0);
         for (const id of this.announcedCancellations) this.announceCancelled(id);
         this.revision = revision;
-        this.leader.cancellationView.completeAt(sentAt);
+        this.context.cancellationView.completeAt(sentAt);
         this.recoveredController.abort();
-        this.leader.recordReadMonitor.recordRecovery(this.leader.now);
+        this.context.recordReadMonitor.recordRecovery(this.context.runtime.clock.now());
         this.withRuns = new Set();
         this.endedJobs.clear();
         this.announcedCancellations.clear();
-        this.leader.dependencies.recovered();
-        for (const job of this.leader.jobs.values()) this.leader.recordWriter.flush(job);
-        runtime.log.info({ jobs: this.leader.jobs.size, runs: runs.length }, 'recovered');
+        this.context.dependencies.recovered();
+        for (const job of this.context.jobs.values()) this.context.recordWriter.flush(job);
+        runtime.log.info({ jobs: this.context.jobs.size, runs: runs.length }, 'recovered');
         return;
       } catch (error) {
         signal.throwIfAborted();
-        this.leader.recordReadMonitor.recordFailure(error);
+        this.context.recordReadMonitor.recordFailure(error);
         runtime.log.debug({ error: String(error) }, 'recovery repeated');
-        await runtime.clock.sleep(this.leader.retryMs, signal);
+        await runtime.clock.sleep(this.context.retryMs, signal);
       }
     }
   }
 
   private async range(prefix: string, signal: AbortSignal): Promise<Entry[]> {
-    const { items } = await this.leader.context.store.range(prefix, signal);
-    this.leader.recordReadMonitor.recordProgress();
+    const { items } = await this.context.store.range(prefix, signal);
+    this.context.recordReadMonitor.recordProgress();
     return items;
   }
 
   /** Takes in all job records, page by page; answers the revision from which to follow them. */
   private async readJobs(runs: Entry[], signal: AbortSignal): Promise<number> {
-    this.leader.jobs.clear();
-    this.leader.dependencies.clear();
+    this.context.jobs.clear();
+    this.context.dependencies.clear();
     this.endedJobs.clear();
     this.withRuns = new Set(runs.map((entry) => jobOfRunKey(entry.key)));
-    return this.leader.context.store.forEachPage(
+    return this.context.store.forEachPage(
       KEYS.jobs,
       (page) => {
-        this.leader.recordReadMonitor.recordProgress();
+        this.context.recordReadMonitor.recordProgress();
         page.forEach((entry) => this.onJobEntry(entry));
       },
       signal,
@@ -98,12 +132,12 @@
   }
 
   private restoreRuns(entries: Entry[]): void {
-    const { runtime, store } = this.leader.context;
+    const { runtime, store } = this.context;
     const perRange = tasksPerRange(store.limits.smallest().valueBytes);
-    const { runs, unreadable } = readRuns(entries, (id) => this.leader.jobs.get(id) ?? null);
+    const { runs, unreadable } = readRuns(entries, (id) => this.context.jobs.get(id) ?? null);
     for (const { id, key, version, job } of unreadable) {
       if (job === null && this.endedJobs.has(id)) {
-        this.leader.recordWriter.leftovers.add([{ key, version }]);
+        this.context.recordWriter.leftovers.add([{ key, version }]);
         continue;
       }
       // What cannot be read may still run: the job is left alone rather than started again.
@@ -114,15 +148,15 @@
   }
 
   private restoreJob(job: Job, stored: StoredRuns, perRange: number): void {
-    const { clock } = this.leader.context.runtime;
+    const { clock } = this.context.runtime;
     for (const placement of job.restore(stored, perRange, clock.now(), clock.wall())) {
-      this.leader.fleet.addPlacement(placement, clock.now());
+      this.context.fleet.addPlacement(placement, clock.now());
       if (job.phase !== 'open') placement.stop = { graceMs: 0 };
     }
-    const { membership } = this.leader.context;
+    const { membership } = this.context;
     if (!job.hasForeignLayout || membership.allRead(RECORD_FORMATS.rangedRuns)) return;
     // Only ranged records could go above them, and not every controller reads those.
-    this.leader.context.runtime.log.error({ job: job.id }, 'records of another layout, left as is');
+    this.context.runtime.log.error({ job: job.id }, 'records of another layout, left as is');
     job.isUnreadable = true;
   }
 
@@ -131,14 +165,9 @@
    * asked to give one often, also when nothing has changed.
    */
   async watch(signal: AbortSignal): Promise<void> {
-    const { store, runtime } = this.leader.context;
-    const {
-      cancellationView: cancellationView,
-      recordReadMonitor: recordReadMonitor,
-      leaderLeaseMs: leaderLeaseMs,
-    } = this.leader;
+    const { store, runtime, cancellationView, recordReadMonitor, leaderLeaseMs } = this.context;
     while (!signal.aborted) {
-      const sentAt = this.leader.now;
+      const sentAt = this.context.runtime.clock.now();
       try {
         const news = await store.watch(
           KEYS.jobs,
@@ -149,14 +178,14 @@
         for (const event of news.events) if (!('gone' in event)) this.onJobEntry(event);
         this.revision = news.revision;
         cancellationView.completeAt(sentAt);
-        recordReadMonitor.recordSuccess(this.leader.now);
+        recordReadMonitor.recordSuccess(this.context.runtime.clock.now());
       } catch (error) {
         if (signal.aborted) return;
         recordReadMonitor.recordFailure(error);
         // Where only watching fails, the records can still be read as a whole.
-        const stalled = recordReadMonitor.ageMs(this.leader.now) > leaderLeaseMs;
+        const stalled = recordReadMonitor.ageMs(this.context.runtime.clock.now()) > leaderLeaseMs;
         if (!(error instanceof RevisionCompactedError || stalled) || !(await this.reread(signal))) {
-          await runtime.clock.sleep(this.leader.retryMs, signal);
+          await runtime.clock.sleep(this.context.retryMs, signal);
         }
       }
     }
@@ -164,15 +193,15 @@
 
   /** Reads all job records again; false if the store does not serve. */
   private async reread(signal: AbortSignal): Promise<boolean> {
-    const sentAt = this.leader.now;
+    const sentAt = this.context.runtime.clock.now();
     try {
-      this.revision = await this.leader.context.store.forEachPage(
+      this.revision = await this.context.store.forEachPage(
         KEYS.jobs,
         (page) => page.forEach((entry) => this.onJobEntry(entry)),
         signal,
       );
-      this.leader.cancellationView.completeAt(sentAt);
-      this.leader.recordReadMonitor.recordSuccess(this.leader.now);
+      this.context.cancellationView.completeAt(sentAt);
+      this.context.recordReadMonitor.recordSuccess(this.context.runtime.clock.now());
       return true;
     } catch {
       return false;
@@ -184,27 +213,27 @@
     // Every one of them is in the store: what is dropped here is read there.
     if (!this.isRecovered && this.announcedCancellations.size < MAX_CANCELLATIONS)
       this.announcedCancellations.add(id);
-    const job = this.leader.jobs.get(id);
+    const job = this.context.jobs.get(id);
     if (job?.phase !== 'open') return;
     job.isCancellationAnnounced = true;
-    this.leader.taskStopper.stopAll(job, 0);
+    this.context.taskStopper.stopAll(job, 0);
   }
 
   onJobEntry(entry: Entry): void {
     const record = parseJob(entry.value);
     if (!record) {
-      this.leader.context.runtime.log.error({ key: entry.key }, 'unreadable job record');
+      this.context.runtime.log.error({ key: entry.key }, 'unreadable job record');
       return;
     }
     this.onJobRecord(jobOfKey(entry.key), entry.version, record);
   }
 
   onJobRecord(id: string, version: number, record: JobRecord): void {
-    const known = this.leader.jobs.get(id);
+    const known = this.context.jobs.get(id);
     if (!known) {
       if (!record.spec || record.at === undefined) {
         if (record.phase !== 'open' && this.withRuns.has(id)) this.endedJobs.add(id);
-        this.leader.dependencies.onJobEnded(id, record.phase, record.doneAt ?? null);
+        this.context.dependencies.onJobEnded(id, record.phase, record.doneAt ?? null);
         return;
       }
       const job = new Job(
@@ -212,17 +241,17 @@
         record.spec,
         record.at,
         version,
-        tasksPerRecord(this.leader.context.settings.state.valueBytes),
-        this.leader.context.settings.workers.heartbeatIntervalMs,
+        tasksPerRecord(this.context.settings.state.valueBytes),
+        this.context.settings.workers.heartbeatIntervalMs,
       );
       job.phase = record.phase;
       job.doneAt = record.doneAt ?? null;
-      this.leader.jobs.set(id, job);
-      if (record.needs) this.leader.dependencies.add(job, record.needs);
-      this.leader.dependencies.onJobEnded(id, record.phase, job.doneAt);
+      this.context.jobs.set(id, job);
+      if (record.needs) this.context.dependencies.add(job, record.needs);
+      this.context.dependencies.onJobEnded(id, record.phase, job.doneAt);
       // Before the run records are read a cancelled job looks as if nothing of it could run.
-      if (this.isRecovered) this.leader.recordWriter.flush(job);
-      this.leader.requestSchedule();
+      if (this.isRecovered) this.context.recordWriter.flush(job);
+      this.context.requestSchedule();
       return;
     }
     if (version <= known.version) return;
@@ -230,9 +259,9 @@
     known.phase = record.phase;
     known.isPhaseStored = true;
     known.doneAt ??= record.doneAt ?? null;
-    this.leader.dependencies.onJobEnded(id, record.phase, known.doneAt);
-    if (record.phase !== 'open') this.leader.taskStopper.stopAll(known, 0);
-    this.leader.recordWriter.flush(known);
-    this.leader.requestSchedule();
+    this.context.dependencies.onJobEnded(id, record.phase, known.doneAt);
+    if (record.phase !== 'open') this.context.taskStopper.stopAll(known, 0);
+    this.context.recordWriter.flush(known);
+    this.context.requestSchedule();
   }
 }
--- a/src/control/reconciliation/task-lifecycle.ts
+++ b/src/control/reconciliation/task-lifecycle.ts
@@ -1,13 +1,27 @@
+import type { Runtime } from '@leverhatch/core/duty';
+import type { Fleet } from '../../fleet/fleet.js';
+import type { JobRecordWriter } from '../../jobs/job-record-writer.js';
 import type { Job, Placement } from '../../jobs/tracked-job.js';
 import type { ExitReason } from '../../wire/worker-heartbeat.js';
-import type { Leader } from '../leader.js';
+import type { GangGate } from '../admission/gang-gate.js';
+import type { TaskStopper } from './task-stopper.js';
+
+/** What a `TaskLifecycle` works with. */
+export interface TaskLifecycleContext {
+  readonly runtime: Pick<Runtime, 'clock' | 'log'>;
+  readonly fleet: Pick<Fleet, 'machines'>;
+  readonly recordWriter: Pick<JobRecordWriter, 'flush' | 'flushExits'>;
+  readonly gangGate: Pick<GangGate, 'onMemberLost'>;
+  readonly taskStopper: Pick<TaskStopper, 'stopAll'>;
+  requestSchedule(): void;
+}
 
 /** What it means for a job that one of its tasks runs, has ended or is proven gone. */
 export class TaskLifecycle {
-  constructor(private readonly leader: Leader) {}
+  constructor(private readonly context: TaskLifecycleContext) {}
 
   onRunning(placement: Placement): void {
-    placement.runningSince = this.leader.now;
+    placement.runningSince = this.context.runtime.clock.now();
     const { job } = placement;
     job.failures.recordRunning(0);
     if (job.gang && job.gang.phase === 'placed') {
@@ -20,8 +34,8 @@
         job.gang.holdsGate = false;
         job.gang.suspensions = 0;
         job.markDirty(0);
-        this.leader.recordWriter.flush(job);
-        this.leader.requestSchedule();
+        this.context.recordWriter.flush(job);
+        this.context.requestSchedule();
       }
     }
   }
@@ -44,7 +58,7 @@
     ) {
       this.onFailure(placement, exitReason);
     }
-    this.leader.context.runtime.log.debug(
+    this.context.runtime.log.debug(
       {
         task: `${job.id}/${placement.task}`,
         attempt: placement.attempt,
@@ -58,12 +72,12 @@
   }
 
   private onFailure(placement: Placement, exitReason: ExitReason): void {
-    const { now } = this.leader;
+    const now = this.context.runtime.clock.now();
     const { failures } = placement.job;
     const ranMs = placement.runningSince === null ? 0 : now - placement.runningSince;
     const failed = exitReason === 'error';
     failures.record({ machine: failed ? placement.machine : null, ranMs, now });
-    if (failed) this.leader.fleet.machines.get(placement.machine)?.recordFailure(failures);
+    if (failed) this.context.fleet.machines.get(placement.machine)?.recordFailure(failures);
   }
 
   /** A job whose tasks failed is sound if others of its tasks run for longer than those did. */
@@ -81,7 +95,7 @@
     const { job } = placement;
     job.placements.delete(placement.task);
     job.markDirty(placement.task);
-    this.leader.context.runtime.log.debug(
+    this.context.runtime.log.debug(
       {
         task: `${job.id}/${placement.task}`,
         attempt: placement.attempt,
@@ -98,10 +112,10 @@
       job.isPhaseStored = false;
     }
     if (job.gang && job.phase === 'open')
-      this.leader.gangGate.onMemberLost(job, (grace) =>
-        this.leader.taskStopper.stopAll(job, grace),
+      this.context.gangGate.onMemberLost(job, (grace) =>
+        this.context.taskStopper.stopAll(job, grace),
       );
-    this.leader.recordWriter.flushExits(job);
-    this.leader.requestSchedule();
+    this.context.recordWriter.flushExits(job);
+    this.context.requestSchedule();
   }
 }
--- a/src/control/scheduling/pipeline-steps.ts
+++ b/src/control/scheduling/pipeline-steps.ts
@@ -2,32 +2,39 @@
  * What the leader knows of open jobs as steps of pipelines: what each waits for, how long it still
  * takes, and by when its class is asked to be done.
  */
+import type { MachineType } from '../../fleet/resources.js';
 import type { JobSpec } from '../../jobs/job.js';
 import type { Job } from '../../jobs/tracked-job.js';
 import type { PipelineStep } from '../../scheduler/pipelines.js';
 import type { Settings } from '../../settings/deploy.js';
-import type { Leader } from '../leader.js';
+
+/** What the steps of pipelines are worked out from. */
+export interface PipelineSources {
+  readonly jobs: ReadonlyMap<string, Job>;
+  readonly settings: Pick<Settings, 'objectives' | 'workers'>;
+  machineTypes(): ReadonlyMap<string, MachineType>;
+}
 
 /** A step's start takes about so many report intervals: an end seen, a start recorded and sent. */
 const START_HEARTBEATS = 2;
 
 /** The jobs that are neither done nor cancelled. */
-export function* openJobs(leader: Leader): Iterable<Job> {
-  for (const job of leader.jobs.values()) if (job.phase === 'open') yield job;
+export function* openJobs(jobs: ReadonlyMap<string, Job>): Iterable<Job> {
+  for (const job of jobs.values()) if (job.phase === 'open') yield job;
 }
 
 /** All open jobs with what they wait for and how long they still take. */
-export function pipelineSteps(leader: Leader, now: number): PipelineStep[] {
-  const aims = deadlineSteps(leader.context.settings);
+export function pipelineSteps(sources: PipelineSources, now: number): PipelineStep[] {
+  const aims = deadlineSteps(sources.settings);
   const steps: PipelineStep[] = [];
-  for (const job of openJobs(leader)) {
+  for (const job of openJobs(sources.jobs)) {
     steps.push({
       id: job.id,
       spec: job.spec,
       submittedAt: job.submittedAt,
       readyAt: job.readyAt,
       dependencies: job.dependencies,
-      remainingMs: remainingMs(leader, job, now),
+      remainingMs: remainingMs(sources, job, now),
       deadlineSteps: aims.get(job.spec.jobClass) ?? [],
     });
   }
@@ -38,16 +45,16 @@
  * Expected time until a job is done once it is ready: its estimate and, if some of it is still to
  * be started, the image's fetch and the time to record and send its starts.
  */
-function remainingMs(leader: Leader, job: Job, now: number): number {
+function remainingMs(sources: PipelineSources, job: Job, now: number): number {
   const { spec } = job;
   // A service is never done, and nobody may wait for it.
   if (spec.kind === 'service') return 0;
-  if (job.waitingCount > 0) return startMs(leader, spec) + spec.estimateMs;
+  if (job.waitingCount > 0) return startMs(sources, spec) + spec.estimateMs;
   let most = 0;
   for (const placement of job.placements.values()) {
     const left =
       placement.runningSince === null
-        ? startMs(leader, spec) + spec.estimateMs
+        ? startMs(sources, spec) + spec.estimateMs
         : spec.estimateMs - (now - placement.runningSince);
     most = Math.max(most, left);
   }
@@ -55,17 +62,17 @@
 }
 
 /** From when a job is ready until its tasks run, where there is room for them. */
-function startMs(leader: Leader, spec: JobSpec): number {
+function startMs(sources: PipelineSources, spec: JobSpec): number {
   let fetchMs = 0;
-  for (const type of leader.machineTypes.values()) {
+  for (const type of sources.machineTypes().values()) {
     if (spec.types !== null && !spec.types.includes(type.name)) continue;
     fetchMs = Math.max(fetchMs, (spec.imageGb / type.fetchGbPerS) * 1000);
   }
-  return fetchMs + leader.context.settings.workers.heartbeatIntervalMs * START_HEARTBEATS;
+  return fetchMs + sources.settings.workers.heartbeatIntervalMs * START_HEARTBEATS;
 }
 
 /** By which multiples of their deadline the jobs of a class should be done, smallest first. */
-function deadlineSteps(settings: Settings): Map<string, number[]> {
+function deadlineSteps(settings: PipelineSources['settings']): Map<string, number[]> {
   const steps = new Map<string, number[]>();
   for (const objective of settings.objectives) {
     if (objective.kind !== 'deadline' || objective.jobClass === null) continue;
--- a/src/control/scheduling/scheduling-loop.ts
+++ b/src/control/scheduling/scheduling-loop.ts
@@ -1,10 +1,54 @@
+import type { Runtime } from '@leverhatch/core/duty';
+import type { SuccessorPolicy } from '../../election/successor-policy.js';
+import type { Term } from '../../election/term.js';
+import type { ZoneDelegateWatch } from '../../election/zone-delegate.js';
+import type { Fleet } from '../../fleet/fleet.js';
+import type { MachineProvisioner } from '../../fleet/machine-provisioner.js';
+import type { JobRecordWriter } from '../../jobs/job-record-writer.js';
+import type { Store } from '../../state/store.js';
+import type { TermExtensions } from '../extensions/term-extensions.js';
+import type { WorkerLiveness, WorkerlessTerms } from '../leadership/worker-liveness.js';
+import type { MachineLivenessLog } from '../reconciliation/machine-liveness-log.js';
+import type { MachineReconciler } from '../reconciliation/machine-reconciler.js';
+import type { TaskLifecycle } from '../reconciliation/task-lifecycle.js';
+import type { TaskStopper } from '../reconciliation/task-stopper.js';
 import type { Job, Placement } from '../../jobs/tracked-job.js';
 import type { SchedulingPlan, Snapshot } from '../../scheduler/scheduling-model.js';
 import { schedule } from '../../scheduler/scheduling-cycle.js';
-import { checkTimeout, gateBootMs } from '../admission/gang-gate.js';
-import type { Leader } from '../leader.js';
+import type { GangGate } from '../admission/gang-gate.js';
+import type { GangTimeouts } from '../admission/gang-timeouts.js';
 import { CycleSizer } from './cycle-sizer.js';
-import { takeSnapshot } from './snapshot.js';
+import type { QuotaWaitLog } from './quota-wait-log.js';
+import { takeSnapshot, type SnapshotSources } from './snapshot.js';
+
+/** What a `SchedulingLoop` works with. */
+export interface SchedulingLoopContext extends SnapshotSources {
+  readonly runtime: Runtime;
+  readonly store: Pick<Store, 'queuedWrites'>;
+  readonly term: Pick<Term, 'isActive' | 'holdsLease' | 'startedAt' | 'signal'>;
+  readonly leaderLeaseMs: number;
+  readonly fleet: Fleet;
+  readonly provisioner: MachineProvisioner;
+  readonly reconciler: MachineReconciler;
+  readonly extensions: TermExtensions;
+  readonly gangGate: Pick<GangGate, 'admit' | 'onPlaced'>;
+  readonly gangTimeouts: Pick<GangTimeouts, 'check' | 'bootMs'>;
+  readonly taskLifecycle: Pick<TaskLifecycle, 'reviewFailures'>;
+  readonly taskStopper: TaskStopper;
+  readonly recordWriter: Pick<JobRecordWriter, 'flush'>;
+  readonly machineLivenessLog: Pick<MachineLivenessLog, 'observe'>;
+  readonly quotaWaitLog: Pick<QuotaWaitLog, 'observe'>;
+  readonly workerLiveness: Pick<WorkerLiveness, 'hasTimedOut' | 'restartTimeout'>;
+  readonly workerlessTerms: Pick<WorkerlessTerms, 'recordResignation'>;
+  readonly successorPolicy: Pick<SuccessorPolicy, 'workerFailoverMs'>;
+  readonly zoneDelegates: Pick<ZoneDelegateWatch, 'refresh'>;
+  mayRenewWorkerLeases(now: number): boolean;
+  /** True once the cloud has listed its machines in this term. */
+  hasListedMachines(): boolean;
+  /** Whether the store serves another controller, which could lead. */
+  isStoreAvailableToOthers(): boolean;
+  resign(): void;
+}
 
 /** Rounds of decisions: what starts, what makes way, what is rented and given back. */
 export class SchedulingLoop {
@@ -13,9 +57,9 @@
   /** When the round before this one began. */
   private lastCycleAt = -Infinity;
 
-  private readonly cycleSizer = new CycleSizer(() => this.leader.leaderLeaseMs);
+  private readonly cycleSizer = new CycleSizer(() => this.context.leaderLeaseMs);
 
-  constructor(private readonly leader: Leader) {}
+  constructor(private readonly context: SchedulingLoopContext) {}
 
   /** Something changed that the next round of decisions should see. */
   request(): void {
@@ -23,8 +67,13 @@
     this.wakeUp?.();
   }
 
+  /** What the next cycle would see. */
+  takeSnapshot(now: number): Snapshot {
+    return takeSnapshot(this.context, now);
+  }
+
   async run(signal: AbortSignal): Promise<void> {
-    const { runtime, settings } = this.leader.context;
+    const { runtime, settings } = this.context;
     const { clock } = runtime;
     const base = settings.workers.heartbeatIntervalMs / 10;
     let dueAt = clock.now();
@@ -33,15 +82,15 @@
       // Who stood still has heard nobody, and has not read yet what came meanwhile; and who turns
       // workers away hears less of them.
       const stoodStill = startedAt - dueAt > settings.workers.heartbeatIntervalMs / 2;
-      if (stoodStill || !this.leader.mayRenewWorkerLeases(startedAt))
-        this.leader.workerLiveness.restartTimeout(startedAt);
-      if (this.leader.term.isActive(startedAt)) this.runCycle();
+      if (stoodStill || !this.context.mayRenewWorkerLeases(startedAt))
+        this.context.workerLiveness.restartTimeout(startedAt);
+      if (this.context.term.isActive(startedAt)) this.runCycle();
       // The longer a round takes, or the more writes of earlier ones still wait for their share of
       // the store's rate, the longer the next one collects work: each write then carries more.
       // But never for longer than a report interval: a controller that stood still in the middle of a
       // round took long for another reason.
       const took = clock.now() - startedAt;
-      const behind = base * this.leader.context.store.queuedWrites;
+      const behind = base * this.context.store.queuedWrites;
       const most = settings.workers.heartbeatIntervalMs;
       const pause = Math.max(base, Math.min(most, Math.max(took * 3, behind)));
       dueAt = clock.now() + pause;
@@ -58,55 +107,49 @@
   }
 
   private runCycle(): void {
-    const now = this.leader.now;
+    const now = this.context.runtime.clock.now();
     this.isRequested = false;
-    const rested =
-      now - this.lastCycleAt > this.leader.context.settings.workers.heartbeatIntervalMs / 2;
+    const rested = now - this.lastCycleAt > this.context.settings.workers.heartbeatIntervalMs / 2;
     this.lastCycleAt = now;
-    this.leader.machineLivenessLog.observe(this.leader.fleet.machines, now);
-    if (this.leader.fleet.expireLeases(now)) void this.refreshZoneDelegates();
-    if (!this.leader.term.holdsLease(now)) return;
+    this.context.machineLivenessLog.observe(this.context.fleet.machines, now);
+    if (this.context.fleet.expireLeases(now)) void this.refreshZoneDelegates();
+    if (!this.context.term.holdsLease(now)) return;
     if (this.isUnreachableByWorkers(now)) {
       // Who rested may have stood still for a part of it, unnoticed: what came meanwhile is read first.
       if (rested) return this.request();
-      this.leader.context.runtime.log.warn({}, 'no worker reports any more, resigning');
-      this.leader.context.workerlessTerms.recordResignation(
-        !this.leader.context.isStoreAvailableToOthers(),
-      );
-      this.leader.resign();
+      this.context.runtime.log.warn({}, 'no worker reports any more, resigning');
+      this.context.workerlessTerms.recordResignation(!this.context.isStoreAvailableToOthers());
+      this.context.resign();
       return;
     }
     this.drainMachines(now);
-    for (const job of this.leader.jobs.values()) {
-      this.leader.taskLifecycle.reviewFailures(job, now);
-      if (job.gang) {
-        checkTimeout(this.leader, job, now);
-      }
-      if (job.phase !== 'open' && job.placements.size > 0) this.leader.taskStopper.stopAll(job, 0);
+    for (const job of this.context.jobs.values()) {
+      this.context.taskLifecycle.reviewFailures(job, now);
+      if (job.gang) this.context.gangTimeouts.check(job, now);
+      if (job.phase !== 'open' && job.placements.size > 0) this.context.taskStopper.stopAll(job, 0);
     }
-    if (this.leader.machineTypes.size === 0) return;
+    if (this.context.machineTypes().size === 0) return;
     // Before the first reports and the list are in, free machines look missing.
     const settled =
-      now - this.leader.term.startedAt >
-      this.leader.context.settings.workers.heartbeatIntervalMs * 3;
-    const whole = takeSnapshot(this.leader, now);
+      now - this.context.term.startedAt > this.context.settings.workers.heartbeatIntervalMs * 3;
+    const whole = this.takeSnapshot(now);
     const snapshot = this.cycleSizer.limit(whole);
     // Of these the round keeps its own count, which goes on while it decides.
     const used = new Map(
       [...snapshot.teams].map(([name, team]) => [name, { ...team, used: { ...team.used } }]),
     );
-    const plannedAt = this.leader.now;
+    const plannedAt = this.context.runtime.clock.now();
     const result = schedule(snapshot);
-    this.leader.quotaWaitLog.observe(result.quotaLimited, used, now);
+    this.context.quotaWaitLog.observe(result.quotaLimited, used, now);
     // What was left out may need them.
     if (snapshot !== whole) {
       result.idleMachines = [];
       result.drainableMachines = [];
     }
-    this.applyPlan(result, now, settled && this.leader.hasListedMachines);
-    this.leader.extensions.afterSchedulingCycle(result.quotaLimited);
-    this.cycleSizer.recordDuration(this.leader.now - plannedAt);
-    this.logCycle(snapshot, result, this.leader.now - now);
+    this.applyPlan(result, now, settled && this.context.hasListedMachines());
+    this.context.extensions.afterSchedulingCycle(result.quotaLimited);
+    this.cycleSizer.recordDuration(this.context.runtime.clock.now() - plannedAt);
+    this.logCycle(snapshot, result, this.context.runtime.clock.now() - now);
   }
 
   /** What the round saw and did: where a fleet stalls can be read from these lines. */
@@ -116,7 +159,7 @@
       if (tasks > 0) waiting[spec.jobClass] = (waiting[spec.jobClass] ?? 0) + tasks;
     }
     const up = snapshot.machines.filter((machine) => machine.isUp).length;
-    this.leader.context.runtime.log.debug(
+    this.context.runtime.log.debug(
       {
         up,
         coming: snapshot.machines.length - up,
@@ -134,7 +177,7 @@
           [...snapshot.teams].map(([name, team]) => [name, team.used.gpus]),
         ),
         heldBack: Object.fromEntries(result.quotaLimited),
-        writesWaiting: this.leader.context.store.queuedWrites,
+        writesWaiting: this.context.store.queuedWrites,
         tookMs,
       },
       'round',
@@ -143,8 +186,8 @@
 
   private async refreshZoneDelegates(): Promise<void> {
     try {
-      await this.leader.zoneDelegates.refresh(this.leader.term.signal);
-      this.leader.requestSchedule();
+      await this.context.zoneDelegates.refresh(this.context.term.signal);
+      this.request();
     } catch {
       // The next round asks again.
     }
@@ -152,67 +195,64 @@
 
   /** No worker reaches us though there are some: they may reach another controller instead. */
   private isUnreachableByWorkers(now: number): boolean {
-    const {
-      workerLiveness: workerLiveness,
-      fleet,
-      machineTypes: machineTypes,
-      hasListedMachines: listed,
-      context: context,
-    } = this.leader;
-    if (context.settings.size === 1) return false;
-    const bootMs = Math.max(0, ...[...machineTypes.values()].map((type) => type.bootMs));
-    const alone = !context.isStoreAvailableToOthers();
-    const { workerFailoverMs: workerFailoverMs } = context.successorPolicy;
+    const { settings, workerLiveness, fleet, successorPolicy } = this.context;
+    if (settings.size === 1) return false;
+    const bootMs = Math.max(
+      0,
+      ...[...this.context.machineTypes().values()].map((type) => type.bootMs),
+    );
+    const isAlone = !this.context.isStoreAvailableToOthers();
+    const { workerFailoverMs } = successorPolicy;
     return workerLiveness.hasTimedOut(now, fleet.machines.values(), {
       bootMs,
-      areMachinesListed: listed,
-      isAlone: alone,
+      areMachinesListed: this.context.hasListedMachines(),
+      isAlone,
       workerFailoverMs,
     });
   }
 
   /** Work leaves a machine that the cloud takes back, has proven faulty or is to go back. */
   private drainMachines(now: number): void {
-    this.leader.reconciler.releaseFailed(now);
-    for (const machine of this.leader.fleet.machines.values()) {
+    this.context.reconciler.releaseFailed(now);
+    for (const machine of this.context.fleet.machines.values()) {
       if (machine.preemptionNoticeAt === null && !machine.isFaulty && !machine.isDraining) continue;
       for (const placement of machine.placements.values()) {
         if (placement.stop || placement.job.phase !== 'open') continue;
-        const grace = this.leader.taskStopper.checkpointGraceMs(placement.job);
-        if (placement.job.gang) this.leader.taskStopper.stopAll(placement.job, grace);
-        else this.leader.taskStopper.stop(placement, grace);
+        const grace = this.context.taskStopper.checkpointGraceMs(placement.job);
+        if (placement.job.gang) this.context.taskStopper.stopAll(placement.job, grace);
+        else this.context.taskStopper.stop(placement, grace);
       }
       if ((machine.isFaulty || machine.isDraining) && machine.placements.size === 0)
-        this.leader.reconciler.release(machine);
+        this.context.reconciler.release(machine);
     }
   }
 
   private applyPlan(result: SchedulingPlan, now: number, mayScaleOut: boolean): void {
     const touched = new Set<Job>();
     for (const start of result.starts) {
-      const job = this.leader.jobs.get(start.job)!;
+      const job = this.context.jobs.get(start.job)!;
       // Such a job is in no snapshot; should it ever get here, its tasks still must not start.
       if (job.readyAt === null) continue;
       this.place(job, start.assignments, now);
       touched.add(job);
     }
     if (result.admittedGang !== null) {
-      const job = this.leader.jobs.get(result.admittedGang)!;
-      this.leader.gangGate.admit(job, now);
+      const job = this.context.jobs.get(result.admittedGang)!;
+      this.context.gangGate.admit(job, now);
       touched.add(job);
     }
     for (const { job, task } of result.stops) {
-      const placement = this.leader.jobs.get(job)?.placements.get(task);
+      const placement = this.context.jobs.get(job)?.placements.get(task);
       if (placement)
-        this.leader.taskStopper.stop(
+        this.context.taskStopper.stop(
           placement,
-          this.leader.taskStopper.preemptionGraceMs(placement.job),
+          this.context.taskStopper.preemptionGraceMs(placement.job),
         );
     }
-    for (const job of touched) this.leader.recordWriter.flush(job);
+    for (const job of touched) this.context.recordWriter.flush(job);
     if (!mayScaleOut) return;
-    for (const rent of result.scaleOut) this.leader.provisioner.provision(rent);
-    this.leader.reconciler.scaleIn(result, now);
+    for (const rent of result.scaleOut) this.context.provisioner.provision(rent);
+    this.context.reconciler.scaleIn(result, now);
   }
 
   private place(job: Job, on: { machine: string; count: number }[], now: number): void {
@@ -221,7 +261,7 @@
     job.attempt++;
     let next = 0;
     for (const { machine, count } of on) {
-      const host = this.leader.fleet.machines.get(machine)!;
+      const host = this.context.fleet.machines.get(machine)!;
       for (let i = 0; i < count; i++) {
         const task = tasks[next++]!;
         const placement: Placement = {
@@ -238,11 +278,11 @@
           stop: null,
         };
         job.placements.set(task, placement);
-        this.leader.fleet.addPlacement(placement, now);
+        this.context.fleet.addPlacement(placement, now);
         job.markDirty(task);
       }
     }
-    const { clock, log } = this.leader.context.runtime;
+    const { clock, log } = this.context.runtime;
     log.debug(
       {
         job: job.id,
@@ -253,6 +293,6 @@
       },
       'placed',
     );
-    if (job.gang) this.leader.gangGate.onPlaced(job, now, gateBootMs(this.leader, job));
+    if (job.gang) this.context.gangGate.onPlaced(job, now, this.context.gangTimeouts.bootMs(job));
   }
 }
--- a/src/control/scheduling/snapshot.ts
+++ b/src/control/scheduling/snapshot.ts
@@ -1,3 +1,6 @@
+import type { Runtime } from '@leverhatch/core/duty';
+import type { Fleet } from '../../fleet/fleet.js';
+import type { MachineProvisioner } from '../../fleet/machine-provisioner.js';
 import type { Machine } from '../../fleet/machine.js';
 import type { Job, Placement } from '../../jobs/tracked-job.js';
 import type { MachineType } from '../../fleet/resources.js';
@@ -11,9 +14,13 @@
   PreemptionCandidate,
 } from '../../scheduler/scheduling-model.js';
 import { pipelineUrgency, type StepUrgency } from '../../scheduler/pipelines.js';
-import type { Leader } from '../leader.js';
+import type { Settings } from '../../settings/deploy.js';
+import type { TeamQuotaMap } from '../extensions/extension.js';
+import type { TermExtensions } from '../extensions/term-extensions.js';
+import type { MachineReconciler } from '../reconciliation/machine-reconciler.js';
+import type { ExpectedDemand } from './expected-demand.js';
 import { tasksAtOnce } from './opportunistic-work.js';
-import { openJobs, pipelineSteps } from './pipeline-steps.js';
+import { openJobs, pipelineSteps, type PipelineSources } from './pipeline-steps.js';
 import { teamUsage } from './team-usage.js';
 
 /**
@@ -25,9 +32,22 @@
 /** What runs for longer than estimated is expected to go on for this share of its estimate. */
 const MIN_REMAINING_RATIO = 0.25;
 
+/** What a snapshot is taken of. */
+export interface SnapshotSources extends PipelineSources {
+  readonly runtime: Pick<Runtime, 'clock'>;
+  readonly settings: Settings;
+  readonly fleet: Pick<Fleet, 'machines' | 'isSchedulable' | 'bootTimes'>;
+  readonly provisioner: Pick<MachineProvisioner, 'pendingRequests' | 'isBackedOff'>;
+  readonly reconciler: Pick<MachineReconciler, 'idleTimeoutMs'>;
+  readonly extensions: Pick<TermExtensions, 'startableTasks' | 'placementLimit' | 'mayMove'>;
+  readonly expectedDemand: ExpectedDemand;
+  /** What each team may have now. */
+  quotas(): TeamQuotaMap;
+}
+
 /** What all parts of one snapshot share, worked out once. */
 interface SnapshotContext {
-  leader: Leader;
+  sources: SnapshotSources;
   /** Steady time, and time of day. */
   now: number;
   wall: number;
@@ -40,28 +60,28 @@
 }
 
 /** What the leader believes at one moment, for a round of decisions. */
-export function takeSnapshot(leader: Leader, now: number): Snapshot {
-  const wall = leader.context.runtime.clock.wall();
-  const urgencies = pipelineUrgency(pipelineSteps(leader, now), wall);
-  const types = [...leader.machineTypes.values()];
+export function takeSnapshot(sources: SnapshotSources, now: number): Snapshot {
+  const wall = sources.runtime.clock.wall();
+  const urgencies = pipelineUrgency(pipelineSteps(sources, now), wall);
+  const types = [...sources.machineTypes().values()];
   const bootMs = types.map((type) => type.bootMs);
   const context = {
-    ...{ leader, now, wall, urgencies, types },
+    ...{ sources, now, wall, urgencies, types },
     gpuBootMs: gpuBootMs(types),
     longestBootMs: Math.max(0, ...bootMs),
   };
   return {
-    machines: machineViews(leader, now),
+    machines: machineViews(sources, now),
     jobs: jobViews(context),
     upcomingJobs: upcoming(context),
-    expectedTasks: leader.expectedDemand.observe(now, context.longestBootMs),
-    leavingCpus: leavingCpus(leader),
-    teams: teamViews(leader),
+    expectedTasks: sources.expectedDemand.observe(now, context.longestBootMs),
+    leavingCpus: leavingCpus(sources),
+    teams: teamViews(sources),
     types,
     offers: offers(context),
     preemptionCandidates: victims(context),
-    movableReplicas: movable(leader),
-    isGateClosed: [...openJobs(leader)].some((job) => job.gang?.holdsGate),
+    movableReplicas: movable(sources),
+    isGateClosed: [...openJobs(sources.jobs)].some((job) => job.gang?.holdsGate),
   };
 }
 
@@ -71,10 +91,10 @@
   return Math.min(...types.map((type) => type.bootMs));
 }
 
-function machineViews(leader: Leader, now: number): MachineView[] {
-  const { workers } = leader.context.settings;
+function machineViews(sources: SnapshotSources, now: number): MachineView[] {
+  const { workers } = sources.settings;
   const views: MachineView[] = [];
-  for (const machine of leader.fleet.machines.values()) {
+  for (const machine of sources.fleet.machines.values()) {
     if (
       !machine.type ||
       machine.isReleasing ||
@@ -83,15 +103,15 @@
       machine.isDraining
     )
       continue;
-    const up = leader.fleet.isSchedulable(machine, now);
-    const booting = machine.isExpected(now, workers.leaseMs, leader.fleet.bootTimes);
+    const up = sources.fleet.isSchedulable(machine, now);
+    const booting = machine.isExpected(now, workers.leaseMs, sources.fleet.bootTimes);
     if (!up && !booting) continue;
     views.push(
-      machineView(machine, machine.type, up, leader.reconciler.idleTimeoutMs(machine.type)),
+      machineView(machine, machine.type, up, sources.reconciler.idleTimeoutMs(machine.type)),
     );
   }
-  leader.provisioner.pendingRequests(now).forEach((pendingRequest, i) => {
-    const type = leader.machineTypes.get(pendingRequest.type);
+  sources.provisioner.pendingRequests(now).forEach((pendingRequest, i) => {
+    const type = sources.machineTypes().get(pendingRequest.type);
     if (!type) return;
     for (let count = 0; count < pendingRequest.count; count++) {
       views.push({
@@ -105,7 +125,7 @@
         incomingGb: 0,
         tasksOf: new Map(),
         replicas: 0,
-        idleTimeoutMs: leader.reconciler.idleTimeoutMs(type),
+        idleTimeoutMs: sources.reconciler.idleTimeoutMs(type),
       });
     }
   });
@@ -144,7 +164,7 @@
 /** Jobs that wait for others take no part in the decisions. */
 function jobViews(context: SnapshotContext): JobView[] {
   const views: JobView[] = [];
-  for (const job of openJobs(context.leader)) {
+  for (const job of openJobs(context.sources.jobs)) {
     if (job.readyAt !== null) views.push(jobView(context, job, job.readyAt));
   }
   return views;
@@ -155,7 +175,7 @@
   const { gpuBootMs, urgencies, wall } = context;
   const views: JobView[] = [];
   if (gpuBootMs === null) return views;
-  for (const job of openJobs(context.leader)) {
+  for (const job of openJobs(context.sources.jobs)) {
     if (job.readyAt !== null || job.isUnreadable || job.spec.need.gpus > 0) continue;
     const readyInMs = urgencies.get(job.id)?.readyInMs ?? Infinity;
     if (readyInMs <= gpuBootMs) views.push(jobView(context, job, wall + readyInMs));
@@ -163,16 +183,16 @@
   return views;
 }
 
-function leavingCpus(leader: Leader): number {
+function leavingCpus(sources: SnapshotSources): number {
   let cpus = 0;
-  for (const { spec, placements } of leader.jobs.values()) {
+  for (const { spec, placements } of sources.jobs.values()) {
     if (spec.kind !== 'service' && spec.need.gpus === 0) cpus += spec.need.cpus * placements.size;
   }
   return cpus;
 }
 
 function jobView(context: SnapshotContext, job: Job, readyAt: number): JobView {
-  const { leader, now, wall, gpuBootMs, longestBootMs } = context;
+  const { sources, now, wall, gpuBootMs, longestBootMs } = context;
   const { spec, gang } = job;
   const zones = new Map<string, number>();
   for (const placement of job.placements.values())
@@ -194,17 +214,17 @@
       !(priority?.isPressed ?? false) &&
       waitedMs < gpuBootMs * BACKFILL_WAIT_BOOTS,
     opportunisticTasks: tasksAtOnce(
-      leader.context.settings,
+      sources.settings,
       job,
       waitedMs,
       longestBootMs,
-      leader.quotas(),
+      sources.quotas(),
     ),
-    waitingTasks: leader.extensions.startableTasks(job),
+    waitingTasks: sources.extensions.startableTasks(job),
     // What waits of a job that fails everywhere takes nothing of its team's guarantee from the rest.
     unfinishedTasks: job.failures.isSuspected
       ? job.placements.size
-      : Math.min(spec.tasks - job.doneCount, leader.extensions.placementLimit(job.id)),
+      : Math.min(spec.tasks - job.doneCount, sources.extensions.placementLimit(job.id)),
     tasksByZone: zones,
     avoidedMachines: job.failures.avoidedMachines(now),
     gang: gang ? { holdsGate: gang.holdsGate, suspensions: gang.suspensions } : null,
@@ -213,10 +233,10 @@
   };
 }
 
-function teamViews(leader: Leader): Map<string, TeamView> {
-  const use = teamUsage(leader.jobs.values());
+function teamViews(sources: SnapshotSources): Map<string, TeamView> {
+  const use = teamUsage(sources.jobs.values());
   const teams = new Map<string, TeamView>();
-  for (const [name, { guarantee, limit }] of leader.quotas()) {
+  for (const [name, { guarantee, limit }] of sources.quotas()) {
     teams.set(name, { guarantee, limit, used: use.get(name) ?? { cpus: 0, gpus: 0 } });
   }
   return teams;
@@ -229,12 +249,12 @@
   return checkpointMs > 0 ? Math.min(ran, checkpointMs) : ran;
 }
 
-function offers({ leader, types }: SnapshotContext): InstanceOffer[] {
+function offers({ sources, types }: SnapshotContext): InstanceOffer[] {
   const list: InstanceOffer[] = [];
   for (const type of types) {
     for (const zone of type.zones) {
       for (const spot of [false, true]) {
-        if (leader.provisioner.isBackedOff(type.name, zone, spot)) continue;
+        if (sources.provisioner.isBackedOff(type.name, zone, spot)) continue;
         list.push({ type, zone, spot, price: spot ? type.spotPrice : type.price });
       }
     }
@@ -242,9 +262,9 @@
   return list;
 }
 
-function victims({ leader, now, urgencies }: SnapshotContext): PreemptionCandidate[] {
+function victims({ sources, now, urgencies }: SnapshotContext): PreemptionCandidate[] {
   const list: PreemptionCandidate[] = [];
-  for (const job of leader.jobs.values()) {
+  for (const job of sources.jobs.values()) {
     if (job.spec.kind === 'service') continue;
     const priority = urgencies.get(job.id)?.priority ?? job.spec.priority;
     for (const placement of job.placements.values()) {
@@ -268,13 +288,13 @@
   return list;
 }
 
-function movable(leader: Leader): ReplicaView[] {
+function movable(sources: SnapshotSources): ReplicaView[] {
   const list: ReplicaView[] = [];
-  for (const job of openJobs(leader)) {
+  for (const job of openJobs(sources.jobs)) {
     if (job.spec.kind !== 'service') continue;
     for (const placement of job.placements.values()) {
       if (placement.stop) return [];
-      if (placement.state !== 'running' || !leader.extensions.mayMove(job.id)) continue;
+      if (placement.state !== 'running' || !sources.extensions.mayMove(job.id)) continue;
       list.push({ job: job.id, task: placement.task, machine: placement.machine, spec: job.spec });
     }
   }
--- a/test/waiting.test.ts
+++ b/test/waiting.test.ts
@@ -1,7 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { Leader } from '../src/control/leader.js';
-import { takeSnapshot } from '../src/control/scheduling/snapshot.js';
 import { withinGuarantee } from '../src/scheduler/job-order.js';
 import type { Job } from '../src/jobs/tracked-job.js';
 import { SimulatedCluster } from './fakes/simulated-cluster.js';
@@ -186,7 +185,7 @@
     jobs,
     teams,
     isGateClosed: isGateClosed,
-  } = takeSnapshot(leaderOf(simulatedCluster), simulatedCluster.clock.now());
+  } = leaderOf(simulatedCluster).schedulingLoop.takeSnapshot(simulatedCluster.clock.now());
   assert.deepEqual(new Set(jobs.map((j) => j.id)), new Set([first, other, otherGang]));
   assert.ok(
     withinGuarantee(jobs, teams).has(other),
