--- /dev/null
+++ b/src/control/controller-services.ts
@@ -0,0 +1,246 @@
+/** Construction of what a controller has at all times, whether it leads or not. */
+import type { Runtime } from '@leverhatch/core/duty';
+import { LeaderElection } from '../election/leader-election.js';
+import { SuccessorPolicy } from '../election/successor-policy.js';
+import { ZoneDelegate, zoneDelegationMs } from '../election/zone-delegate.js';
+import { MachineTypeCatalog } from '../fleet/machine-type-catalog.js';
+import type { WorkerTransports } from '../fleet/stop-commands.js';
+import type { Transport } from '../http/client.js';
+import { CancellationLog } from '../jobs/cancellation-log.js';
+import {
+  JobApi,
+  OPEN_JOBS_PER_MB,
+  type ControllerStatus,
+  type TaskCounts,
+} from '../jobs/job-api.js';
+import { Membership, OWN_FORMATS, type Formats } from '../membership/membership.js';
+import { CancellationQuery } from '../peer/cancellation-query.js';
+import { CANCELLATIONS_VERSION, MAX_CANCELLATIONS, REINSTATEMENT_VERSION } from '../peer/frames.js';
+import type { PeerTransport } from '../peer/peer-transport.js';
+import { StoreReachability } from '../peer/store-reachability.js';
+import { EventLoopLag } from '../runtime/event-loop-lag.js';
+import type { Settings } from '../settings/deploy.js';
+import type { OperatorSettings } from '../settings/operator.js';
+import { Store } from '../state/store.js';
+import type { CreateExtension, Extension, TeamQuotaMap } from './extensions/extension.js';
+import { SelfMonitor } from './leadership/self-monitor.js';
+import { cancellationViewLimitMs } from './partition/cancellation-view.js';
+import { PartitionedWorkers } from './partition/partitioned-workers.js';
+import { MAX_HOLD_MS } from './reconciliation/heartbeat-handler.js';
+import { ReplicatedProgress } from './replicated-progress.js';
+
+/** For how many times `cancel_s` it is remembered which jobs users were told to be cancelled. */
+const CANCELLATION_LOG_WINDOWS = 3;
+
+/** Users wait 5 s for a submission and 2 s for a poll; what they are told has to reach them by then. */
+const SUBMIT_TIMEOUT_MS = 4000;
+const QUERY_TIMEOUT_MS = 1600;
+
+/** How often it is measured how late timers are, as a share of a poll's time. */
+const LAG_INTERVAL_RATIO = 1 / 8;
+
+/** Jobs accepted before all controllers know that there are too many are shown as well. */
+const REPLICATED_JOBS_FACTOR = 2;
+
+/** How many heartbeat intervals pass between two checks of who has been upgraded. */
+const HEARTBEATS_PER_REFRESH = 2;
+
+/** For what share of a worker's lease an answer of the cloud is waited for. */
+const CLOUD_TIMEOUT_RATIO = 0.4;
+
+/** A controller's connections to the world outside, and the optional parts of it. */
+export interface ControllerDependencies {
+  peerTransport: PeerTransport;
+  store: Transport;
+  cloud: Transport;
+  workers: WorkerTransports;
+  /** Optional parts that are switched on. */
+  extensions?: readonly CreateExtension[];
+}
+
+/** What users and extensions see of this controller's own leader. */
+export interface LeaderView {
+  readonly isRecovered: boolean;
+  readonly jobCount: number;
+  progressOf(id: string): TaskCounts | null;
+}
+
+/** What the services ask of the controller that they belong to. */
+export interface ControllerServicesHost {
+  /** This controller's own leader while it leads. */
+  leader(): LeaderView | null;
+  /** A user is about to be told that a job is cancelled. */
+  announceCancellation(id: string): void;
+}
+
+/** An extension that says what teams have or will have. */
+type QuotaExtension = Extension & Required<Pick<Extension, 'promisedQuotas'>>;
+
+function hasPromisedQuotas(extension: Extension): extension is QuotaExtension {
+  return extension.promisedQuotas !== undefined;
+}
+
+/** How long an answer of the cloud is waited for. */
+export function cloudTimeoutMs(settings: Settings): number {
+  return settings.workers.leaseMs * CLOUD_TIMEOUT_RATIO;
+}
+
+/** What a controller has at all times; made in this order, since later ones use earlier ones. */
+export class ControllerServices {
+  readonly store: Store;
+  readonly machineTypes: MachineTypeCatalog;
+  readonly successorPolicy: SuccessorPolicy;
+  readonly election: LeaderElection;
+  /** Optional parts that are switched on. */
+  readonly extensions: readonly Extension[];
+  readonly membership: Membership;
+  readonly replicatedProgress: ReplicatedProgress;
+  readonly eventLoopLag: EventLoopLag;
+  readonly storeReachability: StoreReachability;
+  readonly selfMonitor: SelfMonitor;
+  readonly cancellationLog: CancellationLog;
+  readonly cancellationQuery: CancellationQuery;
+  readonly jobApi: JobApi;
+  readonly partitionedWorkers: PartitionedWorkers;
+  private readonly leaderLeaseMs: number;
+
+  constructor(
+    private readonly settings: Settings,
+    operator: OperatorSettings,
+    private readonly runtime: Runtime,
+    private readonly dependencies: ControllerDependencies,
+    private readonly host: ControllerServicesHost,
+  ) {
+    const { machine, workers } = settings;
+    const { clock, log, startedAt } = runtime;
+    this.leaderLeaseMs = workers.leaseMs * operator.election.lifetime;
+    this.store = new Store(dependencies.store, runtime, settings, this.leaderLeaseMs / 4);
+    this.machineTypes = new MachineTypeCatalog(
+      this.store,
+      dependencies.cloud,
+      runtime,
+      cloudTimeoutMs(settings),
+    );
+    this.successorPolicy = this.createSuccessorPolicy();
+    this.election = this.createElection();
+    this.extensions = this.createExtensions();
+    this.membership = this.createMembership();
+    this.replicatedProgress = new ReplicatedProgress(
+      machine.memoryMb * OPEN_JOBS_PER_MB * REPLICATED_JOBS_FACTOR,
+    );
+    this.eventLoopLag = new EventLoopLag(clock, QUERY_TIMEOUT_MS * LAG_INTERVAL_RATIO);
+    this.storeReachability = new StoreReachability(clock, workers.heartbeatIntervalMs);
+    this.selfMonitor = new SelfMonitor(clock, log, workers.heartbeatIntervalMs);
+    this.cancellationLog = new CancellationLog(
+      clock,
+      startedAt,
+      workers.cancelMs * CANCELLATION_LOG_WINDOWS,
+      MAX_CANCELLATIONS,
+    );
+    this.cancellationQuery = new CancellationQuery(
+      dependencies.peerTransport,
+      runtime,
+      this.cancellationLog,
+      (peer) => this.membership.readsFrames(peer, CANCELLATIONS_VERSION),
+    );
+    this.jobApi = this.createJobApi();
+    this.partitionedWorkers = this.createPartitionedWorkers();
+  }
+
+  private createSuccessorPolicy(): SuccessorPolicy {
+    const { settings } = this;
+    const { heartbeatIntervalMs, leaseMs } = settings.workers;
+    const controllers = [settings, ...settings.peers];
+    return new SuccessorPolicy(this.runtime.clock, this.dependencies.peerTransport, {
+      self: settings.member,
+      zones: new Map(controllers.map(({ member, zone }) => [member, zone] as const)),
+      heartbeatIntervalMs,
+      leaseMs,
+    });
+  }
+
+  private createElection(): LeaderElection {
+    return new LeaderElection(
+      this.store,
+      this.dependencies.peerTransport,
+      this.runtime,
+      this.settings.member,
+      this.leaderLeaseMs,
+      this.successorPolicy,
+      (peer) => this.membership.readsFrames(peer, REINSTATEMENT_VERSION),
+    );
+  }
+
+  private createExtensions(): Extension[] {
+    const { store, runtime, settings } = this;
+    const host = {
+      ...{ store, runtime, settings },
+      isLeading: (): boolean => this.host.leader()?.isRecovered ?? false,
+      haveAllEnabled: (feature: string, signal: AbortSignal): Promise<boolean> =>
+        this.membership.haveAllEnabled(feature, signal),
+      promisedQuotas: async (): Promise<TeamQuotaMap> =>
+        (await this.quotaExtension?.promisedQuotas()) ?? settings.teams,
+    };
+    return (this.dependencies.extensions ?? []).map((create) => create(host));
+  }
+
+  private createMembership(): Membership {
+    const { member, peers, size, workers } = this.settings;
+    return new Membership(
+      this.store,
+      this.runtime,
+      { self: member, peers: peers.map((peer) => peer.member), size },
+      workers.heartbeatIntervalMs * HEARTBEATS_PER_REFRESH,
+      this.formats,
+    );
+  }
+
+  private createJobApi(): JobApi {
+    const { store, machineTypes, settings, runtime } = this;
+    return new JobApi(store, machineTypes, settings, runtime, this.statusForUsers(), {
+      submitMs: SUBMIT_TIMEOUT_MS,
+      pollMs: QUERY_TIMEOUT_MS,
+    });
+  }
+
+  private createPartitionedWorkers(): PartitionedWorkers {
+    const { store, runtime, settings, leaderLeaseMs } = this;
+    const { machine, member, workers, zone } = settings;
+    return new PartitionedWorkers(
+      new ZoneDelegate(store, runtime, member, zone, zoneDelegationMs(leaderLeaseMs)),
+      (job) => this.jobApi.phaseOf(job),
+      runtime.clock,
+      {
+        refreshMs: workers.cancelMs / 8,
+        viewMs: cancellationViewLimitMs(workers, leaderLeaseMs),
+        waitMs: MAX_HOLD_MS,
+        maxJobs: machine.memoryMb * OPEN_JOBS_PER_MB,
+      },
+    );
+  }
+
+  /** What this controller understands, with the optional parts that it has switched on. */
+  private get formats(): Formats {
+    const features = this.extensions.map(({ feature }) => feature);
+    return features.length > 0 ? { ...OWN_FORMATS, features } : OWN_FORMATS;
+  }
+
+  /** The part that says what teams have or will have; undefined: the settings do. */
+  private get quotaExtension(): QuotaExtension | undefined {
+    return this.extensions.find(hasPromisedQuotas);
+  }
+
+  private statusForUsers(): ControllerStatus {
+    const { host, quotaExtension } = this;
+    return {
+      progressOf: (id) => {
+        const leader = host.leader();
+        return leader ? leader.progressOf(id) : this.replicatedProgress.of(id);
+      },
+      openJobCount: () => host.leader()?.jobCount ?? this.replicatedProgress.size,
+      lagMs: () => this.eventLoopLag.ms,
+      onCancellationAnnounced: (id) => host.announceCancellation(id),
+      ...(quotaExtension ? { promisedQuotas: () => quotaExtension.promisedQuotas() } : {}),
+    };
+  }
+}
