--- a/src/jobs/cancellation-log.ts
+++ b/src/jobs/cancellation-log.ts
@@ -1,17 +1,17 @@
 import type { Clock } from '@leverhatch/core/clock';
 
 /**
- * Which jobs this process has told any user to be cancelled. An entry is made before the answer
+ * Which cancellations this process has announced to any user. An entry is made before the answer
  * leaves, so whoever asks for the entries since some moment gets every cancellation that a user can
- * have learned here since then. Nothing survives the process: what an earlier one told is unknown.
+ * have learned here since then. Nothing survives the process: what an earlier one announced is unknown.
  */
 export class CancellationLog {
-  /** When each job was first told to be cancelled, oldest first. */
+  /** When the cancellation of each job was first announced (monotonic, ms), oldest first. */
   private readonly announcedAt = new Map<string, number>();
-  /** From when on no entry is missing. */
+  /** Monotonic time in ms since when no entry is missing. */
   private completeFrom: number;
 
-  /** `keepMs`: how long an entry is kept; `most`: how many are kept at most. */
+  /** `retentionMs`: how long an entry is kept; `maxEntries`: how many are kept at most. */
   constructor(
     private readonly clock: Clock,
     startedAt: number,
@@ -21,7 +21,7 @@
     this.completeFrom = startedAt;
   }
 
-  /** To be called before a user is told; true if no user has been told here lately. */
+  /** Call it before the answer is sent. True if it was not announced here lately. */
   add(id: string): boolean {
     if (this.announcedAt.has(id)) return false;
     this.announcedAt.set(id, this.clock.now());
@@ -29,7 +29,7 @@
     return true;
   }
 
-  /** Every job told to be cancelled at or after `from`; null if that is not known for certain. */
+  /** Every job whose cancellation was announced at or after `from`; null if the entries since then may be incomplete. */
   since(from: number): string[] | null {
     this.dropExpired();
     if (from < this.completeFrom) return null;
@@ -39,9 +39,9 @@
   }
 
   private dropExpired(): void {
-    const old = this.clock.now() - this.retentionMs;
+    const expiredBefore = this.clock.now() - this.retentionMs;
     for (const [id, at] of this.announcedAt) {
-      if (at >= old && this.announcedAt.size <= this.maxEntries) return;
+      if (at >= expiredBefore && this.announcedAt.size <= this.maxEntries) return;
       this.announcedAt.delete(id);
       this.completeFrom = Math.max(this.completeFrom, at);
     }
--- a/src/jobs/completed-tasks.ts
+++ b/src/jobs/completed-tasks.ts
@@ -1,7 +1,7 @@
 /** Task numbers as ranges, both ends included. */
 export type TaskRanges = [number, number][];
 
-/** Which tasks of a job are done: one byte for each, as arrays may have 100,000. */
+/** The completed tasks of a job: one byte for each, since a job array may have 100,000. */
 export class CompletedTasks {
   private readonly flags: Uint8Array;
   private total = 0;
@@ -10,7 +10,7 @@
     this.flags = new Uint8Array(tasks);
   }
 
-  /** How many are done. */
+  /** Number of completed tasks. */
   get count(): number {
     return this.total;
   }
@@ -40,13 +40,13 @@
     this.total--;
   }
 
-  /** The tasks from `from` up to but without `to` that are done. */
+  /** The completed tasks from `from` (included) to `to` (excluded). */
   ranges(from: number, to: number): TaskRanges {
     const ranges: TaskRanges = [];
     for (let task = from; task < to; task++) {
       if (!this.has(task)) continue;
       const last = ranges[ranges.length - 1];
-      if (last && last[1] === task - 1) last[1] = task;
+      if (last?.[1] === task - 1) last[1] = task;
       else ranges.push([task, task]);
     }
     return ranges;
--- a/src/jobs/dependencies.ts
+++ b/src/jobs/dependencies.ts
@@ -6,13 +6,13 @@
 /**
  * How the jobs that a job waits for are stored. A few of them go into the job's own record: no
  * further write or read is needed then. A body may name thousands, which no value can hold; those
- * are written in pieces before the job's record, which then names how many there are.
+ * are written in chunks before the job's record, which then names how many there are.
  *
- * The key of a piece carries a mark made of the whole list. So an acceptance that was cut off
- * half-way leaves only pieces that a repeat, at any node, would write again just so: it uses what is
- * there. Another list for the same job has another mark, and the two cannot mix. Pieces are removed
+ * The key of a chunk carries a hash (`mark`) of the whole list. So an acceptance that was cut off
+ * half-way leaves only chunks that a repeat, at any controller, would write with the same content: it
+ * uses what is there. Another list for the same job has another mark, and the two cannot mix. Chunks are removed
  * only once the job is stored as over. So whoever adds the job's record on condition that there is
- * none yet knows that the pieces seen or written before are all there.
+ * none yet knows that the chunks seen or written before are all there.
  */
 export interface StoredDependencies {
   /** What the job's record says; undefined: it waits for nothing. */
@@ -21,6 +21,7 @@
   chunks: DependencyChunk[];
 }
 
+/** The change that writes one chunk; `bytes` is the size of its value. */
 export type DependencyChunk = Extract<Change, { put: string }> & { bytes: number };
 
 /** The store's limits, as far as they bound what is written here. */
@@ -29,10 +30,10 @@
   txnOps: number;
 }
 
-/** Which share of a value's limit dependencies may take in the job's own record. */
+/** Fraction of the value limit that dependencies may take in the job's own record. */
 const INLINE_RATIO = 1 / 8;
 
-/** Which share of a value's limit a piece fills; the rest leaves room for how a store counts. */
+/** Fraction of the value limit that a chunk fills; the store may count more bytes than we do. */
 const CHUNK_FILL_RATIO = 0.8;
 
 /** What all changes of one transaction may hold together: the limit is 64 KiB with its conditions. */
@@ -44,6 +45,7 @@
 const bytesOf = (ids: readonly string[]): number =>
   ids.reduce((sum, id) => sum + id.length + BYTES_BESIDE_ID, 0);
 
+/** Lays out the dependencies of job `id`: inline while they are few, else as chunks. */
 export function layOutDependencies(
   id: string,
   dependencies: readonly string[],
@@ -55,52 +57,54 @@
   }
   const lists = split(dependencies, limits.valueBytes * CHUNK_FILL_RATIO);
   const mark = createHash('sha256').update(JSON.stringify(lists)).digest('hex').slice(0, 32);
-  const pieces = lists.map((ids, i) => ({
+  const chunks = lists.map((ids, i) => ({
     put: KEYS.dependencyChunk(id, mark, i),
     value: { ids },
     bytes: bytesOf(ids),
   }));
-  return { needs: { mark, pieces: pieces.length }, chunks: pieces };
+  return { needs: { mark, pieces: chunks.length }, chunks };
 }
 
-function split(ids: readonly string[], mostBytes: number): string[][] {
+function split(ids: readonly string[], maxBytes: number): string[][] {
   const lists: string[][] = [];
-  let bytes = Infinity;
+  let current: string[] | null = null;
+  let bytes = 0;
   for (const id of ids) {
     const size = id.length + BYTES_BESIDE_ID;
-    if (bytes + size > mostBytes) {
-      lists.push([]);
+    if (!current || bytes + size > maxBytes) {
+      current = [];
+      lists.push(current);
       bytes = 0;
     }
-    lists[lists.length - 1]!.push(id);
+    current.push(id);
     bytes += size;
   }
   return lists;
 }
 
-/** Groups of pieces that fit into one transaction each. */
+/** Groups of chunks that fit into one transaction each. */
 export function groupChunks(
-  pieces: readonly DependencyChunk[],
+  chunks: readonly DependencyChunk[],
   limits: WriteLimits,
 ): DependencyChunk[][] {
   const groups: DependencyChunk[][] = [];
   let bytes = 0;
-  for (const piece of pieces) {
+  for (const chunk of chunks) {
     const group = groups[groups.length - 1];
-    if (!group || group.length >= limits.txnOps || bytes + piece.bytes > MAX_TRANSACTION_BYTES) {
-      groups.push([piece]);
-      bytes = piece.bytes;
+    if (!group || group.length >= limits.txnOps || bytes + chunk.bytes > MAX_TRANSACTION_BYTES) {
+      groups.push([chunk]);
+      bytes = chunk.bytes;
     } else {
-      group.push(piece);
-      bytes += piece.bytes;
+      group.push(chunk);
+      bytes += chunk.bytes;
     }
   }
   return groups;
 }
 
 /**
- * The jobs that a record names as its dependencies; null if a piece is missing or unreadable. The
- * pieces of an open job are never missing; where they are, the job has just ended and its record
+ * The jobs that a record names as its dependencies; null if a chunk is missing or unreadable. The
+ * chunks of an open job are never missing; where they are, the job has just ended and its record
  * says so.
  */
 export async function readDependencies(
--- a/src/jobs/failure-history.ts
+++ b/src/jobs/failure-history.ts
@@ -1,34 +1,35 @@
-/** The pause after a failure begins with two report intervals and is doubled at most this often. */
+/** The pause after a failure begins with two heartbeat intervals and is doubled at most this often. */
 const MAX_PAUSE_DOUBLINGS = 4;
 
-/** A machine on which a task failed is avoided for as many report intervals as the longest pause. */
-const AVOID_HEARTBEATS = 2 ** MAX_PAUSE_DOUBLINGS;
+/** A machine on which a task failed is avoided for as many heartbeat intervals as the longest pause. */
+const AVOIDANCE_INTERVALS = 2 ** MAX_PAUSE_DOUBLINGS;
 
-/** On so many machines a job has to fail before the fault is looked for in the job. */
+/** On this many machines a job has to fail before the fault is looked for in the job. */
 const SUSPICIOUS_MACHINES = 2;
 
 /** A job that fails on more machines than this blames none of them, whatever else of it runs. */
 const MAX_BLAMED_MACHINES = 3;
 
 /**
- * Where a suspected job finds no free room for so many report intervals after its pause, it counts as
- * others do for one attempt, which may wait at the gate and rent: it may have met faulty machines only.
+ * Where a suspected job finds no free room for so many heartbeat intervals after its pause, it counts as
+ * others do for one attempt, which may wait for gang admission and scale out: it may have met faulty machines only.
  */
-const IDLE_HEARTBEATS = 48;
+const IDLE_INTERVALS = 48;
 
 /**
- * A task runs well once it has run for so many times as long as any that failed, and so many report
- * intervals more: starts and ends are known no better than that.
+ * A task runs well once it has run for so many times as long as any that failed, and so many heartbeat
+ * intervals more: starts and exits are known no better than that.
  */
 const PROOF_RUNS = 2;
-const PROOF_HEARTBEATS = 2;
+const PROOF_INTERVALS = 2;
 
+/** One failure of a task. */
 export interface Failure {
-  /** Where it failed; null: its machine refused the start, which tells nothing of either. */
+  /** Where it failed; null: its machine rejected the start, which says nothing about either. */
   machine: string | null;
   /** How long the task ran, in milliseconds. */
   ranMs: number;
-  /** Steady time in milliseconds. */
+  /** Monotonic time in milliseconds. */
   now: number;
 }
 
@@ -39,7 +40,7 @@
 export type FailureAttribution = 'sound' | 'open' | 'none';
 
 /**
- * What the failures of one job's tasks tell: is it the machines, or a mistake in the job, which then
+ * What the failures of one job's tasks show: is it the machines, or a mistake in the job, which then
  * fails everywhere?
  *
  * It lives in the leader's memory alone, so it costs no writes. A new leader knows nothing of it, and
@@ -47,7 +48,7 @@
  * tasks were on one machine, for each change of leader. No pause outlives its leader either.
  */
 export class FailureHistory {
-  /** No task is placed before this steady time. */
+  /** No task is placed before this monotonic time (ms). */
   retryAt = 0;
   /** Failures in a row; those within one pause count once. */
   private rounds = 0;
@@ -70,7 +71,7 @@
     return !this.ranWell && this.failedAt.size >= SUSPICIOUS_MACHINES;
   }
 
-  /** Whether it may be told by its running tasks that the job is sound. */
+  /** Whether its running tasks may still show that the job is sound. */
   get isUndecided(): boolean {
     return !this.ranWell && this.failedAt.size > 0;
   }
@@ -105,7 +106,7 @@
 
   /** Nothing of it is on a machine now. */
   recordIdle(now: number): void {
-    if (now - this.retryAt > this.heartbeatIntervalMs * IDLE_HEARTBEATS) this.isAttemptDue = true;
+    if (now - this.retryAt > this.heartbeatIntervalMs * IDLE_INTERVALS) this.isAttemptDue = true;
   }
 
   /** The job is over: what nothing has shown by now stays open for ever. */
@@ -120,7 +121,7 @@
     return machines;
   }
 
-  /** What the job's failure says against a machine on which it failed. */
+  /** Failure attribution for a machine on which the job failed. */
   attribution(machine: string, now: number): FailureAttribution {
     const at = this.failedAt.get(machine);
     if (at === undefined || this.failsEverywhere || this.failedAt.size > MAX_BLAMED_MACHINES) {
@@ -139,10 +140,10 @@
   }
 
   private get proofMs(): number {
-    return this.longestRunMs * PROOF_RUNS + this.heartbeatIntervalMs * PROOF_HEARTBEATS;
+    return this.longestRunMs * PROOF_RUNS + this.heartbeatIntervalMs * PROOF_INTERVALS;
   }
 
   private isRecent(at: number, now: number): boolean {
-    return now - at < this.heartbeatIntervalMs * AVOID_HEARTBEATS;
+    return now - at < this.heartbeatIntervalMs * AVOIDANCE_INTERVALS;
   }
 }
--- a/src/jobs/feasibility.ts
+++ b/src/jobs/feasibility.ts
@@ -10,17 +10,17 @@
 ): string | null {
   const team = teams.get(spec.team);
   if (!team) return `unknown team ${spec.team}`;
-  const fitting = [...types.values()].some(
+  const fitsAnyType = [...types.values()].some(
     (type) =>
       (spec.types === null || spec.types.includes(type.name)) &&
       (spec.zone === null || type.zones.includes(spec.zone)) &&
       fits(spec.need, type.capacity),
   );
-  if (!fitting) return 'a task fits no allowed machine type';
-  const atOnce = spec.kind === 'array' ? 1 : spec.tasks;
+  if (!fitsAnyType) return 'a task fits no allowed machine type';
+  const concurrentTasks = spec.kind === 'array' ? 1 : spec.tasks;
   if (
-    spec.need.gpus * atOnce > team.limit.gpus + 1e-6 ||
-    spec.need.cpus * atOnce > team.limit.cpus + 1e-6
+    spec.need.gpus * concurrentTasks > team.limit.gpus + 1e-6 ||
+    spec.need.cpus * concurrentTasks > team.limit.cpus + 1e-6
   ) {
     return `more than the limit of team ${spec.team}`;
   }
--- a/src/jobs/job-acceptance.ts
+++ b/src/jobs/job-acceptance.ts
@@ -8,15 +8,16 @@
   type DependencyChunk,
   type WriteLimits,
 } from './dependencies.js';
+import { UnnamedConflictError } from './errors.js';
 import type { JobStateCache } from './job-state-cache.js';
 import { fitJobRecord } from './record-size.js';
-import type { JobRecord } from './records.js';
+import { WRITE_ID, type JobRecord } from './records.js';
 import { commitForUser, hedged, type RequestTimeouts } from './user-requests.js';
 
 /** What became of a submission that was not in the store when it came. */
 export type AcceptanceResult =
   | { kind: 'added' }
-  /** It is in the store already: another node or an earlier try was first. */
+  /** It is in the store already: another controller or an earlier try was first. */
   | { kind: 'known' }
   /** Its record does not fit the limits of the store. */
   | { kind: 'too large' }
@@ -25,7 +26,7 @@
 
 /**
  * Puts new jobs into the store. The job's own record comes last and on condition that there is none:
- * until it is there the job is not accepted, whatever else has been written, and two nodes that
+ * until it is there the job is not accepted, whatever else has been written, and two controllers that
  * accept the same job at once end in one.
  */
 export class JobAcceptance {
@@ -55,7 +56,7 @@
         const { valueBytes, txnOps } = limits;
         if (!this.store.limits.onSubmissionRejected(valueBytes, txnOps))
           return { kind: 'too large' };
-        this.runtime.log.warn({ job: id, valueBytes }, 'store refused a submission');
+        this.runtime.log.warn({ job: id, valueBytes }, 'submission rejected by the store');
       }
     }
   }
@@ -66,9 +67,9 @@
     signal: AbortSignal,
   ): Promise<AcceptanceResult> {
     const { clock, random } = this.runtime;
-    const { needs, chunks: chunks } = layOutDependencies(id, dependencies, limits);
+    const { needs, chunks } = layOutDependencies(id, dependencies, limits);
     const record: JobRecord = {
-      w: random.unique(),
+      [WRITE_ID]: random.unique(),
       phase: 'open',
       tasks: spec.tasks,
       at: clock.wall(),
@@ -109,8 +110,8 @@
   }
 
   /**
-   * Writes those of the pieces that are not there yet; which are there is as it should be. False if
-   * the job has been accepted meanwhile: a copy that comes late would bring back pieces that were
+   * Writes those of the chunks that are not there yet; those present have the right content. False if
+   * the job has been accepted meanwhile: a copy that comes late would bring back chunks that were
    * removed with the job's end, and nothing would ever remove them again.
    */
   private async addChunks(
@@ -119,19 +120,19 @@
     signal: AbortSignal,
   ): Promise<boolean> {
     const notAccepted = { key: KEYS.job(id), version: 0 };
-    let left = group;
-    while (left.length > 0) {
+    let pending = group;
+    while (pending.length > 0) {
       const outcome = await this.commit(
-        [notAccepted, ...left.map((p) => ({ key: p.put, version: 0 }))],
-        left.map(({ put, value }) => ({ put, value })),
+        [notAccepted, ...pending.map(({ put }) => ({ key: put, version: 0 }))],
+        pending.map(({ put, value }) => ({ put, value })),
         signal,
       );
       if (outcome.ok) return true;
       if (outcome.failed.includes(notAccepted.key)) return false;
-      const there = new Set(outcome.failed);
-      const missing = left.filter((p) => !there.has(p.put));
-      if (missing.length === left.length) throw new Error('a conflict that names no piece');
-      left = missing;
+      const existing = new Set(outcome.failed);
+      const missing = pending.filter(({ put }) => !existing.has(put));
+      if (missing.length === pending.length) throw new UnnamedConflictError(id);
+      pending = missing;
     }
     return true;
   }
@@ -144,9 +145,9 @@
     return commitForUser(this.store, this.runtime.clock, this.timeouts, when, then, signal);
   }
 
-  /** Pieces are never written anew: they are laid out for the smallest limits there will be. */
+  /** Chunks are never rewritten: they are laid out for the smallest limits there will be. */
   private get writeLimits(): WriteLimits {
-    const { submittedBytes, chunkChanges: chunkChanges } = this.store.limits;
+    const { submittedBytes, chunkChanges } = this.store.limits;
     return { valueBytes: submittedBytes.current, txnOps: chunkChanges.current };
   }
 }
--- a/src/jobs/job-api.ts
+++ b/src/jobs/job-api.ts
@@ -9,10 +9,11 @@
 import { JobAcceptance } from './job-acceptance.js';
 import { infeasibleReason } from './feasibility.js';
 import type { JobPhase, JobSpec } from './job.js';
-import { JobStateCache, type JobState } from './job-state-cache.js';
+import type { JobState } from './job-state.js';
+import { JobStateCache } from './job-state-cache.js';
 import { fitJobRecord, smallestCancelled } from './record-size.js';
 import { QueryAdmission } from './query-admission.js';
-import { parseJob, type JobRecord } from './records.js';
+import { parseJob, WRITE_ID, type JobRecord } from './records.js';
 import {
   commitForUser,
   HEDGE_RATIO,
@@ -20,6 +21,7 @@
   type RequestTimeouts,
 } from './user-requests.js';
 
+/** An answer to a user. */
 export interface ApiResponse {
   status: number;
   body: object;
@@ -27,22 +29,23 @@
   retryAfter?: number;
 }
 
+/** How many tasks of a job are completed and running. */
 export interface TaskCounts {
   done: number;
   running: number;
 }
 
-/** What a controller knows beside the store, and is told of users' requests. */
+/** What a controller knows beside the store, and its hooks for users' requests. */
 export interface ControllerStatus {
   /** How far an open job is, for display; null: not known. */
   progressOf(id: string): TaskCounts | null;
-  /** How many jobs are open, as far as the leader has said. */
+  /** How many jobs are open, by the last leader heartbeat. */
   openJobCount(): number;
   /** By how many milliseconds timers are late. */
   lagMs(): number;
-  /** Called before any user is told that a job is cancelled. */
+  /** Called before a cancellation is announced to any user. */
   onCancellationAnnounced(id: string): void;
-  /** What teams have or will have where shares are moved; without it as the settings say. */
+  /** Present or promised quotas where quota transfers are in use; without it the settings hold. */
   promisedQuotas?(): Promise<ReadonlyMap<string, Pick<Team, 'limit'>>>;
 }
 
@@ -52,16 +55,16 @@
  */
 export const OPEN_JOBS_PER_MB = 60;
 
-/** For how large a share of a submission's time it may queue for the store's rate. */
+/** Fraction of a submission's timeout for which it may queue for the store's rate. */
 const MAX_QUEUED_RATIO = 0.25;
 
 /** The same for a cancellation: it is sent away only where it could not be confirmed in its time. */
 const MAX_CANCEL_QUEUED_RATIO = 0.75;
 
 /**
- * Answers users, on every controller. Nothing is accepted, cancelled or told before the store has
- * it, and every answer that may still change rests on a comparison with the store that began after
- * the question came, see `JobStates`.
+ * Answers users, on every controller. Nothing is accepted, cancelled or announced before the store
+ * has it, and every answer that may still change rests on a version check that began after the query
+ * came, see `JobStateCache`.
  */
 export class JobApi {
   private readonly stateCache: JobStateCache;
@@ -101,13 +104,13 @@
     return this.withTimeout(this.limits.submitMs, (signal) => this.accept(body, signal));
   }
 
-  /** `crowded`: the machine is short of connections, see `QuestionAdmission`. */
+  /** `isOverCapacity`: the machine is short of connections, see `QueryAdmission`. */
   query(id: string, isOverCapacity = false): Promise<ApiResponse> {
     if (!wire.isJobId(id)) return Promise.resolve(UNKNOWN);
     if (!this.admission.admits(id, isOverCapacity)) return Promise.resolve(BUSY);
     return this.withTimeout(this.limits.pollMs, async (signal) => {
       const job = await this.stateCache.query(id, signal, this.admission.isOverdue(id));
-      // One whose own time is over has been refused already.
+      // One whose own time is over has been answered as busy already.
       if (!signal.aborted) this.admission.recordAnswer(id);
       return job ? { status: 200, body: this.status(id, job) } : UNKNOWN;
     });
@@ -133,8 +136,8 @@
     const { id, spec } = parsed.value;
     const types = this.catalogue.types.value;
     if (!types) return this.knownOr(id, signal, BUSY);
-    const never = await this.infeasibleReason(spec, types);
-    if (never !== null) return this.knownOr(id, signal, { status: 422, body: { error: never } });
+    const reason = await this.infeasibleReason(spec, types);
+    if (reason !== null) return this.knownOr(id, signal, { status: 422, body: { error: reason } });
     if (this.stateCache.has(id)) return this.knownOr(id, signal, BUSY);
     if (this.controller.openJobCount() >= this.maxOpenJobs) return this.knownOr(id, signal, FULL);
     return this.add(parsed.value, signal);
@@ -145,8 +148,8 @@
     spec: JobSpec,
     types: ReadonlyMap<string, MachineType>,
   ): Promise<string | null> {
-    const never = infeasibleReason(spec, this.settings.teams, types);
-    if (never === null || !this.controller.promisedQuotas) return never;
+    const reason = infeasibleReason(spec, this.settings.teams, types);
+    if (reason === null || !this.controller.promisedQuotas) return reason;
     return infeasibleReason(spec, await this.controller.promisedQuotas(), types);
   }
 
@@ -169,8 +172,8 @@
 
   /**
    * What to call a job that was just accepted. One that waits for others may be cancelled with them
-   * already, and what is remembered of those may be old: another node may have told that one of them
-   * is cancelled long ago, and from then on its dependents must not be called pending. Where the
+   * already, and what is cached of those may be old: another controller may have announced long ago
+   * that one of them is cancelled, and from then on its dependents must not be called pending. Where the
    * store does not serve the submission is sent again, and answered as known.
    */
   private async stateOfNew(
@@ -208,7 +211,7 @@
       const record = parseJob(entry.value);
       if (!record) return BUSY;
       if (record.phase === 'done') {
-        this.rememberOver(id, entry.version, record);
+        this.cacheEnded(id, entry.version, record);
         return { status: 200, body: wire.jobAnswer(id, 'done') };
       }
       let { version } = entry;
@@ -217,7 +220,7 @@
         if (!outcome.ok) continue;
         version = outcome.revision;
       }
-      this.rememberOver(id, version, { ...record, phase: 'cancelled' });
+      this.cacheEnded(id, version, { ...record, phase: 'cancelled' });
       return { status: 200, body: wire.jobAnswer(id, this.announceWithdrawn(id)) };
     }
   }
@@ -240,10 +243,10 @@
       );
     const cancelled: JobRecord = {
       ...open,
-      w: this.runtime.random.unique(),
+      [WRITE_ID]: this.runtime.random.unique(),
       phase: 'cancelled',
     };
-    // One accepted under larger limits may have to lose what means nothing.
+    // A record accepted under larger limits may have to drop fields that mean nothing any more.
     const { valueBytes } = this.store.limits.effective();
     try {
       return await put(fitJobRecord(cancelled, valueBytes, this.machineTypes) ?? cancelled);
@@ -255,7 +258,7 @@
     }
   }
 
-  private rememberOver(id: string, version: number, { phase, tasks }: JobRecord): void {
+  private cacheEnded(id: string, version: number, { phase, tasks }: JobRecord): void {
     this.stateCache.put(id, { version, phase, tasks, dependencies: [] });
   }
 
@@ -263,7 +266,7 @@
     return wire.jobAnswer(id, job ? this.publicPhase(id, job) : 'pending');
   }
 
-  /** Whoever tells a user that a job is withdrawn does it here, whichever way it was cancelled. */
+  /** Every announcement of a cancellation passes here, whichever way the job was cancelled. */
   private announceWithdrawn(id: string): wire.PublicPhase {
     this.controller.onCancellationAnnounced(id);
     return 'withdrawn';
@@ -287,11 +290,11 @@
     body: (signal: AbortSignal) => Promise<ApiResponse>,
   ): Promise<ApiResponse> {
     const control = new AbortController();
-    const late = this.runtime.clock.sleep(ms, control.signal).then(() => BUSY);
+    const timeout = this.runtime.clock.sleep(ms, control.signal).then(() => BUSY);
     try {
-      return await Promise.race([body(control.signal), late]);
+      return await Promise.race([body(control.signal), timeout]);
     } catch (error) {
-      this.runtime.log.debug({ error: String(error) }, 'request not served');
+      this.runtime.log.debug({ error: String(error) }, 'user request failed');
       if (!(error instanceof OverloadedError)) return BUSY;
       return { ...BUSY, retryAfter: Math.ceil(error.delayMs / 1000) };
     } finally {
--- a/src/jobs/job-reader.ts
+++ b/src/jobs/job-reader.ts
@@ -6,15 +6,16 @@
 export const MAX_SINGLE_READS = 4;
 
 /** Pages hold at least so many records: jobs that were submitted together have close names. */
-const MIN_PAGE = 200;
-const MAX_PAGE = 1000;
+const MIN_PAGE_RECORDS = 200;
+const MAX_PAGE_RECORDS = 1000;
 
+/** How records are read. */
 export interface ReadOptions {
   signal?: AbortSignal;
   /** On whose behalf the store is asked; the most urgent work unless given. */
   requestClass?: RequestClass;
-  /** Is told of all other records on the pages, which are as large as can be then. */
-  onOtherEntry?(entry: Entry): void;
+  /** Called with every other record on the pages, which are as large as possible then. */
+  onOtherEntry?: (entry: Entry) => void;
 }
 
 /**
@@ -25,41 +26,45 @@
 export async function readJobEntries(
   store: Store,
   ids: readonly string[],
-  {
-    signal,
-    requestClass: requestClass = RequestPriority.Critical,
-    onOtherEntry: onOtherEntry,
-  }: ReadOptions = {},
+  { signal, requestClass = RequestPriority.Critical, onOtherEntry }: ReadOptions = {},
 ): Promise<Map<string, Entry>> {
   if (ids.length <= MAX_SINGLE_READS) return readOneByOne(store, ids, requestClass, signal);
-  const leastPage = onOtherEntry ? MAX_PAGE : MIN_PAGE;
+  const minPageRecords = onOtherEntry ? MAX_PAGE_RECORDS : MIN_PAGE_RECORDS;
   const found = new Map<string, Entry>();
   const wanted = new Set(ids.map(KEYS.job));
   const keys = [...wanted].sort();
-  for (let next = 0; next < keys.length;) {
-    const limit = Math.min(MAX_PAGE, Math.max(leastPage, keys.length - next));
-    const page = await store.page(KEYS.jobs, justBefore(keys[next]!), limit, signal, requestClass);
+  let next = 0;
+  for (let key = keys[next]; key !== undefined; key = keys[next]) {
+    const limit = Math.min(MAX_PAGE_RECORDS, Math.max(minPageRecords, keys.length - next));
+    const page = await store.page(KEYS.jobs, justBefore(key), limit, signal, requestClass);
     for (const entry of page.items) {
       if (wanted.has(entry.key)) found.set(entry.key.slice(KEYS.jobs.length), entry);
       else onOtherEntry?.(entry);
     }
     const last = page.items[page.items.length - 1]?.key;
     if (!page.more || last === undefined) break;
-    while (next < keys.length && keys[next]! <= last) next++;
+    next = firstAfter(keys, last, next);
   }
   return found;
 }
 
+/** Index of the first of the sorted `keys`, from `start` on, that is greater than `last`. */
+function firstAfter(keys: readonly string[], last: string, start: number): number {
+  const offset = keys.slice(start).findIndex((key) => key > last);
+  return offset < 0 ? keys.length : start + offset;
+}
+
 async function readOneByOne(
   store: Store,
   ids: readonly string[],
-  from: RequestClass,
+  requestClass: RequestClass,
   signal?: AbortSignal,
 ): Promise<Map<string, Entry>> {
-  const entries = await Promise.all(ids.map((id) => store.get(KEYS.job(id), from, signal)));
+  const entries = await Promise.all(ids.map((id) => store.get(KEYS.job(id), requestClass, signal)));
   const found = new Map<string, Entry>();
-  entries.forEach((entry, i) => {
-    if (entry) found.set(ids[i]!, entry);
+  ids.forEach((id, i) => {
+    const entry = entries[i];
+    if (entry) found.set(id, entry);
   });
   return found;
 }
--- a/src/jobs/job-record-writer.ts
+++ b/src/jobs/job-record-writer.ts
@@ -13,26 +13,27 @@
 import { recordRemoved, TransactionCommitter } from './transaction-committer.js';
 import { WriteRejections } from './write-rejections.js';
 
-/** How many times the ends of a job's tasks wait while writes queue. */
+/** For how many batch intervals the exits of a job's tasks wait while writes queue. */
 const MAX_EXIT_BATCHES = 4;
 
 /** A transaction that is about to be written. */
 interface JobWrite {
   transaction: JobTransaction;
-  /** What its job's phase was when it was made. */
+  /** The job's phase when the transaction was built. */
   phase: JobPhase;
   /** Starts that it records. */
   starts: Placement[];
-  /** Exited starts whose end it records. */
+  /** Exited starts whose exit it records. */
   exits: Placement[];
 }
 
+/** What the writer reports back to the leader. */
 export interface JobRecordEvents {
-  /** The job's own record was changed by another node: cancelled by its user. */
+  /** The job's own record was changed by another controller: cancelled by its user. */
   jobChanged(job: Job, version: number, record: JobRecord): void;
   /** These starts are in the store and may be sent. */
   startsRecorded(placements: Placement[]): void;
-  /** The end of these starts is in the store and may be forgotten. */
+  /** The exit of these starts is in the store and may be forgotten. */
   exitsRecorded(placements: Placement[]): void;
   /** The store holds something that only another leader could have written. */
   contradiction(what: string): void;
@@ -49,7 +50,7 @@
  */
 export class JobRecordWriter {
   private writes = 0;
-  private readonly refusals: WriteRejections;
+  private readonly rejections: WriteRejections;
   readonly leftovers: LeftoverRecords;
   private readonly builder: TransactionBuilder;
   private readonly committer: TransactionCommitter;
@@ -64,13 +65,13 @@
     private readonly events: JobRecordEvents,
     private readonly startFences: readonly StartFence[] = [],
   ) {
-    this.refusals = new WriteRejections(limits, exitBatchMs);
+    this.rejections = new WriteRejections(limits, exitBatchMs);
     this.leftovers = new LeftoverRecords(store, runtime, term);
     // A leader of an earlier version would take them for records that it cannot read.
     this.builder = new TransactionBuilder(
       runtime,
       term,
-      this.refusals,
+      this.rejections,
       () => layoutPolicy.leftoversKnown() && store.queuedWrites > 0 && !this.leftovers.isFull,
     );
     this.committer = new TransactionCommitter(store, term, {
@@ -93,7 +94,7 @@
       !this.needsWrite(job)
     )
       return;
-    if (this.refusals.retryAt(job) > this.runtime.clock.now()) return;
+    if (this.rejections.retryAt(job) > this.runtime.clock.now()) return;
     job.isWriteInFlight = true;
     void this.write(job)
       .catch((error: unknown) => {
@@ -107,8 +108,8 @@
   }
 
   /**
-   * Ends of tasks can wait a little: until they are recorded their workers go on showing them, and a
-   * successor learns them from there. So the ends of a large array share a few writes, and while
+   * Exits of tasks can wait a little: until they are recorded their workers go on reporting them, and
+   * a successor learns them from there. So the exits of a large array share a few writes, and while
    * writes queue they wait longer: a write that is under way would hold up the job's next starts.
    */
   flushExits(job: Job): void {
@@ -123,7 +124,7 @@
 
   /**
    * Rewrites the job's superseded records as ranged ones, when nothing else waits to be written.
-   * `rewriting` is false again once it is done.
+   * `isRewriting` is false again once it is done.
    */
   rewrite(job: Job): void {
     if (job.phase !== 'open' || job.isUnreadable || job.isArchived) return;
@@ -170,19 +171,21 @@
     this.applied(job, write, revision);
   }
 
-  /** The next transaction of a job, and the starts and ends of its tasks that it stores. */
+  /** The next transaction of a job, and the starts and exits of its tasks that it stores. */
   private prepare(job: Job, writeId: string): JobWrite {
     const transaction = this.builder.build(job, writeId);
-    const fresh = [...job.placements.values()].filter(
+    const recordingStarts = [...job.placements.values()].filter(
       (placement) => placement.stage === 'recording',
     );
     // Starts in sections that did not fit into this transaction stay unsent until theirs is written.
-    const inside = (placement: Placement): boolean =>
+    const isCovered = (placement: Placement): boolean =>
       transaction.sections.some(
         (section) => placement.task >= section.from && placement.task < section.to,
       );
-    const starts = fresh.filter(inside);
-    const ends = transaction.archives ? job.unrecordedExits : job.unrecordedExits.filter(inside);
+    const starts = recordingStarts.filter(isCovered);
+    const exits = transaction.archives
+      ? job.unrecordedExits
+      : job.unrecordedExits.filter(isCovered);
     const { jobRecord } = transaction;
     if (jobRecord !== null || starts.length > 0) {
       transaction.conditions.push({ key: KEYS.job(job.id), version: job.version });
@@ -192,12 +195,12 @@
       transaction.conditions.push(...transaction.startConditions);
     }
     if (jobRecord !== null) transaction.changes.push({ put: KEYS.job(job.id), value: jobRecord });
-    return { transaction, phase: job.phase, starts, exits: ends };
+    return { transaction, phase: job.phase, starts, exits };
   }
 
   /** The store holds what was written. */
   private applied(job: Job, write: JobWrite, revision: number): void {
-    const { transaction, phase, starts, exits: exits } = write;
+    const { transaction, phase, starts, exits } = write;
     for (const section of transaction.sections) {
       section.version = revision;
       section.inherited = false;
@@ -210,29 +213,29 @@
       this.leftovers.add(transaction.leftovers);
       this.events.endRecorded(job, phase);
     }
-    const ended = new Set(exits);
-    job.unrecordedExits = job.unrecordedExits.filter((placement) => !ended.has(placement));
+    const recorded = new Set(exits);
+    job.unrecordedExits = job.unrecordedExits.filter((placement) => !recorded.has(placement));
     this.events.startsRecorded(starts);
     this.events.exitsRecorded(exits);
     if (job.isArchived) this.events.archived(job);
   }
 
-  /** Ranged records where all controllers read them and records must shrink, or one was refused. */
+  /** Ranged records where all controllers read them and records must shrink, or one was rejected. */
   private chooseLayout(job: Job): void {
     if (job.layout.kind === 'ranged' || job.phase !== 'open') return;
     if (!this.layoutPolicy.rangesReadable()) return;
-    if (!this.layoutPolicy.rangesWanted() && !this.refusals.has(job)) return;
-    const perRange = tasksPerRange(this.refusals.limitsFor(job).valueBytes);
+    if (!this.layoutPolicy.rangesWanted() && !this.rejections.has(job)) return;
+    const perRange = tasksPerRange(this.rejections.limitsFor(job).valueBytes);
     job.useRangedRecords(perRange);
-    this.refusals.layoutChanged(job);
-    this.runtime.log.debug({ job: job.id, perRange }, 'run records are ranged from now on');
+    this.rejections.layoutChanged(job);
+    this.runtime.log.debug({ job: job.id, perRange }, 'run records become ranged');
   }
 
-  /** The store refuses this write for good, which stops the progress of this job alone. */
+  /** The store rejects this write for good, which stops the progress of this job alone. */
   private onRejected(job: Job, changes: Change[], error: RequestRejectedError): void {
     const { clock, log } = this.runtime;
-    const first = !this.refusals.has(job);
-    const waitMs = this.refusals.add(job, clock.now());
+    const first = !this.rejections.has(job);
+    const waitMs = this.rejections.add(job, clock.now());
     job.isRewriting = false;
     if (first) {
       const sizes = changes.map((change) =>
@@ -240,7 +243,7 @@
           ? { key: change.put, bytes: jsonBytes(change.value) }
           : { key: change.delete },
       );
-      log.error({ job: job.id, error: String(error), changes: sizes }, 'job cannot be written');
+      log.error({ job: job.id, error: String(error), changes: sizes }, 'job write rejected');
     }
     void clock.sleep(waitMs, this.term.signal).then(() => this.flush(job));
   }
--- a/src/jobs/job-state-cache.ts
+++ b/src/jobs/job-state-cache.ts
@@ -4,44 +4,38 @@
 import { jobOfKey, KEYS } from '../state/keys.js';
 import type { Entry, RequestClass, Store } from '../state/store.js';
 import { readDependencies } from './dependencies.js';
-import type { JobPhase } from './job.js';
 import { MAX_SINGLE_READS, readJobEntries } from './job-reader.js';
 import { parseJob, type JobRecord } from './records.js';
+import type { JobState } from './job-state.js';
+import {
+  MissingDependencyError,
+  UncachedJobError,
+  ChangedJobError,
+  UnreadableRecordError,
+} from './errors.js';
 import { VersionChecker, type ReadState, type CacheReader } from './version-checker.js';
 
-/** What a controller knows of a job. */
-export interface JobState {
-  /** Version of the record that says so. */
-  version: number;
-  /** As stored; or `cancelled` because a job that it needs is. */
-  phase: JobPhase;
-  tasks: number;
-  /** Jobs that an open job needs and that may still be open; they never change. */
-  dependencies: readonly string[];
-}
-
 /**
- * How many jobs a node remembers for each MB of its memory, at some 200 bytes each; beyond it the
- * ones asked for least lately are read again.
+ * How many jobs a controller caches for each MB of its memory, at some 200 bytes each; beyond it the
+ * ones cached longest ago are evicted.
  */
 const CACHED_JOBS_PER_MB = 50;
 
-/** Where so many records are missing, those beside them are taken in as well. */
+/** Where this many records are missing, those beside them are taken in as well. */
 const PREFETCH_THRESHOLD = 16;
 
-/** So many dependencies take as much memory as a job that is remembered. */
+/** This many dependencies take as much memory as a cached job. */
 const DEPENDENCIES_PER_JOB = 4;
 
 /**
- * The states of jobs, on every controller. A state that may still change rests on a comparison with
- * the store, or on a read, that began after the question came. One comparison serves all questions
- * that wait for it.
+ * The states of jobs, on every controller. A state that may still change rests on a version
+ * check, or on a read, that began after the query came. One check serves all queries that wait for it.
  *
  * A job is cancelled if its record says so or if a job that it needs, directly or through others, is
  * stored as cancelled. So a cancellation holds for all that need the job as soon as it is stored, at
- * every node, with nothing else to be written. The answer `open` rests on records compared in
- * several transactions, at different moments after the question came. That is sound since a job that
- * is over never opens again: what is open at a later moment was open when the question came, so at
+ * every controller, with nothing else to be written. The answer `open` rests on records checked in
+ * several transactions, at different moments after the query came. That is sound since a job that
+ * is over never opens again: what is open at a later moment was open when the query came, so at
  * that moment all of them were. What a job needs is fixed when it is accepted, and below a job that is done
  * all are done. The answer `cancelled` is final, since a job with a cancelled one before it can never
  * be done: it starts only when all of those are.
@@ -78,30 +72,30 @@
   }
 
   /**
-   * The same for a user's question, which comes after all other work. `overdue`: nothing was answered
-   * about this job for long, and it may queue for longer than others before it is refused.
+   * The same for a user's query, which comes after all other work. `overdue`: nothing was answered
+   * about this job for long, and it may queue for longer than others before it is sent away.
    */
   query(id: string, signal: AbortSignal, overdue: boolean): Promise<JobState | null> {
     return this.currentBy(this.queryChecker, id, signal, overdue);
   }
 
   private async currentBy(
-    comparisons: VersionChecker,
+    checker: VersionChecker,
     id: string,
     signal: AbortSignal | null,
     overdue = false,
   ): Promise<JobState | null> {
-    const remembered = this.cache.get(id);
-    if (remembered && remembered.phase !== 'open') return remembered;
-    if (remembered && this.hasCancelledAncestor(remembered)) return this.markCancelled(id);
-    const needsOthers = remembered && remembered.dependencies.length > 0;
-    if (needsOthers) return this.withAncestors(comparisons, id, signal);
-    const job = await comparisons.check(id, signal, overdue);
+    const cached = this.cache.get(id);
+    if (cached && cached.phase !== 'open') return cached;
+    if (cached && this.hasCancelledAncestor(cached)) return this.markCancelled(id);
+    const hasDependencies = cached && cached.dependencies.length > 0;
+    if (hasDependencies) return this.withAncestors(checker, id, signal);
+    const job = await checker.check(id, signal, overdue);
     if (job?.phase !== 'open' || job.dependencies.length === 0) return job;
-    return this.withAncestors(comparisons, id, signal);
+    return this.withAncestors(checker, id, signal);
   }
 
-  /** The state as far as it is remembered, which may be older than this call. */
+  /** The state as far as it is cached, which may be older than this call. */
   cached(id: string): JobState | null {
     const job = this.cache.get(id);
     if (!job) return null;
@@ -126,7 +120,7 @@
     return null;
   }
 
-  /** Takes in a record that was read or written; what is over stays over. */
+  /** Caches a record that was read or written; what is over stays over. */
   put(id: string, job: JobState): JobState {
     const before = this.cache.get(id);
     // Answers may overtake one another: the newer version stands.
@@ -156,7 +150,7 @@
 
   // ---- jobs that others are needed for
 
-  /** Whether a job before this one is remembered as cancelled. */
+  /** Whether a job before this one is cached as cancelled. */
   private hasCancelledAncestor(job: JobState): boolean {
     const seen = new Set<string>();
     const left = [...job.dependencies];
@@ -171,41 +165,42 @@
   }
 
   private markCancelled(id: string): JobState {
-    const job = this.cache.get(id)!;
+    const job = this.cache.get(id);
+    if (!job) throw new UncachedJobError(id);
     return this.put(id, { ...job, phase: 'cancelled', dependencies: [] });
   }
 
-  /** The state of an open job that needs others: all open ones before it are compared too. */
+  /** The state of an open job that needs others: all open ones before it are version-checked too. */
   private async withAncestors(
-    comparisons: VersionChecker,
+    checker: VersionChecker,
     id: string,
     signal: AbortSignal | null,
   ): Promise<JobState | null> {
     const states = new Map<string, JobState>();
     let left = this.openBefore(id, states);
     while (left.length > 0) {
-      for (const [ancestor, state] of await this.checkAll(comparisons, left, signal)) {
+      for (const [ancestor, state] of await this.checkAll(checker, left, signal)) {
         if (state) states.set(ancestor, state);
         else if (ancestor === id) return null;
-        else throw new Error(`${ancestor}, which ${id} needs, is missing`);
+        else throw new MissingDependencyError(id, ancestor);
       }
-      const job = states.get(id)!;
+      const job = stateOf(states, id);
       if (job.phase !== 'open') return job;
       for (const state of states.values()) {
-        // Remembered with its version again, in case it has been dropped from memory meanwhile.
+        // Cached with its version again, in case it has been dropped from memory meanwhile.
         if (state.phase === 'cancelled') return this.put(id, withdrawn(job));
       }
       left = [...states.values()].flatMap((state) => state.dependencies);
       left = [...new Set(left)].filter((a) => !states.has(a));
     }
-    const job = states.get(id)!;
+    const job = stateOf(states, id);
     const satisfied = job.dependencies.every(
       (dependency) => states.get(dependency)?.phase === 'done',
     );
     return satisfied ? this.put(id, { ...job, dependencies: [] }) : job;
   }
 
-  /** The job itself and all before it that are remembered as open or not at all. */
+  /** The job itself and all before it that are cached as open or not at all. */
   private openBefore(id: string, over: Map<string, JobState>): string[] {
     const open = new Set<string>();
     const left = [id];
@@ -220,35 +215,35 @@
   }
 
   private async checkAll(
-    comparisons: VersionChecker,
+    checker: VersionChecker,
     ids: string[],
     signal: AbortSignal | null,
   ): Promise<Map<string, JobState | null>> {
-    // More than fit a few comparisons cost less requests as pages of records.
-    if (ids.length > comparisons.maxJobsAtOnce) return this.readAll(ids, signal);
-    // A comparison of what is not remembered could only fail, and then be followed by a read.
+    // More than fit a few version checks cost fewer requests as pages of records.
+    if (ids.length > checker.maxJobsAtOnce) return this.readAll(ids, signal);
+    // A version check of what is not cached could only fail, and then be followed by a read.
     const known = ids.filter((id) => this.cache.has(id));
     const unknown = ids.filter((id) => !this.cache.has(id));
     const [states, read] = await Promise.all([
-      Promise.all(known.map((id) => this.checkUnlessEnded(comparisons, id, signal))),
+      Promise.all(known.map((id) => this.checkUnlessEnded(checker, id, signal))),
       this.readAll(unknown, signal),
     ]);
-    known.forEach((id, i) => read.set(id, states[i]!));
+    known.forEach((id, i) => read.set(id, states[i] ?? null));
     return read;
   }
 
   private checkUnlessEnded(
-    comparisons: VersionChecker,
+    checker: VersionChecker,
     id: string,
     signal: AbortSignal | null,
   ): Promise<JobState | null> {
     const known = this.cache.get(id);
     if (known && known.phase !== 'open') return Promise.resolve(known);
-    return comparisons.check(id, signal);
+    return checker.check(id, signal);
   }
 
-  private async readOne(id: string, from: RequestClass): Promise<JobState | null> {
-    const entry = await this.store.get(KEYS.job(id), from);
+  private async readOne(id: string, requestClass: RequestClass): Promise<JobState | null> {
+    const entry = await this.store.get(KEYS.job(id), requestClass);
     return entry && this.putEntry(id, entry);
   }
 
@@ -267,17 +262,20 @@
 
   // ---- records
 
-  private async read(ids: readonly string[], from: RequestClass): Promise<Map<string, ReadState>> {
+  private async read(
+    ids: readonly string[],
+    requestClass: RequestClass,
+  ): Promise<Map<string, ReadState>> {
     if (ids.length <= MAX_SINGLE_READS) {
-      const states = ids.map((id) => this.readOne(id, from).catch(asError));
-      return new Map(
-        await Promise.all(states.map(async (state, i) => [ids[i]!, await state] as const)),
+      const states = ids.map(
+        async (id) => [id, await this.readOne(id, requestClass).catch(asError)] as const,
       );
+      return new Map(await Promise.all(states));
     }
     // Whoever lacks so many has just started, and will be asked for the others too.
     const onOtherEntry = (entry: Entry): void => this.prefetchEntry(entry);
     const ahead = ids.length >= PREFETCH_THRESHOLD ? { onOtherEntry } : {};
-    const entries = await readJobEntries(this.store, ids, { requestClass: from, ...ahead });
+    const entries = await readJobEntries(this.store, ids, { requestClass, ...ahead });
     const states = await Promise.all(
       ids.map(async (id): Promise<[string, ReadState]> => {
         const entry = entries.get(id);
@@ -292,10 +290,10 @@
     const known = this.cache.get(id);
     if (known && (known.phase !== 'open' || known.version === entry.version)) return known;
     const record = parseJob(entry.value);
-    if (!record) throw new Error(`unreadable record of ${id}`);
+    if (!record) throw new UnreadableRecordError(id, entry.key);
     const dependencies =
       record.phase === 'open' ? await this.dependenciesOf(id, entry.version, record) : [];
-    if (dependencies === null) throw new Error(`${id} has just changed or lacks dependencies`);
+    if (dependencies === null) throw new ChangedJobError(id);
     const { phase, tasks } = record;
     return this.put(id, { version: entry.version, phase, tasks, dependencies });
   }
@@ -322,6 +320,13 @@
   }
 }
 
+/** The state that the check of a job has yielded. */
+function stateOf(states: ReadonlyMap<string, JobState>, id: string): JobState {
+  const state = states.get(id);
+  if (!state) throw new UncachedJobError(id);
+  return state;
+}
+
 const asError = (reason: unknown): Error =>
   reason instanceof Error ? reason : new Error(String(reason));
 
--- a/src/jobs/job-transaction.ts
+++ b/src/jobs/job-transaction.ts
@@ -5,7 +5,7 @@
 import type { Change, Condition } from '../state/store.js';
 import type { Job } from './tracked-job.js';
 import { fitJobRecord } from './record-size.js';
-import type { JobRecord, RangedRunRecord, RunRecord } from './records.js';
+import { WRITE_ID, type JobRecord, type RangedRunRecord, type RunRecord } from './records.js';
 import type { Section, StoredSection } from './run-layout.js';
 import type { WriteRejections } from './write-rejections.js';
 
@@ -48,12 +48,12 @@
   constructor(
     private readonly runtime: Runtime,
     private readonly term: Term,
-    private readonly refusals: WriteRejections,
+    private readonly rejections: WriteRejections,
     /** Whether run records of a job that is over may be left for later. */
     private readonly mayLeaveRecords: () => boolean,
   ) {}
 
-  /** The next transaction of a job; `w` marks its records. */
+  /** The next transaction of a job; `writeId` marks its records. */
   build(job: Job, writeId: string): JobTransaction {
     return canArchive(job)
       ? this.archivingTransaction(job, writeId)
@@ -82,23 +82,23 @@
   private archivingTransaction(job: Job, writeId: string): JobTransaction {
     const transaction = this.empty();
     const stored = job.layout.stored();
-    const most = this.refusals.limitsFor(job).txnOps - 1;
-    if (stored.length > most && !job.isPhaseStored) {
+    const maxRecords = this.rejections.limitsFor(job).txnOps - 1;
+    if (stored.length > maxRecords && !job.isPhaseStored) {
       transaction.jobRecord = this.finalRecord(job, writeId);
       return transaction;
     }
-    const leaves = stored.length <= most && this.mayLeaveRecords();
-    const records = stored.slice(0, most);
+    const leaves = stored.length <= maxRecords && this.mayLeaveRecords();
+    const records = stored.slice(0, maxRecords);
     for (const { key, version } of records) {
       transaction.conditions.push({ key, version });
       if (!leaves) transaction.changes.push({ delete: key });
     }
     if (leaves) transaction.leftovers = records;
     else transaction.removed = records;
-    if (stored.length > most) return transaction;
+    if (stored.length > maxRecords) return transaction;
     const { phase, tasks, doneAt } = this.finalRecord(job, writeId);
     transaction.jobRecord = {
-      w: writeId,
+      [WRITE_ID]: writeId,
       phase,
       tasks,
       ...(doneAt === undefined ? {} : { doneAt }),
@@ -110,9 +110,16 @@
   /** Of a job that is over and of which something is still left. */
   private finalRecord(job: Job, writeId: string): JobRecord {
     const { phase, spec, submittedAt } = job;
-    const whole: JobRecord = { w: writeId, phase, tasks: spec.tasks, at: submittedAt, spec };
+    const whole: JobRecord = {
+      [WRITE_ID]: writeId,
+      phase,
+      tasks: spec.tasks,
+      at: submittedAt,
+      spec,
+    };
     // One accepted under larger limits may have to lose its machine types, which matter no more.
-    const record = fitJobRecord(whole, this.refusals.limitsFor(job).valueBytes, new Set()) ?? whole;
+    const record =
+      fitJobRecord(whole, this.rejections.limitsFor(job).valueBytes, new Set()) ?? whole;
     if (phase !== 'done') return record;
     // Those that need it are ready from then on, also for a new leader.
     job.doneAt ??= Math.round(this.runtime.clock.wall());
@@ -127,7 +134,7 @@
     if (!job.isRewriting) return transaction;
     const written = new Set(transaction.sections);
     for (const record of job.layout.removable(written)) {
-      if (transaction.changes.length >= this.refusals.limitsFor(job).txnOps - 1) break;
+      if (transaction.changes.length >= this.rejections.limitsFor(job).txnOps - 1) break;
       transaction.removed.push(record);
       transaction.conditions.push({ key: record.key, version: record.version });
       transaction.changes.push({ delete: record.key });
@@ -136,7 +143,7 @@
   }
 
   private addSections(job: Job, writeId: string, transaction: JobTransaction): void {
-    const limits = this.refusals.limitsFor(job);
+    const limits = this.rejections.limitsFor(job);
     const records = this.recordsToWrite(job, writeId, limits.valueBytes);
     let bytes = 0;
     for (const { section, record } of records) {
@@ -155,22 +162,22 @@
     const { layout } = job;
     const { clock } = this.runtime;
     const wall = (steady: number): number => Math.round(clock.wall() + steady - clock.now());
-    const due = (section: Section): boolean =>
+    const isDue = (section: Section): boolean =>
       section.dirty || (job.isRewriting && section.inherited);
-    const list: SectionRecord[] = [];
-    for (let i = 0; i < layout.sections.length; i++) {
-      const section = layout.sections[i]!;
-      if (!due(section)) continue;
+    const records: SectionRecord[] = [];
+    // `split` adds the later half behind the present section: it is reached in turn.
+    for (const section of layout.sections) {
+      if (!isDue(section)) continue;
       let record = job.toRecord(section, writeId, wall);
       while (layout.kind === 'ranged' && section.to - section.from > 1) {
         if (jsonBytes(record) <= valueBytes) break;
         layout.split(section);
         record = job.toRecord(section, writeId, wall);
       }
-      list.push({ section, record });
+      records.push({ section, record });
     }
-    if (layout.kind === 'indexed') return list;
+    if (layout.kind === 'indexed') return records;
     // Later tasks first: see `RunLayout` on splitting. Changes before what is only moved.
-    return list.reverse().sort((a, b) => Number(b.section.dirty) - Number(a.section.dirty));
+    return records.reverse().sort((a, b) => Number(b.section.dirty) - Number(a.section.dirty));
   }
 }
--- a/src/jobs/job.ts
+++ b/src/jobs/job.ts
@@ -1,6 +1,8 @@
 import type { Resources } from '../fleet/resources.js';
 
+/** How the tasks of a job relate: independent, all at once, or replicas that are replaced. */
 export type JobKind = 'array' | 'gang' | 'service';
+
 /** Smaller is more important. */
 export enum Priority {
   Production,
@@ -9,7 +11,7 @@
   Low,
 }
 
-/** What a user asked for, in our terms; durations in milliseconds. */
+/** What a user asked for, in the terms of the glossary; durations in milliseconds, memory and images in GB. */
 export interface JobSpec {
   jobClass: string;
   team: string;
@@ -30,6 +32,7 @@
   deadlineMs: number | null;
 }
 
+/** What the store says of a job; only `open` ever changes. */
 export type JobPhase = 'open' | 'done' | 'cancelled';
 
 /** At most this many tasks of a job that asks to be spread may be in one zone. */
--- a/src/jobs/leftover-records.ts
+++ b/src/jobs/leftover-records.ts
@@ -10,22 +10,22 @@
   version: number;
 }
 
-/** What share of a transaction's changes deletes take at once, so that no other write waits long. */
+/** Fraction of the transaction limit that one batch of deletes takes, so that no other write waits long. */
 const BATCH_RATIO = 0.25;
 
-/** More than the store takes changes in so many seconds are deleted also while other writes wait. */
+/** Records beyond what the store's write rate deletes in this many seconds are deleted also while other writes wait. */
 const MAX_LEFTOVER_SECONDS = 60;
 
 /**
  * Deletes the run records that jobs left behind whose end was written while other writes waited.
  *
  * Where many small jobs come and go the store's rate of changes is the limit. The end of a job has to
- * be told to its users within seconds; that its run records are deleted is of use to nobody. So the
- * end is written alone, and the deletes of several jobs share a transaction later on.
+ * be announced to its users within seconds; that its run records are deleted is of use to nobody. So the
+ * final state is written alone, and the deletes of several jobs share a transaction later on.
  *
  * Such a record means nothing: the final state was written on condition of the leader key, of the
  * job's record and of this version of the run record, when all starts of the job were proven gone,
- * and no leader writes run records of a job that is over. A leader that ends leaves the rest to the
+ * and no leader writes run records of a job that is over. A leader whose term ends leaves the rest to the
  * next one, which finds them when it reads the records.
  */
 export class LeftoverRecords {
@@ -41,7 +41,7 @@
     return this.records.length;
   }
 
-  /** So many are left that no more should be. */
+  /** True once no more records should be left behind. */
   get isFull(): boolean {
     return this.records.length >= this.store.limits.effective().writeRps * MAX_LEFTOVER_SECONDS;
   }
@@ -63,12 +63,12 @@
   }
 
   private async deleteSome(signal: AbortSignal): Promise<void> {
-    const most = Math.max(1, Math.floor(this.store.limits.effective().txnOps * BATCH_RATIO));
-    const batch = this.records.slice(0, most);
-    const when = [{ key: KEYS.leader, version: this.term.fencingToken }, ...batch];
-    const then = batch.map(({ key }) => ({ delete: key }));
+    const maxBatch = Math.max(1, Math.floor(this.store.limits.effective().txnOps * BATCH_RATIO));
+    const batch = this.records.slice(0, maxBatch);
+    const conditions = [{ key: KEYS.leader, version: this.term.fencingToken }, ...batch];
+    const changes = batch.map(({ key }) => ({ delete: key }));
     try {
-      const outcome = await this.store.commit(when, then, RequestPriority.Normal, signal);
+      const outcome = await this.store.commit(conditions, changes, RequestPriority.Normal, signal);
       if (outcome.ok) this.drop(new Set(batch.map(({ key }) => key)));
       else if (outcome.failed.includes(KEYS.leader)) this.term.end();
       // An earlier copy without an answer was applied: they are gone.
--- a/src/jobs/record-size.ts
+++ b/src/jobs/record-size.ts
@@ -1,7 +1,7 @@
 import { jsonBytes } from '../state/store-limits.js';
 import type { JobRecord } from './records.js';
 
-/** What later writes of the same record may add: a longer mark, a longer phase. */
+/** What later writes of the same record may add: a longer write id, a longer phase. */
 const REWRITE_BYTES = 64;
 
 /**
@@ -14,17 +14,17 @@
   valueBytes: number,
   machineTypes: ReadonlySet<string> | null,
 ): JobRecord | null {
-  const most = valueBytes - REWRITE_BYTES;
-  if (jsonBytes(record) <= most) return record;
+  const maxBytes = valueBytes - REWRITE_BYTES;
+  if (jsonBytes(record) <= maxBytes) return record;
   if (!record.spec?.types) return null;
-  const known = [...new Set(record.spec.types)].filter((text) => machineTypes?.has(text) ?? true);
+  const known = [...new Set(record.spec.types)].filter((type) => machineTypes?.has(type) ?? true);
   const shorter = { ...record, spec: { ...record.spec, types: known } };
-  return jsonBytes(shorter) <= most ? shorter : null;
+  return jsonBytes(shorter) <= maxBytes ? shorter : null;
 }
 
 /**
  * A cancelled record without what nobody reads any more: where it may run, since nothing of it starts
- * again, and what it waited for. A mark stays, by which the leader removes the pieces that it names.
+ * again, and what it waited for. A mark stays, by which the leader removes the chunks that it names.
  */
 export function smallestCancelled({ needs, spec, ...rest }: JobRecord): JobRecord {
   return {
--- a/src/jobs/records.ts
+++ b/src/jobs/records.ts
@@ -2,10 +2,13 @@
 import type { JobPhase, JobSpec } from './job.js';
 
 /**
- * What the store keeps. Field names are short since values have a limit and every controller reads
- * all of them when it takes office. `w` marks the write, so that one whose answer was lost can be
- * told from another's.
+ * The stored records of jobs and of provisioned machines. Field names are short since values have a
+ * limit and every controller reads all of them when it becomes leader.
  */
+
+/** Field of the write id, which tells a write whose answer was lost from another controller's. */
+export const WRITE_ID = 'w';
+
 const count = z.int().check(z.nonnegative());
 const amount = z.number().check(z.nonnegative());
 
@@ -35,7 +38,7 @@
 ]);
 
 const job = z.object({
-  w: z.string(),
+  [WRITE_ID]: z.string(),
   phase: z.enum(['open', 'done', 'cancelled']),
   tasks: count,
   at: z.optional(z.number()),
@@ -50,8 +53,9 @@
  */
 export type DependenciesRecord = z.infer<typeof needs>;
 
+/** A job: its own record. */
 export interface JobRecord {
-  w: string;
+  [WRITE_ID]: string;
   phase: JobPhase;
   tasks: number;
   /** Time of day of the acceptance, and the job: left out once nothing can run any more. */
@@ -68,21 +72,22 @@
   doneAt?: number;
 }
 
+/** A job's own record; null if it cannot be read. */
 export function parseJob(value: unknown): JobRecord | null {
   const result = z.safeParse(job, value);
-  return result.success ? (result.data as JobRecord) : null;
+  return result.success ? result.data : null;
 }
 
-const needsPiece = z.object({ ids: z.array(z.string()) });
+const dependencyChunk = z.object({ ids: z.array(z.string()) });
 
-/** One piece of a long list of dependencies; null if it cannot be read. */
+/** One chunk of a long list of dependencies; null if it cannot be read. */
 export function parseDependencyChunk(value: unknown): string[] | null {
-  const result = z.safeParse(needsPiece, value);
+  const result = z.safeParse(dependencyChunk, value);
   return result.success ? result.data.ids : null;
 }
 
 const run = z.object({
-  w: z.string(),
+  [WRITE_ID]: z.string(),
   attempt: count,
   gang: z.optional(
     z.object({
@@ -95,6 +100,7 @@
   placed: z.array(z.tuple([count, count, z.string(), count, z.string()])),
 });
 
+/** Gang admission as stored. */
 export interface GangRecord {
   phase: 'admitted' | 'placed' | 'started' | 'suspended';
   suspensions: number;
@@ -102,27 +108,29 @@
   until: number;
 }
 
+/** An indexed run record, see `run-layout.ts`. */
 export interface RunRecord {
-  w: string;
+  [WRITE_ID]: string;
   /** The highest attempt given out. */
   attempt: number;
   gang?: GangRecord;
   /** Completed tasks as ranges, both ends included. */
   done: [number, number][];
   /**
-   * Task, attempt, machine, session and zone of each start that is not proven gone. The zone is kept
-   * since a new leader may place other tasks of the job before that machine reports to it.
+   * Task, attempt, machine, agent epoch and zone of each start that is not proven gone. The zone is kept
+   * since a new leader may place other tasks of the job before that machine sends it a heartbeat.
    */
   placed: [number, number, string, number, string][];
 }
 
+/** An indexed run record; null if it cannot be read. */
 export function parseRun(value: unknown): RunRecord | null {
   const result = z.safeParse(run, value);
-  return result.success ? (result.data as RunRecord) : null;
+  return result.success ? result.data : null;
 }
 
 const rangedRun = z.object({
-  w: z.string(),
+  [WRITE_ID]: z.string(),
   from: count,
   to: count,
   attempt: count,
@@ -136,7 +144,7 @@
  * entry, since that is how arrays are mostly placed.
  */
 export interface RangedRunRecord {
-  w: string;
+  [WRITE_ID]: string;
   /** The tasks from `from` up to but without `to`. */
   from: number;
   to: number;
@@ -145,13 +153,14 @@
   /** Only in the record that begins with task 0. */
   gang?: GangRecord;
   done: [number, number][];
-  /** Machine, session, zone, attempt and tasks of the starts that are not proven gone. */
+  /** Machine, agent epoch, zone, attempt and tasks of the starts that are not proven gone. */
   placed: [string, number, string, number, number[]][];
 }
 
+/** A ranged run record; null if it cannot be read. */
 export function parseRangedRun(value: unknown): RangedRunRecord | null {
   const result = z.safeParse(rangedRun, value);
-  return result.success ? (result.data as RangedRunRecord) : null;
+  return result.success ? result.data : null;
 }
 
 /** Bytes below which hardly any task goes in a ranged record; what needs more is split when written. */
@@ -162,7 +171,7 @@
   return Math.max(1, Math.floor(valueBytes / MIN_BYTES_PER_TASK));
 }
 
-/** Bytes that one task may take in a record: its place, or its share of the ranges. */
+/** Bytes that one task may take in a record: its placement, or its part of the ranges. */
 const BYTES_PER_TASK = 80;
 
 /** How many tasks share one run record, so that it stays below the limit for a value. */
@@ -170,8 +179,8 @@
   return Math.max(1, Math.floor((valueBytes * 0.8) / BYTES_PER_TASK));
 }
 
-const rental = z.object({
-  w: z.string(),
+const provisioning = z.object({
+  [WRITE_ID]: z.string(),
   type: z.string(),
   zone: z.string(),
   spot: z.boolean(),
@@ -179,9 +188,11 @@
   at: z.number(),
 });
 
-export type ProvisioningRecord = z.infer<typeof rental>;
+/** Machines that are being provisioned; `at` is the time of day (ms). */
+export type ProvisioningRecord = z.infer<typeof provisioning>;
 
+/** A provisioning record; null if it cannot be read. */
 export function parseProvisioning(value: unknown): ProvisioningRecord | null {
-  const result = z.safeParse(rental, value);
+  const result = z.safeParse(provisioning, value);
   return result.success ? result.data : null;
 }
--- a/src/jobs/run-layout.ts
+++ b/src/jobs/run-layout.ts
@@ -1,4 +1,5 @@
 import { KEYS } from '../state/keys.js';
+import { UnknownSectionError } from './errors.js';
 
 /**
  * How the tasks of a job are spread over run records.
@@ -78,16 +79,23 @@
     return this.sections.some((section) => section.dirty);
   }
 
+  /** The section of the indexed record of this number. */
+  sectionOf(index: number): Section {
+    const section = this.sections[index];
+    if (!section) throw new UnknownSectionError(this.job, index);
+    return section;
+  }
+
   /** The section of one task. */
   private at(task: number): Section {
     let low = 0;
     let high = this.sections.length - 1;
     while (low < high) {
       const middle = (low + high + 1) >> 1;
-      if (this.sections[middle]!.from <= task) low = middle;
+      if (this.sectionOf(middle).from <= task) low = middle;
       else high = middle - 1;
     }
-    return this.sections[low]!;
+    return this.sectionOf(low);
   }
 
   /** All records of the job in the store; superseded ones first, as they have to go first. */
--- a/src/jobs/run-reader.ts
+++ b/src/jobs/run-reader.ts
@@ -3,7 +3,7 @@
 import type { Job, StoredRuns } from './tracked-job.js';
 import { parseRangedRun, parseRun } from './records.js';
 
-/** What the run records of all jobs say, and which of them no job can be found for or be read. */
+/** The run records of all jobs, and those that have no known job or cannot be read. */
 export interface ReadRuns {
   runs: Map<Job, StoredRuns>;
   unreadable: { id: string; key: string; version: number; job: Job | null }[];
@@ -17,14 +17,14 @@
     const id = jobOfRunKey(entry.key);
     const job = jobOf(id);
     const stored = job && (runs.get(job) ?? { indexed: [], ranged: [] });
-    if (!job || !stored || !take(entry, job, stored)) {
+    if (!job || !stored || !addEntry(entry, job, stored)) {
       unreadable.push({ id, key: entry.key, version: entry.version, job });
     } else runs.set(job, stored);
   }
   return { runs, unreadable };
 }
 
-function take(entry: Entry, job: Job, stored: StoredRuns): boolean {
+function addEntry(entry: Entry, job: Job, stored: StoredRuns): boolean {
   const { key, version, value } = entry;
   const place = parseRunKey(key);
   if (place?.kind === 'indexed') {
@@ -35,7 +35,7 @@
   }
   if (place?.kind === 'ranged') {
     const record = parseRangedRun(value);
-    if (!record || record.from !== place.number || record.from >= record.to) return false;
+    if (record?.from !== place.number || record.from >= record.to) return false;
     if (record.from >= job.spec.tasks) return false;
     stored.ranged.push({ key, version, record });
     return true;
--- a/src/jobs/run-rewriter.ts
+++ b/src/jobs/run-rewriter.ts
@@ -13,7 +13,7 @@
   constructor(
     private readonly store: Store,
     private readonly runtime: Runtime,
-    private readonly ledger: JobRecordWriter,
+    private readonly writer: JobRecordWriter,
     private readonly jobs: ReadonlyMap<string, Job>,
     private readonly policy: LayoutPolicy,
   ) {}
@@ -27,19 +27,20 @@
   }
 
   private async pass(everyMs: number, signal: AbortSignal): Promise<void> {
-    const due = [...this.jobs.values()].filter((job) => isDue(job)).sort(mostUrgentFirst);
-    for (const job of due) {
+    const dueJobs = [...this.jobs.values()].filter((job) => isDue(job)).sort(mostUrgentFirst);
+    for (const job of dueJobs) {
       while (this.store.queuedWrites > 0 && !signal.aborted) {
         await this.runtime.clock.sleep(everyMs / 10, signal);
       }
       if (!isDue(job)) continue;
-      this.ledger.rewrite(job);
+      this.writer.rewrite(job);
       while (job.isRewriting && isDue(job) && !signal.aborted) {
         await this.runtime.clock.sleep(everyMs / 10, signal);
       }
       if (signal.aborted) return;
     }
-    if (due.length > 0) this.runtime.log.info({ jobs: due.length }, 'run records rewritten');
+    if (dueJobs.length > 0)
+      this.runtime.log.info({ jobs: dueJobs.length }, 'run records rewritten');
   }
 }
 
--- a/src/jobs/start-fence.ts
+++ b/src/jobs/start-fence.ts
@@ -1,8 +1,8 @@
 import type { Condition } from '@leverhatch/core/store';
 
 /**
- * What transactions that start work are conditioned on beside the leader key: the table that their
- * starts were decided on. When it has changed they are decided anew.
+ * What transactions that start work are conditioned on beside the leader key: the record that their
+ * starts were planned on. When it has changed they are planned anew.
  */
 export interface StartFence {
   condition(): Condition;
--- a/src/jobs/tracked-job.ts
+++ b/src/jobs/tracked-job.ts
@@ -10,17 +10,17 @@
   tasksNamed,
   type RecordedStart,
 } from './placed-entries.js';
-import type { GangRecord, RangedRunRecord, RunRecord } from './records.js';
+import { WRITE_ID, type GangRecord, type RangedRunRecord, type RunRecord } from './records.js';
 import { RunLayout, type Section } from './run-layout.js';
 
 /**
  * How far a start has come. `recording`: not yet in the store. `recorded`: may be sent.
  * `recovered`: recorded by an earlier leader, may or may not have been sent. `dispatched`: sent in the
- * answer to a report. `reported`: its worker has shown it.
+ * answer to a heartbeat. `reported`: a heartbeat of its worker shows it.
  */
 export type PlacementStage = 'recording' | 'recorded' | 'recovered' | 'dispatched' | 'reported';
 
-/** One start of one task. It occupies its place until it is proven gone. */
+/** One start of one task. It holds its resources until it is proven gone; times are monotonic (ms). */
 export interface Placement extends RecordedStart {
   job: Job;
   stage: PlacementStage;
@@ -30,13 +30,14 @@
   stop: { graceMs: number } | null;
 }
 
+/** Gang admission of a job, as the leader tracks it. */
 export interface GangState {
   phase: 'queued' | GangRecord['phase'];
   holdsGate: boolean;
-  /** Time that counts against the timeout, and when it was last counted. */
+  /** Time (ms) that counts against the admission timeout, and when it was last counted (monotonic). */
   countedMs: number;
   countedAt: number;
-  /** Steady time until which a suspended gang stays inadmissible. */
+  /** Monotonic time until which a suspended gang stays inadmissible. */
   suspendedUntil: number;
   suspensions: number;
 }
@@ -47,6 +48,7 @@
   ranged: { key: string; version: number; record: RangedRunRecord }[];
 }
 
+/** A job as the leader tracks it. */
 export class Job {
   phase: JobPhase = 'open';
   attempt = 0;
@@ -57,12 +59,12 @@
   isRewriting = false;
   private readonly done: CompletedTasks;
   readonly failures: FailureHistory;
-  /** How often running tasks were stopped without being saved; what this leader knows of it. */
+  /** How often each running task was stopped without a checkpoint, as far as this leader knows. */
   readonly stopsWithoutCheckpoint = new Map<number, number>();
-  /** Exited starts whose end is not in the store yet. */
+  /** Exited starts whose exit is not in the store yet. */
   unrecordedExits: Placement[] = [];
   isWriteInFlight = false;
-  /** Ends are about to be written. */
+  /** Exits are about to be written. */
   isExitFlushPending = false;
   /** True once the job's own record says what `phase` says. */
   isPhaseStored = true;
@@ -70,7 +72,7 @@
   isUnreadable = false;
   /** Its indexed records were written for another limit of a value, see `RunLayout`. */
   hasForeignLayout = false;
-  /** Users were told that it is cancelled, though its record has not been read here yet. */
+  /** Its cancellation was announced to users, though its record has not been read here yet. */
   isCancellationAnnounced = false;
   /** Jobs that have to be done before any task of this one starts. */
   dependencies: readonly string[] = [];
@@ -192,15 +194,15 @@
     if (this.layout.kind === 'ranged') {
       const gang = from === 0 ? this.gangRecord(wallOf) : {};
       const placed = placedByMachine(placements);
-      return { w: writeId, from, to, attempt: this.attempt, done, placed, ...gang };
+      return { [WRITE_ID]: writeId, from, to, attempt: this.attempt, done, placed, ...gang };
     }
     const placed = placedByTask(placements);
-    return { w: writeId, attempt: this.attempt, done, placed, ...this.gangRecord(wallOf) };
+    return { [WRITE_ID]: writeId, attempt: this.attempt, done, placed, ...this.gangRecord(wallOf) };
   }
 
   private gangRecord(wallOf: (steady: number) => number): { gang?: GangRecord } {
     if (!this.gang || this.gang.phase === 'queued') return {};
-    const { phase, suspensions, suspendedUntil: suspendedUntil } = this.gang;
+    const { phase, suspensions, suspendedUntil } = this.gang;
     return { gang: { phase, suspensions, until: wallOf(suspendedUntil) } };
   }
 
@@ -211,7 +213,7 @@
   restore(stored: StoredRuns, perRange: number, now: number, wall: number): Placement[] {
     const sinceWall = now - wall;
     for (const { index, version, record } of stored.indexed) {
-      this.layout.sections[index]!.version = version;
+      this.layout.sectionOf(index).version = version;
       this.attempt = Math.max(this.attempt, record.attempt);
       this.done.addRanges(record.done);
       if (record.gang) this.restoreGang(record.gang, now, sinceWall);
@@ -235,7 +237,9 @@
       to: Math.min(record.to, this.spec.tasks),
     }));
     const isEmpty = (from: number, to: number): boolean => this.isEmpty(from, to);
-    this.hasForeignLayout = indexed.some((r) => !this.layout.holds(r.index, tasksNamed(r.record)));
+    this.hasForeignLayout = indexed.some(
+      ({ index, record }) => !this.layout.holds(index, tasksNamed(record)),
+    );
     if (this.hasForeignLayout) this.layout.restoreForeign(indexed, sections, perRange, isEmpty);
     else if (ranged.length > 0) this.layout.restoreRanged(sections, perRange, isEmpty);
   }
--- a/src/jobs/transaction-committer.ts
+++ b/src/jobs/transaction-committer.ts
@@ -9,15 +9,17 @@
 } from '../state/store.js';
 import type { JobTransaction } from './job-transaction.js';
 import type { Job } from './tracked-job.js';
-import { parseJob, type JobRecord } from './records.js';
+import { UnexpectedVersionError, UnreadableRecordError } from './errors.js';
+import { parseJob, WRITE_ID, type JobRecord } from './records.js';
 import type { StoredSection } from './run-layout.js';
 
+/** What the committer reports back to the writer. */
 export interface CommitEvents {
-  /** The job's own record was changed by another node: cancelled by its user. */
+  /** The job's own record was changed by another controller: cancelled by its user. */
   jobChanged(job: Job, version: number, record: JobRecord): void;
-  /** The store refuses this write for good. */
+  /** The store rejects this write for good. */
   rejected(job: Job, changes: Change[], error: RequestRejectedError): void;
-  /** What the starts rest on has changed; resolves once it is known to what. */
+  /** A start condition no longer holds; resolves once its present version is known. */
   startConditionFailed(condition: Condition): Promise<void>;
 }
 
@@ -31,7 +33,7 @@
 
   /** The revision at which it was applied; null if it was not, and the job has to try again. */
   async commit(job: Job, writeId: string, transaction: JobTransaction): Promise<number | null> {
-    const { conditions: conditions, changes: changes } = transaction;
+    const { conditions, changes } = transaction;
     const priority = requestPriorityOf(job, transaction);
     try {
       const outcome = await this.store.commit(conditions, changes, priority, this.term.signal);
@@ -49,12 +51,12 @@
   }
 
   /** The version of our own write, if an unanswered copy of it was applied after all. */
-  private async appliedAt(then: Change[], writeId: string): Promise<number | null> {
+  private async appliedAt(changes: Change[], writeId: string): Promise<number | null> {
     // All keys of a transaction change together, so that one tells of all.
-    const put = then.find((change) => 'put' in change) ?? null;
+    const put = changes.find((change) => 'put' in change) ?? null;
     if (!put || !('put' in put)) return null;
     const entry = await this.store.readWithRetry(put.put, this.term.signal);
-    return entry && (entry.value as { w?: unknown }).w === writeId ? entry.version : null;
+    return entry && writeIdOf(entry.value) === writeId ? entry.version : null;
   }
 
   private async onConflict(job: Job, transaction: JobTransaction, failed: string[]): Promise<void> {
@@ -65,7 +67,7 @@
     if (failed.includes(KEYS.job(job.id))) {
       const entry = await this.store.readWithRetry(KEYS.job(job.id), this.term.signal);
       const record = entry && parseJob(entry.value);
-      if (!entry || !record) throw new Error('its record is missing or unreadable');
+      if (!entry || !record) throw new UnreadableRecordError(job.id, KEYS.job(job.id));
       this.events.jobChanged(job, entry.version, record);
       return;
     }
@@ -77,7 +79,7 @@
 
   /**
    * A run record has another version than we know. Under the leader key only our own writes can have
-   * changed it: one without an answer that was then given up, since a repeat was refused.
+   * changed it: one without an answer that was then given up, since a repeat was rejected.
    */
   private async reconcile(job: Job, transaction: JobTransaction, key: string): Promise<void> {
     const entry = await this.store.readWithRetry(key, this.term.signal);
@@ -87,14 +89,23 @@
     if (removed && !entry) return recordRemoved(job, removed);
     const known = job.layout.stored().find((section) => section.key === key);
     const section = known ?? job.layout.sections.find((section) => section.key === key);
-    const mark = (entry?.value as { w?: unknown } | undefined)?.w;
-    if (!section || !entry || typeof mark !== 'string' || !mark.startsWith(`${this.term.id}/`)) {
-      throw new Error(`unexpected version of ${key}`);
+    const storedWriteId = writeIdOf(entry?.value);
+    if (
+      !section ||
+      !entry ||
+      typeof storedWriteId !== 'string' ||
+      !storedWriteId.startsWith(`${this.term.id}/`)
+    ) {
+      throw new UnexpectedVersionError(job.id, key);
     }
     section.version = entry.version;
   }
 }
 
+/** The write id that a stored value carries, if it is a record. */
+const writeIdOf = (value: unknown): unknown =>
+  (value as Partial<Record<typeof WRITE_ID, unknown>> | undefined)?.[WRITE_ID];
+
 /** A record of the job is no longer in the store. */
 export function recordRemoved(job: Job, record: StoredSection): void {
   record.version = 0;
--- a/src/jobs/user-requests.ts
+++ b/src/jobs/user-requests.ts
@@ -3,7 +3,7 @@
 import type { Clock } from '@leverhatch/core/clock';
 import type { Change, Condition, Store } from '../state/store.js';
 
-/** After how large a share of a poll's time a request without an answer is sent again. */
+/** Fraction of the query timeout after which a request without an answer is sent again. */
 export const HEDGE_RATIO = 0.25;
 
 /** More writes wait for the store's rate than a user should wait for. */
@@ -25,7 +25,7 @@
  * A user's request to the store, sent a second time if it has no answer after `afterMs`, or gets
  * none at all; whichever copy is answered first counts. A lost answer leaves open what became of a
  * transaction: the second copy has the same conditions, so that it tells, or carries it out. A
- * refusal, for an outage or for the rate, is passed on at once: the user is told when to come back
+ * rejection, for an outage or for the rate, is passed on at once: the user learns when to come back
  * instead of being held.
  */
 export async function hedged<T>(
@@ -36,9 +36,9 @@
 ): Promise<T> {
   const first = request();
   const answered = new AbortController();
-  const late = clock.sleep(afterMs, answered.signal).then(() => LATE);
+  const timeout = clock.sleep(afterMs, answered.signal).then(() => LATE);
   try {
-    const outcome = await Promise.race([first, late]);
+    const outcome = await Promise.race([first, timeout]);
     if (outcome !== LATE) return outcome as T;
   } catch (error) {
     signal?.throwIfAborted();
@@ -58,6 +58,7 @@
   try {
     return await Promise.any([first, second]);
   } catch {
+    // Both copies failed: the caller gets the reason of the first.
     return first;
   }
 }
@@ -66,20 +67,20 @@
 export async function commitForUser(
   store: Store,
   clock: Clock,
-  waits: RequestTimeouts,
-  when: Condition[],
-  then: Change[],
+  timeouts: RequestTimeouts,
+  conditions: Condition[],
+  changes: Change[],
   signal: AbortSignal,
 ): ReturnType<Store['tryCommit']> {
   store.assertResponsive();
-  const delayMs = store.writeDelayMs(then.length, RequestPriority.Critical);
-  if (delayMs > waits.maxQueueMs) throw new OverloadedError(delayMs);
+  const delayMs = store.writeDelayMs(changes.length, RequestPriority.Critical);
+  if (delayMs > timeouts.maxQueueMs) throw new OverloadedError(delayMs);
   // What still queues here is not without an answer yet.
-  const afterMs = waits.hedgeMs + delayMs;
+  const afterMs = timeouts.hedgeMs + delayMs;
   return hedged(
     clock,
     afterMs,
-    () => store.tryCommit(when, then, RequestPriority.Critical, signal),
+    () => store.tryCommit(conditions, changes, RequestPriority.Critical, signal),
     signal,
   );
 }
--- a/src/jobs/write-rejections.ts
+++ b/src/jobs/write-rejections.ts
@@ -2,8 +2,8 @@
 import type { Job } from './tracked-job.js';
 
 /**
- * A refused write of a job is tried again after this share of the time for which ends wait, doubled
- * with every refusal up to that time.
+ * A rejected write of a job is tried again after this fraction of the time for which exits wait, doubled
+ * with every rejection up to that time.
  */
 const FIRST_RETRY_RATIO = 1 / 50;
 
@@ -13,7 +13,7 @@
 /** How much of the limit for a value is used: the store may count some more bytes than we do. */
 const VALUE_FILL_RATIO = 0.9;
 
-/** A write of one job that the store refused for good: too large, say. */
+/** A write of one job that the store rejected for good: too large, say. */
 interface Rejection {
   /** How long the job waits after the next one. */
   nextWaitMs: number;
@@ -25,7 +25,7 @@
   until: number;
 }
 
-/** Which jobs the store has refused to write, when each is tried again, and how large it may be. */
+/** Which jobs the store has rejected a write of, when each is tried again, and how large it may be. */
 export class WriteRejections {
   private readonly byJob = new WeakMap<Job, Rejection>();
 
@@ -38,19 +38,19 @@
     return this.byJob.has(job);
   }
 
-  /** Steady time before which no write of the job is tried. */
+  /** Monotonic time (ms) before which no write of the job is tried. */
   retryAt(job: Job): number {
     return this.byJob.get(job)?.until ?? 0;
   }
 
-  /** Notes that a write of the job was refused; answers how long it waits, in milliseconds. */
+  /** Notes that a write of the job was rejected; returns how long it waits, in milliseconds. */
   add(job: Job, now: number): number {
     const before = this.byJob.get(job);
     const waitMs = before?.nextWaitMs ?? this.firstRetryMs;
     const half = (times: number): number => Math.min(times + 1, MAX_HALVINGS);
     this.byJob.set(job, {
       nextWaitMs: Math.min(waitMs * 2, this.longestWaitMs),
-      // The first refusal may mean no more than that the announced limits hold by now.
+      // The first rejection may mean no more than that the announced limits hold by now.
       halvedOps: before ? half(before.halvedOps) : 0,
       halvedBytes: before && job.layout.kind === 'ranged' ? half(before.halvedBytes) : 0,
       until: now + waitMs,
@@ -58,19 +58,19 @@
     return waitMs;
   }
 
-  /** What was refused has another form now, and may be tried again soon. */
+  /** What was rejected has another form now, and may be tried again soon. */
   layoutChanged(job: Job): void {
-    const refusal = this.byJob.get(job);
-    if (refusal) refusal.nextWaitMs = this.firstRetryMs;
+    const rejection = this.byJob.get(job);
+    if (rejection) rejection.nextWaitMs = this.firstRetryMs;
   }
 
-  /** Limits for one job's transaction: smaller ones after the store has refused it. */
+  /** Limits for one job's transaction: smaller ones after the store has rejected one. */
   limitsFor(job: Job): { valueBytes: number; txnOps: number } {
     const { valueBytes, txnOps } = this.limits.effective();
-    const refusal = this.byJob.get(job);
+    const rejection = this.byJob.get(job);
     return {
-      valueBytes: Math.floor((valueBytes * VALUE_FILL_RATIO) / 2 ** (refusal?.halvedBytes ?? 0)),
-      txnOps: Math.max(2, Math.floor(txnOps / 2 ** (refusal?.halvedOps ?? 0))),
+      valueBytes: Math.floor((valueBytes * VALUE_FILL_RATIO) / 2 ** (rejection?.halvedBytes ?? 0)),
+      txnOps: Math.max(2, Math.floor(txnOps / 2 ** (rejection?.halvedOps ?? 0))),
     };
   }
 
