--- a/test/job-record-writer.test.ts
+++ b/test/job-record-writer.test.ts
@@ -17,7 +17,7 @@
   const clock = new FakeClock();
   const urgencies: number[] = [];
   const store = {
-    writesWaiting: 20,
+    queuedWrites: 20,
     commit: (_when: unknown, _then: unknown, priority: number) => {
       urgencies.push(priority);
       return Promise.resolve({ ok: true, revision: urgencies.length });
