--- a/src/jobs/cancellation-log.ts
+++ b/src/jobs/cancellation-log.ts
@@ -1,3 +1,5 @@
+/** Log of the cancellations that this controller has announced to users. */
+
 import type { Clock } from '@leverhatch/core/clock';
 
 /**
--- a/src/jobs/completed-tasks.ts
+++ b/src/jobs/completed-tasks.ts
@@ -1,3 +1,5 @@
+/** Compact set of the completed tasks of one job. */
+
 /** Task numbers as ranges, both ends included. */
 export type TaskRanges = [number, number][];
 
--- a/src/jobs/dependencies.ts
+++ b/src/jobs/dependencies.ts
@@ -1,3 +1,5 @@
+/** Layout of the dependencies of a job in the store: inline, or as chunks. */
+
 import { createHash } from 'node:crypto';
 import { KEYS } from '../state/keys.js';
 import type { Change, Store } from '../state/store.js';
--- a/src/jobs/failure-history.ts
+++ b/src/jobs/failure-history.ts
@@ -1,3 +1,5 @@
+/** Failure attribution: whether the failures of a job are its own fault or its machines'. */
+
 /** The pause after a failure begins with two heartbeat intervals and is doubled at most this often. */
 const MAX_PAUSE_DOUBLINGS = 4;
 
--- a/src/jobs/feasibility.ts
+++ b/src/jobs/feasibility.ts
@@ -1,3 +1,5 @@
+/** Check at submission whether a job can ever run. */
+
 import { fits, type MachineType } from '../fleet/resources.js';
 import type { Team } from '../settings/deploy.js';
 import type { JobSpec } from './job.js';
--- a/src/jobs/job-acceptance.ts
+++ b/src/jobs/job-acceptance.ts
@@ -1,3 +1,5 @@
+/** Idempotent acceptance of submitted jobs into the store. */
+
 import type { Runtime } from '@leverhatch/core/duty';
 import { KEYS } from '../state/keys.js';
 import { isSizeRejection, type Change, type Condition, type Store } from '../state/store.js';
--- a/src/jobs/job-api.ts
+++ b/src/jobs/job-api.ts
@@ -1,3 +1,5 @@
+/** Answers to users: submissions, queries and cancellations. */
+
 import { RequestPriority } from '@leverhatch/core/store';
 import type { Runtime } from '@leverhatch/core/duty';
 import type { Settings, Team } from '../settings/deploy.js';
--- a/src/jobs/job-reader.ts
+++ b/src/jobs/job-reader.ts
@@ -1,3 +1,5 @@
+/** Bulk reads of job records with few requests. */
+
 import { RequestPriority } from '@leverhatch/core/store';
 import { KEYS } from '../state/keys.js';
 import type { Entry, RequestClass, Store } from '../state/store.js';
--- a/src/jobs/job-record-writer.ts
+++ b/src/jobs/job-record-writer.ts
@@ -1,3 +1,5 @@
+/** The writer of a leader's decisions on jobs. */
+
 import type { Term } from '../election/term.js';
 import type { Runtime } from '@leverhatch/core/duty';
 import { KEYS } from '../state/keys.js';
@@ -7,6 +9,7 @@
 import type { StartFence } from './start-fence.js';
 import { canArchive, TransactionBuilder, type JobTransaction } from './job-transaction.js';
 import type { Job, Placement } from './tracked-job.js';
+import { isUnrecorded } from './placement-stage.js';
 import { LeftoverRecords } from './leftover-records.js';
 import { tasksPerRange, type JobRecord } from './records.js';
 import type { LayoutPolicy } from './run-layout.js';
@@ -174,9 +177,7 @@
   /** The next transaction of a job, and the starts and exits of its tasks that it stores. */
   private prepare(job: Job, writeId: string): JobWrite {
     const transaction = this.builder.build(job, writeId);
-    const recordingStarts = [...job.placements.values()].filter(
-      (placement) => placement.stage === 'recording',
-    );
+    const recordingStarts = [...job.placements.values()].filter(isUnrecorded);
     // Starts in sections that did not fit into this transaction stay unsent until theirs is written.
     const isCovered = (placement: Placement): boolean =>
       transaction.sections.some(
--- a/src/jobs/job-state-cache.ts
+++ b/src/jobs/job-state-cache.ts
@@ -1,3 +1,5 @@
+/** Cached states of jobs, version-checked against the store. */
+
 import { RequestPriority } from '@leverhatch/core/store';
 import type { Runtime } from '@leverhatch/core/duty';
 import type { Settings } from '../settings/deploy.js';
--- a/src/jobs/job-state.ts
+++ b/src/jobs/job-state.ts
@@ -1,3 +1,5 @@
+/** The state of a job as a controller knows it from the store. */
+
 import type { JobPhase } from './job.js';
 
 /** What a controller knows of a job. */
--- a/src/jobs/job-transaction.ts
+++ b/src/jobs/job-transaction.ts
@@ -1,3 +1,5 @@
+/** Transactions that bring the stored records of a job up to date. */
+
 import type { Term } from '../election/term.js';
 import type { Runtime } from '@leverhatch/core/duty';
 import { KEYS } from '../state/keys.js';
--- a/src/jobs/job.ts
+++ b/src/jobs/job.ts
@@ -1,3 +1,5 @@
+/** What a job is: its kind, priority, description and phase. */
+
 import type { Resources } from '../fleet/resources.js';
 
 /** How the tasks of a job relate: independent, all at once, or replicas that are replaced. */
--- a/src/jobs/leftover-records.ts
+++ b/src/jobs/leftover-records.ts
@@ -1,3 +1,5 @@
+/** Deferred deletion of run records that ended jobs left behind. */
+
 import { RequestPriority } from '@leverhatch/core/store';
 import type { Term } from '../election/term.js';
 import type { Runtime } from '@leverhatch/core/duty';
--- a/src/jobs/query-admission.ts
+++ b/src/jobs/query-admission.ts
@@ -1,3 +1,5 @@
+/** Admission control for users' queries. */
+
 import type { Clock } from '@leverhatch/core/clock';
 import { dropOldest } from '../runtime/drop-oldest.js';
 
--- a/src/jobs/record-size.ts
+++ b/src/jobs/record-size.ts
@@ -1,3 +1,5 @@
+/** Sizes of job records within the store's limits. */
+
 import { jsonBytes } from '../state/store-limits.js';
 import type { JobRecord } from './records.js';
 
--- a/src/jobs/run-layout.ts
+++ b/src/jobs/run-layout.ts
@@ -1,3 +1,5 @@
+/** Layout of a job's tasks over run records. */
+
 import { KEYS } from '../state/keys.js';
 import { UnknownSectionError } from './errors.js';
 
--- a/src/jobs/run-reader.ts
+++ b/src/jobs/run-reader.ts
@@ -1,3 +1,5 @@
+/** Grouping of stored run records by job. */
+
 import { jobOfRunKey, parseRunKey } from '../state/keys.js';
 import type { Entry } from '../state/store.js';
 import type { Job, StoredRuns } from './tracked-job.js';
--- a/src/jobs/run-rewriter.ts
+++ b/src/jobs/run-rewriter.ts
@@ -1,3 +1,5 @@
+/** Background rewrite of indexed run records as ranged ones. */
+
 import type { Runtime } from '@leverhatch/core/duty';
 import type { Store } from '../state/store.js';
 import type { JobRecordWriter } from './job-record-writer.js';
--- a/src/jobs/start-fence.ts
+++ b/src/jobs/start-fence.ts
@@ -1,3 +1,5 @@
+/** Further conditions of transactions that record starts. */
+
 import type { Condition } from '@leverhatch/core/store';
 
 /**
--- a/src/jobs/tracked-job.ts
+++ b/src/jobs/tracked-job.ts
@@ -1,6 +1,15 @@
+/** Jobs and placements as the leader tracks them. */
+
 import type { TaskState } from '../wire/worker-heartbeat.js';
 import { CompletedTasks } from './completed-tasks.js';
 import { FailureHistory } from './failure-history.js';
+import {
+  newGangState,
+  requeueGang,
+  restoreGang,
+  toGangRecord,
+  type GangState,
+} from './gang-phase.js';
 import type { JobPhase, JobSpec } from './job.js';
 import {
   placedByMachine,
@@ -10,16 +19,10 @@
   tasksNamed,
   type RecordedStart,
 } from './placed-entries.js';
+import type { PlacementStage } from './placement-stage.js';
 import { WRITE_ID, type GangRecord, type RangedRunRecord, type RunRecord } from './records.js';
 import { RunLayout, type Section } from './run-layout.js';
 
-/**
- * How far a start has come. `recording`: not yet in the store. `recorded`: may be sent.
- * `recovered`: recorded by an earlier leader, may or may not have been sent. `dispatched`: sent in the
- * answer to a heartbeat. `reported`: a heartbeat of its worker shows it.
- */
-export type PlacementStage = 'recording' | 'recorded' | 'recovered' | 'dispatched' | 'reported';
-
 /** One start of one task. It holds its resources until it is proven gone; times are monotonic (ms). */
 export interface Placement extends RecordedStart {
   job: Job;
@@ -30,18 +33,6 @@
   stop: { graceMs: number } | null;
 }
 
-/** Gang admission of a job, as the leader tracks it. */
-export interface GangState {
-  phase: 'queued' | GangRecord['phase'];
-  holdsGate: boolean;
-  /** Time (ms) that counts against the admission timeout, and when it was last counted (monotonic). */
-  countedMs: number;
-  countedAt: number;
-  /** Monotonic time until which a suspended gang stays inadmissible. */
-  suspendedUntil: number;
-  suspensions: number;
-}
-
 /** Everything that the store holds of one job's tasks. */
 export interface StoredRuns {
   indexed: { index: number; version: number; record: RunRecord }[];
@@ -99,17 +90,7 @@
     this.readyAt = submittedAt;
     this.done = new CompletedTasks(spec.tasks);
     this.layout = new RunLayout(id, spec.tasks, tasksPerIndexedRecord);
-    this.gang =
-      spec.kind === 'gang'
-        ? {
-            phase: 'queued',
-            holdsGate: false,
-            countedMs: 0,
-            countedAt: 0,
-            suspendedUntil: 0,
-            suspensions: 0,
-          }
-        : null;
+    this.gang = spec.kind === 'gang' ? newGangState() : null;
   }
 
   get doneCount(): number {
@@ -201,9 +182,8 @@
   }
 
   private gangRecord(wallOf: (steady: number) => number): { gang?: GangRecord } {
-    if (!this.gang || this.gang.phase === 'queued') return {};
-    const { phase, suspensions, suspendedUntil } = this.gang;
-    return { gang: { phase, suspensions, until: wallOf(suspendedUntil) } };
+    const record = this.gang && toGangRecord(this.gang, wallOf);
+    return record ? { gang: record } : {};
   }
 
   /**
@@ -216,7 +196,7 @@
       this.layout.sectionOf(index).version = version;
       this.attempt = Math.max(this.attempt, record.attempt);
       this.done.addRanges(record.done);
-      if (record.gang) this.restoreGang(record.gang, now, sinceWall);
+      if (this.gang && record.gang) restoreGang(this.gang, record.gang, now, sinceWall);
       for (const start of startsByTask(record)) this.restorePlacement(start, now);
     }
     const ranged = [...stored.ranged].sort((a, b) => a.record.from - b.record.from);
@@ -252,22 +232,12 @@
     this.attempt = Math.max(this.attempt, record.attempt);
     this.done.addRanges(record.done);
     if (this.gang && record.from === 0) {
-      this.gang.phase = 'queued';
-      this.gang.holdsGate = false;
-      if (record.gang) this.restoreGang(record.gang, now, sinceWall);
+      requeueGang(this.gang);
+      if (record.gang) restoreGang(this.gang, record.gang, now, sinceWall);
     }
     for (const start of startsByMachine(record)) this.restorePlacement(start, now);
   }
 
-  private restoreGang(record: GangRecord, now: number, sinceWall: number): void {
-    if (!this.gang) return;
-    this.gang.phase = record.phase;
-    this.gang.suspensions = record.suspensions;
-    this.gang.suspendedUntil = record.until + sinceWall;
-    this.gang.holdsGate = record.phase === 'admitted';
-    this.gang.countedAt = now;
-  }
-
   private restorePlacement(start: RecordedStart, now: number): void {
     this.placements.set(start.task, {
       job: this,
--- a/src/jobs/transaction-committer.ts
+++ b/src/jobs/transaction-committer.ts
@@ -1,3 +1,5 @@
+/** Commits of job transactions, with the resolution of conflicts and ambiguous results. */
+
 import type { Term } from '../election/term.js';
 import { KEYS } from '../state/keys.js';
 import {
--- a/src/jobs/user-requests.ts
+++ b/src/jobs/user-requests.ts
@@ -1,3 +1,5 @@
+/** Store requests on behalf of users: hedged, and bounded by their timeouts. */
+
 import { RequestPriority } from '@leverhatch/core/store';
 import { NoResponseError } from '../http/client.js';
 import type { Clock } from '@leverhatch/core/clock';
--- a/src/jobs/version-checker.ts
+++ b/src/jobs/version-checker.ts
@@ -1,3 +1,5 @@
+/** Batched version checks of cached jobs. */
+
 import type { Clock } from '@leverhatch/core/clock';
 import { KEYS } from '../state/keys.js';
 import { isSizeRejection, type Condition, type RequestClass, type Store } from '../state/store.js';
--- a/src/jobs/write-rejections.ts
+++ b/src/jobs/write-rejections.ts
@@ -1,3 +1,5 @@
+/** Retry times and reduced limits of jobs whose writes the store rejected. */
+
 import type { StoreLimits } from '../state/store-limits.js';
 import type { Job } from './tracked-job.js';
 
