--- a/test/acceptance.test.ts
+++ b/test/acceptance.test.ts
@@ -11,24 +11,24 @@
   pieces?: number;
 }
 
-const needsOf = (n: Nodes, ref: string): NeedsRecord | undefined =>
-  (n.store.get(`jobs/${ref}`) as { needs?: NeedsRecord }).needs;
+const needsOf = (nodes: Nodes, ref: string): NeedsRecord | undefined =>
+  (nodes.store.get(`jobs/${ref}`) as { needs?: NeedsRecord }).needs;
 
-/** All that the pieces of a job name. */
-function storedList(n: Nodes, ref: string): string[] {
-  const { mark, pieces } = needsOf(n, ref)!;
+/** All dependencies that the chunks of a job name. */
+function storedList(nodes: Nodes, ref: string): string[] {
+  const { mark, pieces } = needsOf(nodes, ref)!;
   const values = Array.from({ length: pieces! }, (_, i) =>
-    n.store.get(`needs/${ref}/${mark}/${i}`),
+    nodes.store.get(`needs/${ref}/${mark}/${i}`),
   );
-  return values.flatMap((piece) => (piece as { ids: string[] }).ids);
+  return values.flatMap((chunk) => (chunk as { ids: string[] }).ids);
 }
 
-const pieceKeys = (n: Nodes): string[] =>
-  [...n.store.keys.keys()].filter((k) => k.startsWith('needs/'));
+const chunkKeys = (nodes: Nodes): string[] =>
+  [...nodes.store.keys.keys()].filter((k) => k.startsWith('needs/'));
 
-/** Puts jobs into the store as another node would have. */
-function acceptAll(n: Nodes, refs: string[]): void {
-  for (const ref of refs) n.put(`jobs/${ref}`, { w: 'w', phase: 'open', tasks: 1 });
+/** Puts jobs into the store as another controller would have. */
+function acceptAll(nodes: Nodes, refs: string[]): void {
+  for (const ref of refs) nodes.put(`jobs/${ref}`, { w: 'w', phase: 'open', tasks: 1 });
 }
 
 test('no dependencies, null and an empty list are the same', async () => {
@@ -115,7 +115,7 @@
   for (const node of [0, 1, 2]) assert.equal(await nodes.phase(node, 'req-3'), 'withdrawn');
 });
 
-test('thousands of dependencies are stored in pieces within every limit', async () => {
+test('thousands of dependencies are stored in chunks within every limit', async () => {
   const nodes = new Nodes(2, { valueBytes: 2048, txnOps: 4 });
   const all = names(1, 4000);
   acceptAll(nodes, all);
@@ -131,7 +131,7 @@
   }
 });
 
-test('the state of a job with thousands of open ones before it is told, and a cancellation among them', async () => {
+test('the state of a job with thousands of open ones before it is answered, and a cancellation among them', async () => {
   const nodes = new Nodes(2, { valueBytes: 2048, txnOps: 4 });
   const all = names(1, 4000);
   acceptAll(nodes, all);
@@ -149,7 +149,7 @@
   acceptAll(nodes, all);
   assert.equal((await nodes.submit(0, 'req-9', all)).status, 201);
   assert.deepEqual(storedList(nodes, 'req-9'), all);
-  for (const key of pieceKeys(nodes)) {
+  for (const key of chunkKeys(nodes)) {
     assert.ok(JSON.stringify(nodes.store.get(key)).length <= 2048);
   }
   assert.equal((await nodes.submit(0, 'req-10', all.slice(0, 30))).status, 201);
@@ -168,7 +168,7 @@
   assert.match(JSON.stringify(answer.body), /req-003999/);
 });
 
-test('an acceptance that was cut off half-way is no acceptance, and its repeat at another node ends it', async () => {
+test('an acceptance that was cut off half-way is no acceptance, and its repeat at another controller ends it', async () => {
   const nodes = new Nodes(2, { valueBytes: 2048, txnOps: 4 });
   const all = names(1, 1000);
   acceptAll(nodes, all);
@@ -178,14 +178,14 @@
       ? 'lose request'
       : 'serve';
   assert.equal((await nodes.submit(0, 'req-9', all)).status, 503);
-  assert.equal(pieceKeys(nodes).length, 4);
+  assert.equal(chunkKeys(nodes).length, 4);
   assert.equal(await nodes.phase(1, 'req-9'), '404');
   assert.equal((await nodes.submit(1, 'req-9', all)).status, 201);
-  assert.equal(pieceKeys(nodes).length, needsOf(nodes, 'req-9')!.pieces);
+  assert.equal(chunkKeys(nodes).length, needsOf(nodes, 'req-9')!.pieces);
   assert.equal(await nodes.phase(1, 'req-9'), 'pending');
 });
 
-test('pieces left under larger limits do not trip a repeat under smaller ones', async () => {
+test('chunks left under larger limits do not trip a repeat under smaller ones', async () => {
   const nodes = new Nodes(1, { valueBytes: 4096, txnOps: 8 });
   const all = names(1, 1000);
   acceptAll(nodes, all);
@@ -201,13 +201,13 @@
   assert.deepEqual(storedList(small, 'req-9'), all);
 });
 
-test('two nodes that accept the same job with many dependencies at once end in one', async () => {
+test('two controllers that accept the same job with many dependencies at once end in one', async () => {
   const nodes = new Nodes(2, { valueBytes: 2048, txnOps: 4 });
   const all = names(1, 400);
   acceptAll(nodes, all);
   const both = await Promise.all([nodes.submit(0, 'req-9', all), nodes.submit(1, 'req-9', all)]);
   assert.deepEqual(both.map((a) => a.status).sort(), [200, 201]);
-  assert.equal(pieceKeys(nodes).length, needsOf(nodes, 'req-9')!.pieces);
+  assert.equal(chunkKeys(nodes).length, needsOf(nodes, 'req-9')!.pieces);
 });
 
 test('an acceptance whose last answer was lost is found again by its repeat', async () => {
@@ -220,7 +220,7 @@
   assert.equal((await nodes.submit(1, 'req-2', ['req-1'])).status, 200);
 });
 
-test('a late copy of pieces brings none back once their job is over and they were removed', async () => {
+test('a late copy of chunks brings none back once their job is over and they were removed', async () => {
   const nodes = new Nodes(1, { valueBytes: 2048, txnOps: 4 });
   const all = names(1, 400);
   acceptAll(nodes, all);
@@ -230,12 +230,12 @@
   const first = await nodes.submit(0, 'req-9', all);
   if (first.status === 503) await nodes.submit(0, 'req-9', all);
   assert.ok(needsOf(nodes, 'req-9'));
-  for (const key of pieceKeys(nodes)) nodes.store.keys.delete(key);
+  for (const key of chunkKeys(nodes)) nodes.store.keys.delete(key);
   for (const apply of nodes.store.late.splice(0)) assert.equal(apply().status, 409);
-  assert.deepEqual(pieceKeys(nodes), []);
+  assert.deepEqual(chunkKeys(nodes), []);
 });
 
-test('a cancellation holds at every node for all that need the job, as soon as it is answered', async () => {
+test('a cancellation holds at every controller for all that need the job, as soon as it is answered', async () => {
   const nodes = new Nodes(3);
   await nodes.submit(0, 'req-1');
   await nodes.submit(1, 'req-2', ['req-1']);
@@ -244,17 +244,17 @@
   await nodes.submit(0, 'req-5');
   for (const node of [0, 1, 2]) assert.equal(await nodes.phase(node, 'req-4'), 'pending');
   await nodes.abort(1, 'req-1');
-  // The node that confirmed it is gone, with all that it knew.
+  // The controller that confirmed it is gone, with all that it knew.
   nodes.restart(1);
   for (const node of [0, 1, 2]) {
     for (const ref of ['req-2', 'req-3', 'req-4']) {
-      assert.equal(await nodes.phase(node, ref), 'withdrawn', `${ref} at node ${node}`);
+      assert.equal(await nodes.phase(node, ref), 'withdrawn', `${ref} at controller ${node}`);
     }
     assert.equal(await nodes.phase(node, 'req-5'), 'pending', 'nobody cancelled it');
   }
 });
 
-test('what was told withdrawn stays so while the store is down, and nothing is called open', async () => {
+test('what was announced as withdrawn stays so while the store is down, and nothing is called open', async () => {
   const nodes = new Nodes(3);
   await nodes.submit(0, 'req-1');
   await nodes.submit(0, 'req-2', ['req-1']);
@@ -300,7 +300,7 @@
   assert.equal(await nodes.phase(0, 'req-2'), 'withdrawn');
 });
 
-test('two cancellations of one pipeline at once have one outcome at every node', async () => {
+test('two cancellations of one pipeline at once have one outcome at every controller', async () => {
   const nodes = new Nodes(3);
   await nodes.submit(0, 'req-1');
   await nodes.submit(0, 'req-2', ['req-1']);
@@ -329,7 +329,7 @@
   }
 });
 
-test('a long chain is answered in the time of one poll by a node that knows nothing of it', async () => {
+test('a long chain is answered in the time of one query by a controller that has cached nothing', async () => {
   const nodes = new Nodes(2);
   const chain = names(1, 80);
   for (const [i, ref] of chain.entries()) {
@@ -342,7 +342,7 @@
   assert.equal(await nodes.phase(0, chain[79]!), 'withdrawn');
 });
 
-test('a question about a job without dependencies costs one comparison', async () => {
+test('a query about a job without dependencies costs one version check', async () => {
   const nodes = new Nodes(1);
   await nodes.submit(0, 'req-1');
   nodes.sent.length = 0;
@@ -350,7 +350,7 @@
   assert.equal(nodes.sent.length, 1);
 });
 
-test('a question about a job that waits costs one comparison too, with those before it', async () => {
+test('a query about a job that waits costs one version check too, with those before it', async () => {
   const nodes = new Nodes(1);
   await nodes.submit(0, 'req-1');
   await nodes.submit(0, 'req-2', ['req-1']);
@@ -371,11 +371,11 @@
   assert.deepEqual(both, ['pending', '503']);
 });
 
-test('a job whose pieces are missing is neither called open nor cancelled', async () => {
+test('a job whose chunks are missing is neither called open nor cancelled', async () => {
   const nodes = new Nodes(2, { valueBytes: 2048, txnOps: 4 });
   const all = names(1, 300);
   acceptAll(nodes, all);
   await nodes.submit(0, 'req-9', all);
-  nodes.store.keys.delete(pieceKeys(nodes)[1]!);
+  nodes.store.keys.delete(chunkKeys(nodes)[1]!);
   assert.equal(await nodes.phase(1, 'req-9'), '503');
 });
--- a/test/job-api.test.ts
+++ b/test/job-api.test.ts
@@ -2,7 +2,7 @@
 import { test } from 'node:test';
 import { Nodes, POLL_MS, SUBMIT_MS } from './fakes/nodes.js';
 
-test('a submission or cancellation that the store refuses for its rate is answered at once', async () => {
+test('a submission or cancellation that the store rejects for its rate is answered at once', async () => {
   const nodes = new Nodes(1);
   let limited = false;
   nodes.fate = () => (limited ? 'rate' : 'serve');
@@ -15,9 +15,9 @@
   }
 });
 
-test('a submission behind a long queue of writes is told at once when the queue will be short', async () => {
+test('a submission behind a long queue of writes is answered at once with when the queue will be short', async () => {
   const nodes = new Nodes(1);
-  // The node's share of the writes is 21 a second: the last of these would wait nearly 5 s.
+  // The controller's share of the writes is 21 a second: the last of these would wait nearly 5 s.
   const asked = Array.from({ length: 110 }, (_, count) => nodes.submitting(0, `req-${count + 1}`));
   const last = await nodes.timed(asked[109]!);
   assert.equal(last.status, 503);
@@ -38,7 +38,7 @@
   await nodes.timed(asked[0]!);
 });
 
-test('a submission that was carried out, its answer lost, is told as accepted by the second copy', async () => {
+test('a submission that was carried out, its answer lost, is answered as accepted by the second copy', async () => {
   const nodes = new Nodes(1);
   let lost = 0;
   nodes.fate = ({ path }) => (path === '/txn' && lost++ === 0 ? 'lose answer' : 'serve');
@@ -47,7 +47,7 @@
   assert.ok(answer.afterMs < 600, `after ${answer.afterMs} ms`);
 });
 
-test('a cancellation whose answer is lost is told within a second, and only once is it written', async () => {
+test('a cancellation whose answer is lost is answered within a second, and only once is it written', async () => {
   const nodes = new Nodes(1);
   let lost = 0;
   nodes.fate = ({ path }) => (path === '/txn' && lost-- === 1 ? 'lose answer' : 'serve');
@@ -76,7 +76,7 @@
 });
 
 for (const fate of ['rate', 'refuse'] as const) {
-  test(`a question that the store does not answer (${fate}) is not held for its whole time`, async () => {
+  test(`a query that the store does not answer (${fate}) is not held for its whole time`, async () => {
     const nodes = new Nodes(1);
     let troubled = false;
     nodes.fate = () => (troubled ? fate : 'serve');
@@ -94,7 +94,7 @@
   });
 }
 
-test('one lost answer of a comparison does not cost the questions that shared it', async () => {
+test('one lost answer of a version check does not cost the queries that shared it', async () => {
   const nodes = new Nodes(1);
   let lose = false;
   nodes.fate = ({ path }) => {
@@ -109,7 +109,7 @@
   assert.equal((await nodes.timed(unknown)).status, 404);
 });
 
-test('one unreadable record costs only the questions about it', async () => {
+test('one unreadable record costs only the queries about it', async () => {
   const nodes = new Nodes(1);
   await nodes.timed(nodes.submitting(0, 'req-1'));
   nodes.store.keys.set('jobs/req-2', { value: { phase: 'odd' }, stamp: 77, hold: null });
@@ -121,7 +121,7 @@
   assert.equal(nodes.sent.length, before);
 });
 
-test('a cancellation that lands late is told by every node from the moment one of them tells it', async () => {
+test('a cancellation that lands late is announced by every controller from the moment one of them does', async () => {
   const nodes = new Nodes(2);
   let late = false;
   nodes.fate = ({ node, path }) => (late && node === 0 && path === '/txn' ? 'apply late' : 'serve');
--- a/test/job-record-writer.test.ts
+++ b/test/job-record-writer.test.ts
@@ -12,19 +12,19 @@
 import { FakeStore } from './fakes/store.js';
 import { fakeRandom, settings } from './fakes/simulated-cluster.js';
 
-/** A ledger above a store whose queue of writes never empties. */
-function busyLedger(): { clock: FakeClock; ledger: JobRecordWriter; urgencies: number[] } {
+/** A writer above a store whose queue of writes never empties. */
+function busyWriter(): { clock: FakeClock; writer: JobRecordWriter; priorities: number[] } {
   const clock = new FakeClock();
-  const urgencies: number[] = [];
+  const priorities: number[] = [];
   const store = {
     queuedWrites: 20,
     commit: (_when: unknown, _then: unknown, priority: number) => {
-      urgencies.push(priority);
-      return Promise.resolve({ ok: true, revision: urgencies.length });
+      priorities.push(priority);
+      return Promise.resolve({ ok: true, revision: priorities.length });
     },
   } as unknown as Store;
   const nothing = (): void => undefined;
-  const ledger = new JobRecordWriter(
+  const writer = new JobRecordWriter(
     store,
     { clock } as unknown as Runtime,
     new Term('t', 1, 0, Infinity),
@@ -40,11 +40,11 @@
       archived: nothing,
     },
   );
-  return { clock, ledger, urgencies };
+  return { clock, writer, priorities };
 }
 
 /** Above a store of its own whose limits a test can change. */
-function realLedger(jobs: Job[]) {
+function realWriter(jobs: Job[]) {
   const clock = new FakeClock();
   const fakeStore = new FakeStore(clock);
   fakeStore.keys.set('leader', { value: {}, stamp: 1, hold: null });
@@ -68,7 +68,7 @@
   );
   const term = new Term('t', 1, 0, Infinity);
   const started: string[] = [];
-  const ledger = new JobRecordWriter(store, runtime, term, store.limits, layouts, 10_000, {
+  const writer = new JobRecordWriter(store, runtime, term, store.limits, layouts, 10_000, {
     jobChanged: () => undefined,
     startsRecorded: (placements) =>
       started.push(...placements.map((placement) => `${placement.job.id}/${placement.task}`)),
@@ -77,7 +77,7 @@
     endRecorded: () => undefined,
     archived: () => undefined,
   });
-  return { clock, fakeStore, ledger, term, errors, started, readable };
+  return { clock, fakeStore, writer, term, errors, started, readable };
 }
 
 function place(one: Job, task: number, machine = 'host-000001'): void {
@@ -101,16 +101,16 @@
   // With such a name not even one start fits.
   const large = new Job('req-1', { ...SPEC, tasks: 100 }, 0, 1, 100);
   const small = new Job('req-2', SPEC, 0, 1, 100);
-  const { clock, fakeStore, ledger, term, errors, started } = realLedger([large, small]);
+  const { clock, fakeStore, writer, term, errors, started } = realWriter([large, small]);
   fakeStore.limits = { valueBytes: 2048, txnOps: 4 };
   place(large, 0, 'host'.padEnd(3000, 'x'));
   place(small, 0);
-  ledger.flush(large);
-  ledger.flush(small);
+  writer.flush(large);
+  writer.flush(small);
   await clock.advance(60_000);
   assert.equal(term.signal.aborted, false);
   assert.deepEqual(started, ['req-2/0']);
-  assert.equal(errors.length, 1, 'told once, not with every try');
+  assert.equal(errors.length, 1, 'logged once, not with every try');
   assert.match(JSON.stringify(errors[0]), /"key":"runs\/req-1\/0","bytes":3\d{3}/);
   assert.ok(fakeStore.rejected <= 20, `${fakeStore.rejected} tries in a minute`);
   // Once it fits it goes on by itself.
@@ -121,10 +121,10 @@
 
 test('a job whose record became too large for the store goes on in smaller records', async () => {
   const large = new Job('req-1', { ...SPEC, tasks: 100 }, 0, 1, 100);
-  const { clock, fakeStore, ledger, started } = realLedger([large]);
+  const { clock, fakeStore, writer, started } = realWriter([large]);
   fakeStore.limits = { valueBytes: 2048, txnOps: 4 };
   for (let task = 0; task < 100; task++) place(large, task, `host-${task}`.padEnd(60, 'x'));
-  ledger.flush(large);
+  writer.flush(large);
   await clock.advance(60_000);
   assert.equal(new Set(started).size, 100);
   assert.equal(started.length, 100);
@@ -132,11 +132,11 @@
 
 test('while some controller reads only the old layout, a record that is too large waits', async () => {
   const large = new Job('req-1', { ...SPEC, tasks: 100 }, 0, 1, 100);
-  const { clock, fakeStore, ledger, started, readable } = realLedger([large]);
+  const { clock, fakeStore, writer, started, readable } = realWriter([large]);
   readable.on = false;
   fakeStore.limits = { valueBytes: 2048, txnOps: 4 };
   for (let task = 0; task < 100; task++) place(large, task);
-  ledger.flush(large);
+  writer.flush(large);
   await clock.advance(60_000);
   assert.deepEqual(started, []);
   assert.equal(fakeStore.keys.has('runs/req-1/p0'), false);
@@ -147,35 +147,35 @@
 
 const job = (spec: Partial<JobSpec> = {}): Job => new Job('req-1', { ...SPEC, ...spec }, 0, 1, 100);
 
-test('ends wait while writes queue, but not for ever', async () => {
-  const { clock, ledger, urgencies } = busyLedger();
+test('exits wait while writes queue, but not for ever', async () => {
+  const { clock, writer, priorities } = busyWriter();
   const array = job();
   array.markDone(0);
-  ledger.flushExits(array);
+  writer.flushExits(array);
   await clock.advance(9900);
-  assert.equal(urgencies.length, 0);
+  assert.equal(priorities.length, 0);
   await clock.advance(200);
-  assert.equal(urgencies.length, 1);
+  assert.equal(priorities.length, 1);
 });
 
-test('a start does not wait for the ends before it, and carries them along', async () => {
-  const { clock, ledger, urgencies } = busyLedger();
+test('a start does not wait for the exits before it, and carries them along', async () => {
+  const { clock, writer, priorities } = busyWriter();
   const array = job();
   array.markDone(0);
-  ledger.flushExits(array);
+  writer.flushExits(array);
   array.markDirty(1);
-  ledger.flush(array);
+  writer.flush(array);
   await clock.advance(20_000);
-  assert.equal(urgencies.length, 1);
+  assert.equal(priorities.length, 1);
 });
 
 test('starts of arrays go after those of services and gangs', async () => {
-  const { clock, ledger, urgencies } = busyLedger();
+  const { clock, writer, priorities } = busyWriter();
   for (const kind of ['array', 'service', 'gang'] as const) {
     const one = job({ kind });
     one.markDirty(0);
-    ledger.flush(one);
+    writer.flush(one);
   }
   await clock.advance(1);
-  assert.deepEqual(urgencies, [2, 1, 1]);
+  assert.deepEqual(priorities, [2, 1, 1]);
 });
--- a/test/run-layout.test.ts
+++ b/test/run-layout.test.ts
@@ -19,11 +19,11 @@
 const ID = 'req-1';
 
 /** One job under a leader, above a store whose limits fall in the middle. */
-class Office {
+class Leadership {
   readonly clock = new FakeClock();
   readonly fakeStore = new FakeStore(this.clock);
   readonly job: Job;
-  readonly ledger: JobRecordWriter;
+  readonly writer: JobRecordWriter;
   readonly recorded = new Map<number, Placement>();
   readonly random: () => number;
   readonly limits: StoreLimits;
@@ -51,7 +51,7 @@
       1000,
     );
     this.limits = store.limits;
-    this.ledger = new JobRecordWriter(
+    this.writer = new JobRecordWriter(
       store,
       runtime as unknown as Runtime,
       this.term,
@@ -97,7 +97,7 @@
     job.markDirty(task);
   }
 
-  end(task: number): void {
+  exit(task: number): void {
     const placement = this.job.placements.get(task);
     if (!placement || !this.recorded.has(task)) return;
     this.job.placements.delete(task);
@@ -150,128 +150,128 @@
 
 for (const seed of [1, 2, 3, 4, 5, 6, 7, 8]) {
   test(`no start is lost or invented while records shrink, seed ${seed}`, async () => {
-    const office = new Office({ tasks: 40 + seed * 60 }, seed);
-    const { random, job } = office;
+    const leadership = new Leadership({ tasks: 40 + seed * 60 }, seed);
+    const { random, job } = leadership;
     for (let step = 0; step < 160; step++) {
       if (step === 50) {
-        office.ranged = true;
-        // As when an upgrade is complete; without it the first refusal tells.
-        if (seed % 2 === 0) office.limits.applyAnnounced();
+        leadership.ranged = true;
+        // As when an upgrade is complete; without it the first rejection shows it.
+        if (seed % 2 === 0) leadership.limits.applyAnnounced();
       }
-      if (step === 90) office.fakeStore.limits = { valueBytes: SMALL, txnOps: 4 };
-      office.fate = random() < 0.15 ? 'lose answer' : 'serve';
+      if (step === 90) leadership.fakeStore.limits = { valueBytes: SMALL, txnOps: 4 };
+      leadership.fate = random() < 0.15 ? 'lose answer' : 'serve';
       const from = Math.floor(random() * job.spec.tasks);
       for (let i = 0; i < 1 + random() * 30; i++) {
         const task = (from + i) % job.spec.tasks;
-        if (random() < 0.6) office.place(task);
-        else office.end(task);
+        if (random() < 0.6) leadership.place(task);
+        else leadership.exit(task);
       }
-      office.ledger.flush(job);
-      if (office.ranged && random() < 0.2) office.ledger.rewrite(job);
+      leadership.writer.flush(job);
+      if (leadership.ranged && random() < 0.2) leadership.writer.rewrite(job);
       // Looked at between any two transactions.
       for (let ms = random() * 40; ms > 0; ms -= 4) {
-        await office.clock.advance(4);
-        office.check();
+        await leadership.clock.advance(4);
+        leadership.check();
       }
     }
-    office.fate = 'serve';
-    office.ledger.flush(job);
-    await office.clock.advance(20_000);
-    office.checkAll();
-    office.ledger.rewrite(job);
-    await office.clock.advance(20_000);
-    office.checkAll();
-    const left = [...office.fakeStore.keys].filter(([key]) => key.startsWith('runs/'));
+    leadership.fate = 'serve';
+    leadership.writer.flush(job);
+    await leadership.clock.advance(20_000);
+    leadership.checkAll();
+    leadership.writer.rewrite(job);
+    await leadership.clock.advance(20_000);
+    leadership.checkAll();
+    const left = [...leadership.fakeStore.keys].filter(([key]) => key.startsWith('runs/'));
     assert.ok(left.every(([key, stored]) => /\/p\d+$/.test(key) && size(stored.value) <= SMALL));
   });
 }
 
 test('limits that fall unannounced, before anything is ranged, lose nothing either', async () => {
-  const office = new Office({ tasks: 150 }, 3);
-  for (let task = 0; task < 150; task++) office.place(task);
-  office.ledger.flush(office.job);
-  await office.clock.advance(100);
-  office.fakeStore.limits = { valueBytes: SMALL, txnOps: 4 };
-  for (let task = 0; task < 150; task += 2) office.end(task);
-  office.ledger.flush(office.job);
-  await office.clock.advance(100);
-  office.check();
-  await office.clock.advance(20_000);
-  office.checkAll();
+  const leadership = new Leadership({ tasks: 150 }, 3);
+  for (let task = 0; task < 150; task++) leadership.place(task);
+  leadership.writer.flush(leadership.job);
+  await leadership.clock.advance(100);
+  leadership.fakeStore.limits = { valueBytes: SMALL, txnOps: 4 };
+  for (let task = 0; task < 150; task += 2) leadership.exit(task);
+  leadership.writer.flush(leadership.job);
+  await leadership.clock.advance(100);
+  leadership.check();
+  await leadership.clock.advance(20_000);
+  leadership.checkAll();
 });
 
 test('a gang keeps its phase over the change of layout, and forgets one that is over', async () => {
-  const office = new Office({ tasks: 4, kind: 'gang' }, 1);
-  const gang = office.job.gang!;
-  for (let task = 0; task < 4; task++) office.place(task);
+  const leadership = new Leadership({ tasks: 4, kind: 'gang' }, 1);
+  const gang = leadership.job.gang!;
+  for (let task = 0; task < 4; task++) leadership.place(task);
   gang.phase = 'placed';
-  office.ledger.flush(office.job);
-  await office.clock.advance(100);
-  office.ranged = true;
-  office.ledger.rewrite(office.job);
-  await office.clock.advance(1000);
-  assert.equal(office.successor().gang!.phase, 'placed');
+  leadership.writer.flush(leadership.job);
+  await leadership.clock.advance(100);
+  leadership.ranged = true;
+  leadership.writer.rewrite(leadership.job);
+  await leadership.clock.advance(1000);
+  assert.equal(leadership.successor().gang!.phase, 'placed');
   assert.deepEqual(
-    [...office.fakeStore.keys.keys()].filter((k) => k.startsWith('runs/')),
+    [...leadership.fakeStore.keys.keys()].filter((k) => k.startsWith('runs/')),
     [`runs/${ID}/p0`],
   );
   gang.phase = 'queued';
-  office.job.markDirty(0);
-  office.ledger.flush(office.job);
-  await office.clock.advance(1000);
-  assert.equal(office.successor().gang!.phase, 'queued');
+  leadership.job.markDirty(0);
+  leadership.writer.flush(leadership.job);
+  await leadership.clock.advance(1000);
+  assert.equal(leadership.successor().gang!.phase, 'queued');
 });
 
 test('a job over with more records than one transaction may delete closes without a gap', async () => {
-  const office = new Office({ tasks: 900 }, 5);
-  office.ranged = true;
-  office.fakeStore.limits = { valueBytes: SMALL, txnOps: 4 };
-  for (let task = 0; task < 900; task++) office.place(task);
-  office.ledger.flush(office.job);
-  await office.clock.advance(5000);
-  assert.equal(office.recorded.size, 900);
-  for (let task = 0; task < 900; task++) office.end(task);
-  office.job.phase = 'done';
-  office.job.isPhaseStored = false;
-  office.ledger.flush(office.job);
+  const leadership = new Leadership({ tasks: 900 }, 5);
+  leadership.ranged = true;
+  leadership.fakeStore.limits = { valueBytes: SMALL, txnOps: 4 };
+  for (let task = 0; task < 900; task++) leadership.place(task);
+  leadership.writer.flush(leadership.job);
+  await leadership.clock.advance(5000);
+  assert.equal(leadership.recorded.size, 900);
+  for (let task = 0; task < 900; task++) leadership.exit(task);
+  leadership.job.phase = 'done';
+  leadership.job.isPhaseStored = false;
+  leadership.writer.flush(leadership.job);
   const runs = (): number =>
-    [...office.fakeStore.keys.keys()].filter((k) => k.startsWith('runs/')).length;
+    [...leadership.fakeStore.keys.keys()].filter((k) => k.startsWith('runs/')).length;
   const all = runs();
   assert.ok(all > 6, `${all} records`);
   // While some of its records are gone and others not, its own says that it is over.
   let between = 0;
   for (let i = 0; i < 400 && runs() > 0; i++) {
-    office.fate = i % 7 === 3 ? 'lose answer' : 'serve';
-    const { phase } = office.fakeStore.get(`jobs/${ID}`) as { phase: string };
+    leadership.fate = i % 7 === 3 ? 'lose answer' : 'serve';
+    const { phase } = leadership.fakeStore.get(`jobs/${ID}`) as { phase: string };
     if (runs() < all) {
       between++;
       assert.equal(phase, 'done');
     }
-    await office.clock.advance(20);
+    await leadership.clock.advance(20);
   }
   assert.ok(between > 0);
-  await office.clock.advance(5000);
+  await leadership.clock.advance(5000);
   assert.equal(runs(), 0);
-  assert.equal(office.job.isArchived, true);
-  const last = office.fakeStore.get(`jobs/${ID}`) as object;
+  assert.equal(leadership.job.isArchived, true);
+  const last = leadership.fakeStore.get(`jobs/${ID}`) as object;
   assert.ok(!('spec' in last));
 });
 
-test('the end of a job whose description is larger than the store takes by now is stored', async () => {
+test('the final state of a job whose description is larger than the store takes by now is stored', async () => {
   const types = Array.from({ length: 400 }, (_, i) => `type-${i}`);
-  const office = new Office({ tasks: 900, types }, 5);
-  office.ranged = true;
-  office.fakeStore.limits = { valueBytes: SMALL, txnOps: 4 };
-  for (let task = 0; task < 900; task++) office.place(task);
-  office.ledger.flush(office.job);
-  await office.clock.advance(5000);
-  for (let task = 0; task < 900; task++) office.end(task);
-  office.job.phase = 'done';
-  office.job.isPhaseStored = false;
-  office.ledger.flush(office.job);
-  await office.clock.advance(5000);
-  assert.equal(office.job.isArchived, true);
-  assert.equal(office.fakeStore.rejected, 1, 'only the one that told of the limits');
+  const leadership = new Leadership({ tasks: 900, types }, 5);
+  leadership.ranged = true;
+  leadership.fakeStore.limits = { valueBytes: SMALL, txnOps: 4 };
+  for (let task = 0; task < 900; task++) leadership.place(task);
+  leadership.writer.flush(leadership.job);
+  await leadership.clock.advance(5000);
+  for (let task = 0; task < 900; task++) leadership.exit(task);
+  leadership.job.phase = 'done';
+  leadership.job.isPhaseStored = false;
+  leadership.writer.flush(leadership.job);
+  await leadership.clock.advance(5000);
+  assert.equal(leadership.job.isArchived, true);
+  assert.equal(leadership.fakeStore.rejected, 1, 'only the one that showed the limits');
 });
 
 const size = (value: unknown): number => Buffer.byteLength(JSON.stringify(value));
