--- a/src/state/keys.ts
+++ b/src/state/keys.ts
@@ -1,8 +1,11 @@
 /**
- * The names under which the service keeps its state; `shares/` is the shares package's. They are a contract with the versions that run
- * beside this one, so they stay also where the source calls the same thing otherwise: the key of a
- * zone delegate begins with `keeper/`.
+ * Keys of the stored records, and their mapping to the names of the source.
+ *
+ * Controllers of other versions read and write the same records, so keys keep their names where
+ * the source has another name for the same thing. Keys below `shares/` belong to the shares package.
  */
+
+/** Keys and key prefixes of the records; a prefix ends in `/`. */
 export const KEYS = {
   leader: 'leader',
   types: 'types',
@@ -13,34 +16,37 @@
   members: 'members/',
   zoneDelegates: 'keeper/',
   job: (id: string): string => `jobs/${id}`,
-  /** One piece of a long list of dependencies; `mark` names the list, see jobs/dependencies.ts. */
-  dependencyChunk: (id: string, mark: string, piece: number): string =>
-    `needs/${id}/${mark}/${piece}`,
-  dependencyChunks: (id: string, mark: string): string => `needs/${id}/${mark}/`,
+  /** One chunk of a long list of dependencies; `list` names the list, see jobs/dependencies.ts. */
+  dependencyChunk: (id: string, list: string, chunk: number): string =>
+    `needs/${id}/${list}/${chunk}`,
+  dependencyChunks: (id: string, list: string): string => `needs/${id}/${list}/`,
   run: (id: string, index: number): string => `runs/${id}/${index}`,
   runRange: (id: string, from: number): string => `runs/${id}/p${from}`,
   member: (name: string): string => `members/${encodeURIComponent(name)}`,
   zoneDelegate: (zone: string): string => `keeper/${encodeURIComponent(zone)}`,
   provisioningRequest: (request: string): string => `rent/${request}`,
-  /** No order: see fleet/rental-records.ts. */
+  /** Guards all provisioning records and is none itself: see fleet/provisioning-records.ts. */
   provisioningGuard: 'rent/guard',
 } as const;
 
-/** What the key of a run record says: its number, or the first task of its range. */
+/** The parts of the key of a run record. */
 export interface RunKey {
   job: string;
   kind: 'indexed' | 'ranged';
+  /** The number of the run if `indexed`, the first task of its range if `ranged`. */
   number: number;
 }
 
-/** Null if no version writes such a key. */
+/** The parts of the key of a run record; null if no version writes such a key. */
 export function parseRunKey(key: string): RunKey | null {
   const match = /^runs\/(.+)\/(p?)(\d+)$/.exec(key);
-  if (!match) return null;
-  return { job: match[1]!, kind: match[2] ? 'ranged' : 'indexed', number: Number(match[3]) };
+  const job = match?.[1];
+  if (job === undefined) return null;
+  return { job, kind: match?.[2] ? 'ranged' : 'indexed', number: Number(match?.[3]) };
 }
 
 /** The job that a run record belongs to, whether or not the rest of its key can be read. */
 export const jobOfRunKey = (key: string): string => key.split('/')[1] ?? '';
 
+/** The job that the key of a job record names. */
 export const jobOfKey = (key: string): string => key.slice(KEYS.jobs.length);
--- a/src/state/rate-limiter.ts
+++ b/src/state/rate-limiter.ts
@@ -1,26 +1,32 @@
+/** Client-side rate limit with a queue for each request priority. */
 import type { Clock } from '@leverhatch/core/clock';
 import { RequestPriority } from '@leverhatch/core/store';
 import { TokenBucket } from '@leverhatch/core/token-bucket';
 
 export { RequestPriority } from '@leverhatch/core/store';
 
-/** Callers of this urgency are not counted as waiting. */
+/** Callers of this priority can wait, so they are not counted in `queueLength`. */
 const BACKGROUND_PRIORITY: RequestPriority = RequestPriority.Background;
 
+/** Missing fractions of a token that come from rounding; without it a wait of 0 ms would repeat. */
+const ROUNDING_TOLERANCE = 1e-6;
+
 interface Waiter {
   cost: number;
   grant(): void;
 }
 
 /**
- * A token bucket with a queue for each urgency: the first queue is always served first. It holds
- * one node's callers below a rate that a partner enforces with refusals.
+ * A token bucket with a queue for each priority; queues are served strictly by priority. It keeps one
+ * controller's requests below the rate above which an external service rejects them.
  */
 export class RateLimiter {
   private readonly bucket: TokenBucket;
-  private readonly queues: Waiter[][] = [[], [], [], []];
+  /** Indexed by `RequestPriority`. */
+  private readonly queues: [Waiter[], Waiter[], Waiter[], Waiter[]] = [[], [], [], []];
   private isDraining = false;
 
+  /** `perSecond`: tokens a second; `burst`: the most tokens that accumulate. */
   constructor(
     private readonly clock: Clock,
     perSecond: number,
@@ -29,22 +35,21 @@
     this.bucket = new TokenBucket(clock, perSecond, burst);
   }
 
-  /** Resolves once `cost` may be spent; rejects if `signal` is aborted first. */
+  /** Resolves once `cost` tokens are spent; rejects if `signal` is aborted first. */
   acquire(cost: number, priority: RequestPriority, signal?: AbortSignal): Promise<void> {
     signal?.throwIfAborted();
     const tokens = this.bucket.fill();
-    // A cost above the burst would never be covered; it is let through once the bucket is full.
-    const price = Math.min(cost, this.bucket.burst);
+    const price = this.priceOf(cost);
     if (this.queues.every((queue) => queue.length === 0) && tokens >= price) {
       this.bucket.spend(price);
       return Promise.resolve();
     }
     return new Promise((resolve, reject) => {
-      const queue = this.queues[priority]!;
+      const queue = this.queues[priority];
       const leave = (): void => {
-        const at = queue.indexOf(waiter);
-        if (at >= 0) queue.splice(at, 1);
-        reject(signal!.reason as Error);
+        const index = queue.indexOf(waiter);
+        if (index >= 0) queue.splice(index, 1);
+        reject(signal?.reason as Error);
       };
       const waiter: Waiter = {
         cost: price,
@@ -59,45 +64,49 @@
     });
   }
 
-  /** Another rate from now on; whoever waits is served at it. */
+  /** Changes the rate (tokens a second) and the burst, also for callers that already wait. */
   setRate(perSecond: number, burst: number): void {
     this.bucket.setRate(perSecond, burst);
   }
 
-  /** How many callers wait that are in a hurry: callers widen their batches by it. */
+  /** Callers that wait, without those of background priority; batches are sized by it. */
   get queueLength(): number {
     return this.queues.slice(0, BACKGROUND_PRIORITY).reduce((sum, queue) => sum + queue.length, 0);
   }
 
-  /** How long a caller of this urgency would wait for `cost`, in milliseconds. */
+  /** How long a caller of this priority would wait for `cost` tokens, in milliseconds. */
   delayMs(cost: number, priority: RequestPriority): number {
     const tokens = this.bucket.fill();
-    let ahead = 0;
+    let costAhead = 0;
     for (const queue of this.queues.slice(0, priority + 1)) {
-      for (const waiter of queue) ahead += waiter.cost;
+      for (const waiter of queue) costAhead += waiter.cost;
     }
-    const missing = ahead + Math.min(cost, this.bucket.burst) - tokens;
+    const missing = costAhead + this.priceOf(cost) - tokens;
     return Math.max(0, this.bucket.msFor(missing));
   }
 
+  /** A cost above the burst could never be covered; it is admitted once the bucket is full. */
+  private priceOf(cost: number): number {
+    return Math.min(cost, this.bucket.burst);
+  }
+
   private async drainQueues(): Promise<void> {
-    // A flag rather than the promise: where the bucket fills between two readings of the clock, this
-    // ends before its promise is known to anybody, and a promise kept then would look like a
-    // queue that is being served for ever after.
+    // A flag instead of the promise: if the bucket fills between two readings of the clock, this
+    // function ends before its caller has the promise. A promise stored after that would look like
+    // a drain that never ends.
     this.isDraining = true;
     for (;;) {
       const tokens = this.bucket.fill();
-      const queue = this.queues.find((queue) => queue.length > 0);
-      if (!queue) break;
-      const next = queue[0]!;
-      // The small allowance keeps rounding from turning into a wait of no length.
-      const cost = Math.min(next.cost, this.bucket.burst);
-      if (tokens + 1e-6 >= cost) {
-        this.bucket.spend(cost);
+      const queue = this.queues.find((waiting) => waiting.length > 0);
+      const next = queue?.[0];
+      if (queue === undefined || next === undefined) break;
+      const price = this.priceOf(next.cost);
+      if (tokens + ROUNDING_TOLERANCE >= price) {
+        this.bucket.spend(price);
         queue.shift();
         next.grant();
       } else {
-        await this.clock.sleep(this.bucket.msFor(cost - tokens) + 1);
+        await this.clock.sleep(this.bucket.msFor(price - tokens) + 1);
       }
     }
     this.isDraining = false;
--- a/src/state/store-health.ts
+++ b/src/state/store-health.ts
@@ -1,16 +1,17 @@
+/** Availability of the store as this controller sees it. */
 import { NoResponseError } from '../http/client.js';
 import type { Clock } from '@leverhatch/core/clock';
 
 /**
- * So many requests in a row without any answer, over this share of a request's time, are more than
- * answers that were lost one by one; users are sent away then.
+ * The store is unresponsive after this many requests in a row without a response, over this fraction
+ * of the request timeout. Fewer may be responses that were lost one by one.
  */
 const UNRESPONSIVE_REQUESTS = 3;
 const UNRESPONSIVE_RATIO = 0.5;
 
-/** Whether the store serves this controller, as told by the outcome of each request. */
+/** Whether the store is available to this controller, by the outcome of each request. */
 export class StoreHealth {
-  private servedAt = -Infinity;
+  private availableAt = -Infinity;
   private failedSince: number | null = null;
   private noResponseSince: number | null = null;
   private requestsWithoutResponse = 0;
@@ -21,36 +22,36 @@
     private readonly timeoutMs: number,
   ) {}
 
-  /** When the store last answered anything but a refusal. */
+  /** When the store last executed a request, or rejected one for its rate alone (monotonic, ms). */
   get lastServedAt(): number {
-    return this.servedAt;
+    return this.availableAt;
   }
 
-  /** Since when every request has failed; null while the store serves. */
+  /** Since when every request has failed (monotonic, ms); null while the store is available. */
   get unavailableSince(): number | null {
     return this.failedSince;
   }
 
-  /** Requests get no answer at all, not even a refusal. */
+  /** Requests get no response at all, not even a rejection. */
   get isUnresponsive(): boolean {
     if (this.requestsWithoutResponse < UNRESPONSIVE_REQUESTS) return false;
-    const silentMs = this.clock.now() - (this.noResponseSince ?? Infinity);
-    return silentMs >= this.timeoutMs * UNRESPONSIVE_RATIO;
+    const unansweredMs = this.clock.now() - (this.noResponseSince ?? Infinity);
+    return unansweredMs >= this.timeoutMs * UNRESPONSIVE_RATIO;
   }
 
-  /** An answer has come, be it a refusal. */
+  /** A response has arrived, possibly a rejection. */
   recordResponse(): void {
     this.noResponseSince = null;
     this.requestsWithoutResponse = 0;
   }
 
-  /** The store executed a request, or refused it for its rate alone. */
+  /** The store executed a request, or rejected it for its rate alone. */
   recordSuccess(): void {
-    this.servedAt = this.clock.now();
+    this.availableAt = this.clock.now();
     this.failedSince = null;
   }
 
-  /** A request was not executed, or got no answer. */
+  /** A request was not executed, or got no response. */
   recordFailure(error: unknown): void {
     const now = this.clock.now();
     this.failedSince ??= now;
--- a/src/state/store-limits.ts
+++ b/src/state/store-limits.ts
@@ -1,6 +1,7 @@
+/** The limits of the store: announced, learned from rejections, and in force. */
 import { Subject } from 'rxjs';
 
-/** What the store allows. Rates hold for all controllers together; sizes for each value or transaction. */
+/** What the store allows. Rates hold for all controllers together, sizes for each value or transaction. */
 export interface Limits {
   /** Requests a second. */
   rps: number;
@@ -13,40 +14,38 @@
 }
 
 /** How many conditions a transaction may have for each put or delete that it may have. */
-export const CONDITIONS_PER_OPERATION = 4;
+const CONDITIONS_PER_OPERATION = 4;
 
 /**
- * A size up to which the store takes something. It begins with what is announced, and is halved with
- * every refusal: where the store takes less than anybody said, nothing else tells how much. What it
- * was halved to holds for all that is made after it.
+ * The largest size that the store accepts. It starts at the announced size and is halved with every
+ * rejection, since a store that accepts less than announced does not say how much it accepts. The
+ * reduced size stays in force.
  */
-export class AdaptiveLimit {
+class AdaptiveLimit {
   private learned = Infinity;
 
   /** @param announced the announced size, which may fall at any time */
   constructor(private readonly announced: () => number) {}
 
+  /** The size to keep within now. */
   get current(): number {
     return Math.min(this.announced(), this.learned);
   }
 
-  /** Something of this size was refused for good; one that no longer counts changes nothing. */
+  /** Something of this size was rejected. Sizes above the current limit teach nothing new. */
   reduceBelow(size: number): void {
     if (size <= this.current) this.learned = Math.max(1, Math.floor(size / 2));
   }
 }
 
-/**
- * How many times values and changes of submissions are made half as large as announced before a job
- * is called too large.
- */
+/** A submission is too large for the store after its sizes were halved so many times. */
 const MAX_HALVINGS = 3;
 
 /**
  * The limits of the store as this controller knows them. The settings may announce smaller ones
- * that the store will have from some unknown moment on (`state.next`). The announced limits are
- * planned for from the moment an upgrade is complete, or as soon as a refusal shows that they hold;
- * from then on they hold for everything on this controller.
+ * that the store will have from some unknown moment on (`state.next`). The announced limits
+ * come into force when an upgrade is complete or when a rejection shows that the store applies them,
+ * and then hold for everything on this controller.
  */
 export class StoreLimits {
   /** Emits when the limits in force have changed. */
@@ -57,11 +56,12 @@
   readonly comparedKeys = new AdaptiveLimit(
     () => this.effective().txnOps * CONDITIONS_PER_OPERATION,
   );
-  /** How many changes a transaction of pieces takes; they are laid out for the limits to come. */
+  /** How many changes a transaction of chunks takes; chunks are laid out for the announced limits. */
   readonly chunkChanges = new AdaptiveLimit(() => this.smallest().txnOps);
   /** How many bytes of a value submissions are laid out for. */
   readonly submittedBytes = new AdaptiveLimit(() => this.smallest().valueBytes);
 
+  /** `next`: limits announced for some later moment; null if there are none. */
   constructor(
     private readonly current: Limits,
     next: Partial<Limits> | null = null,
@@ -81,14 +81,14 @@
     return this.areAnnouncedApplied ? this.announced : this.current;
   }
 
-  /** The smaller of the current and the announced limits: for what must be rewritten later on. */
+  /** The smaller of the current and the announced limits: for records that later versions rewrite. */
   smallest(): Limits {
     return this.announced;
   }
 
   /**
-   * A submission laid out for these sizes was refused for good, whichever of them it was for; false if
-   * nothing smaller is worth a try.
+   * Reduces both sizes after the store rejected a submission laid out for them: it does not say which
+   * of them was too large. False if nothing smaller is worth a try.
    */
   onSubmissionRejected(valueBytes: number, changes: number): boolean {
     if (valueBytes * 2 ** MAX_HALVINGS <= this.smallest().valueBytes) return false;
@@ -105,7 +105,7 @@
     );
   }
 
-  /** From now on the announced limits are in force; false if they were already. */
+  /** Brings the announced limits into force; false if they already were. */
   applyAnnounced(): boolean {
     if (this.areAnnouncedApplied) return false;
     this.areAnnouncedApplied = true;
@@ -114,5 +114,5 @@
   }
 }
 
-/** The size of a value as the store counts it. */
+/** The size of a value as the store counts it, in bytes. */
 export const jsonBytes = (value: object): number => Buffer.byteLength(JSON.stringify(value));
--- a/src/state/store-rate-limiter.ts
+++ b/src/state/store-rate-limiter.ts
@@ -1,47 +1,71 @@
+/** Client-side rate limits for requests, queries and writes to the store. */
 import type { Clock } from '@leverhatch/core/clock';
 import { RateLimiter, RequestPriority } from './rate-limiter.js';
 import type { StoreLimits } from './store-limits.js';
 
-/** Requests for users' questions have a rate of their own and come after all others. */
+/** Requests for users' queries (`question`) have a rate of their own and the lowest priority. */
 export type RequestClass = RequestPriority | 'question';
 
-/** What users' questions come after: all that has a smaller urgency. */
+/** The priority of users' queries among all requests. */
 const QUERY_PRIORITY: RequestPriority = RequestPriority.Normal;
 
 /**
- * What users' questions at all controllers together may take of the store's requests, so that a storm
- * of them leaves room for submissions, leadership and the leader's writes. One comparison answers as
- * many questions as a transaction has conditions.
+ * The fraction of the store's request rate that users' queries at all controllers together may take,
+ * so that a storm of them leaves room for submissions, leadership and the leader's writes. One version
+ * check answers as many queries as a transaction has conditions.
  */
 const QUERY_RATE_RATIO = 0.5;
 
-/** How many seconds' worth of these requests may come at once, as when a controller has just started. */
+/** Burst of query requests, in seconds of their rate. */
 const QUERY_BURST_SECONDS = 0.5;
 
+/**
+ * The fraction of the request rate that one controller may take. The rate holds for all controllers
+ * together, but one of them, the leader, sends most requests. Requests that the store rejects all the
+ * same are repeated after a wait.
+ */
+const REQUEST_RATE_RATIO = 1 / 2;
+
+/** Burst of requests, in seconds of the whole request rate. */
+const REQUEST_BURST_SECONDS = 1 / 4;
+
+/** The fraction of the write rate that one controller may take: only the leader writes much. */
+const WRITE_RATE_RATIO = 0.85;
+
+/** Burst of writes, in seconds of the whole write rate. */
+const WRITE_BURST_SECONDS = 0.5;
+
 interface Rate {
   perSecond: number;
   burst: number;
 }
 
+interface Rates {
+  requests: Rate;
+  queries: Rate;
+  writes: Rate;
+}
+
 /**
- * Holds one controller's requests to the store below the rates that the store enforces for all
- * controllers together. Callers wait here for their share, the most urgent first.
+ * Keeps one controller's requests below the rates that the store enforces for all controllers
+ * together. Callers wait here, by priority.
  */
 export class StoreRateLimiter {
   private readonly requests: RateLimiter;
   private readonly queries: RateLimiter;
   private readonly writes: RateLimiter;
 
-  /** `controllers`: how many share the rates. */
+  /** `controllers`: how many controllers share the rates. */
   constructor(
     clock: Clock,
     private readonly limits: StoreLimits,
     private readonly controllers: number,
   ) {
-    const { requests, queries: queries, writes } = this.rates();
+    const { requests, queries, writes } = this.rates();
     this.requests = new RateLimiter(clock, requests.perSecond, requests.burst);
     this.queries = new RateLimiter(clock, queries.perSecond, queries.burst);
     this.writes = new RateLimiter(clock, writes.perSecond, writes.burst);
+    // Never released: the store's client owns both this limiter and the limits.
     limits.changed.subscribe(() => {
       const lower = this.rates();
       this.requests.setRate(lower.requests.perSecond, lower.requests.burst);
@@ -50,17 +74,13 @@
     });
   }
 
-  /**
-   * The limits hold for all nodes together. One node does nearly all of the writing, so each may
-   * take half of the requests; what is refused all the same is tried again after a wait.
-   */
-  private rates(): { requests: Rate; queries: Rate; writes: Rate } {
+  private rates(): Rates {
     const { rps, writeRps } = this.limits.effective();
-    const questions = (rps * QUERY_RATE_RATIO) / this.controllers;
+    const queryRps = (rps * QUERY_RATE_RATIO) / this.controllers;
     return {
-      requests: { perSecond: rps / 2, burst: rps / 4 },
-      queries: { perSecond: questions, burst: Math.max(1, questions * QUERY_BURST_SECONDS) },
-      writes: { perSecond: writeRps * 0.85, burst: writeRps * 0.5 },
+      requests: { perSecond: rps * REQUEST_RATE_RATIO, burst: rps * REQUEST_BURST_SECONDS },
+      queries: { perSecond: queryRps, burst: Math.max(1, queryRps * QUERY_BURST_SECONDS) },
+      writes: { perSecond: writeRps * WRITE_RATE_RATIO, burst: writeRps * WRITE_BURST_SECONDS },
     };
   }
 
@@ -71,22 +91,22 @@
     await this.requests.acquire(1, QUERY_PRIORITY, signal);
   }
 
-  /** Waits until so many puts and deletes may be sent; rejects if `signal` is aborted first. */
+  /** Waits until `changes` puts and deletes may be sent; rejects if `signal` is aborted first. */
   admitWrites(changes: number, priority: RequestPriority, signal?: AbortSignal): Promise<void> {
     return this.writes.acquire(changes, priority, signal);
   }
 
-  /** How many callers wait for their share of the writes. */
+  /** Callers that wait to write, without those of background priority. */
   get queuedWrites(): number {
     return this.writes.queueLength;
   }
 
-  /** How long a transaction of so many puts and deletes would queue here, in milliseconds. */
+  /** How long a transaction of `changes` puts and deletes would wait here, in milliseconds. */
   writeDelayMs(changes: number, priority: RequestPriority): number {
     return Math.max(this.writes.delayMs(changes, priority), this.requests.delayMs(1, priority));
   }
 
-  /** How long the last of so many requests for users' questions would queue here, in milliseconds. */
+  /** How long the last of `requests` requests for users' queries would wait here, in milliseconds. */
   queryDelayMs(requests: number): number {
     const queuedMs = Math.max(
       this.queries.delayMs(1, RequestPriority.Critical),
--- a/src/state/store.ts
+++ b/src/state/store.ts
@@ -1,3 +1,7 @@
+/**
+ * The client of the consensus-backed key-value store: requests, their rate limits and their retries.
+ * Names of the store's interface are in `src/wire/store.ts`.
+ */
 import { RevisionCompactedError, type CommitResult, type StorePort } from '@leverhatch/core/store';
 import { NoResponseError, type Reply, type Transport } from '../http/client.js';
 import type { Runtime } from '@leverhatch/core/duty';
@@ -9,46 +13,59 @@
 import { StoreHealth } from './store-health.js';
 import { StoreRateLimiter, type RequestClass } from './store-rate-limiter.js';
 
+export { RevisionCompactedError, type CommitResult } from '@leverhatch/core/store';
 export type { Change, Condition, Entry, StoreEvent } from '../wire/store.js';
+export { RequestPriority } from './rate-limiter.js';
+export type { RequestClass } from './store-rate-limiter.js';
 
-/** The store did not execute the request; `status` says why. */
+/** The store did not execute a request. */
 export class RequestRejectedError extends Error {
-  /** An earlier copy of the same transaction got no answer and may have been applied. */
+  override readonly name = 'RequestRejectedError';
+  /** An earlier copy of the same transaction got no response and may have been applied. */
   ambiguous = false;
 
+  /** `status`: the HTTP status; `subject`: what the request was about, such as its key or path. */
   constructor(
     readonly status: number,
-    subject: string,
+    readonly subject: string,
   ) {
-    super(`${subject}: refused with ${status}`);
+    super(`${subject}: rejected with ${status}`);
   }
 }
-export { RevisionCompactedError } from '@leverhatch/core/store';
-export class LeaseNotFoundError extends Error {}
 
-export type { CommitResult } from '@leverhatch/core/store';
+/** A lease has expired or was revoked. */
+export class LeaseNotFoundError extends Error {
+  override readonly name = 'LeaseNotFoundError';
 
-export { RequestPriority } from './rate-limiter.js';
-
-export type { RequestClass } from './store-rate-limiter.js';
+  /** `lease`: its number; null if the request named none. */
+  constructor(readonly lease: number | null) {
+    super(lease === null ? 'no such lease' : `no such lease: ${lease}`);
+  }
+}
 
 /**
- * Bursts of several controllers together are refused now and then. Where more than one transaction
- * in six is refused for a while the store allows a lower rate than before: each refusal counts one,
- * each success takes a fifth away, and so many are too many.
+ * Bursts of several controllers together are rejected now and then. If more than one transaction in
+ * six is rejected for a while, the store allows a lower rate than before: each rejection adds one to a
+ * count, each success subtracts `SUCCESS_OFFSETS`, and this count is the threshold.
  */
 const PERSISTENT_RATE_REJECTIONS = 8;
 const SUCCESS_OFFSETS = 0.2;
 
-/** The state service as one controller uses it: its requests, their rates and their repetitions. */
+/** The request timeout divided by these: bounds of the wait between two attempts, and that of a read. */
+const MIN_COMMIT_WAIT_DIVISOR = 20;
+const MAX_COMMIT_WAIT_DIVISOR = 2;
+const READ_RETRY_DIVISOR = 10;
+
+/** The store as one controller uses it. Requests reject with `NoResponseError` if none came. */
 export class Store implements StorePort {
   private readonly rates: StoreRateLimiter;
   private readonly health: StoreHealth;
-  /** Transactions refused for the rate lately, less a share of those that were applied. */
+  /** Transactions rejected for the rate lately, less a fraction of those that were applied. */
   private rateRejections = 0;
   /** What the store allows, as far as this controller knows. */
   readonly limits: StoreLimits;
 
+  /** `timeoutMs`: how long a request may take, in milliseconds. */
   constructor(
     private readonly transport: Transport,
     private readonly runtime: Runtime,
@@ -60,39 +77,40 @@
     this.health = new StoreHealth(runtime.clock, timeoutMs);
   }
 
-  /** How many callers wait for their share of the writes. */
+  /** Callers that wait to write, without those of background priority. */
   get queuedWrites(): number {
     return this.rates.queuedWrites;
   }
 
-  /** How long a transaction of so many puts and deletes would queue here, in milliseconds. */
+  /** How long a transaction of `changes` puts and deletes would wait here, in milliseconds. */
   writeDelayMs(changes: number, priority: RequestPriority): number {
     return this.rates.writeDelayMs(changes, priority);
   }
 
-  /** How long the last of so many requests for users' questions would queue here, in milliseconds. */
+  /** How long the last of `requests` requests for users' queries would wait here, in milliseconds. */
   queryDelayMs(requests: number): number {
     return this.rates.queryDelayMs(requests);
   }
 
   /**
-   * Throws if requests get no answer at all, not even a refusal, so that a user is told so at once
-   * instead of waiting for one more of them. Requests of our own find out when that is over.
+   * Throws if requests get no response at all, so that a user gets an error at once instead of waiting
+   * for one more of them. The controller's own requests detect when the store responds again.
    */
   assertResponsive(): void {
-    if (this.health.isUnresponsive) throw new RequestRejectedError(503, 'a silent store');
+    if (this.health.isUnresponsive) throw new RequestRejectedError(503, 'unresponsive store');
   }
 
-  /** When the store last answered anything but a refusal. */
+  /** When the store last executed a request, or rejected one for its rate alone (monotonic, ms). */
   get lastServedAt(): number {
     return this.health.lastServedAt;
   }
 
-  /** Since when every request has failed; null while the store serves. */
+  /** Since when every request has failed (monotonic, ms); null while the store is available. */
   get unavailableSince(): number | null {
     return this.health.unavailableSince;
   }
 
+  /** One entry; null if there is none. */
   async get(
     key: string,
     requestClass: RequestClass,
@@ -103,14 +121,16 @@
     return wire.parseEntry(expectStatus(reply, 200, key));
   }
 
-  /** Reads a key however long it takes. */
+  /** Reads a key, and repeats the read until it succeeds; rejects if `signal` is aborted. */
   async readWithRetry(key: string, signal: AbortSignal): Promise<wire.Entry | null> {
     for (;;) {
       try {
         return await this.get(key, RequestPriority.High, signal);
       } catch {
+        // The health record notes the failure; whatever it was, only another try helps.
         signal.throwIfAborted();
-        await this.runtime.clock.sleep(jitter(this.timeoutMs / 10, this.runtime.random), signal);
+        const waitMs = this.timeoutMs / READ_RETRY_DIVISOR;
+        await this.runtime.clock.sleep(jitter(waitMs, this.runtime.random), signal);
       }
     }
   }
@@ -126,8 +146,8 @@
   }
 
   /**
-   * Hands over the entries below `prefix` page by page, so that no more than one page is in memory;
-   * answers the revision from which to follow them.
+   * Passes the entries below `prefix` to `onPage` page by page, so that no more than one page is in
+   * memory; resolves to the revision from which to follow them.
    */
   async forEachPage(
     prefix: string,
@@ -135,14 +155,15 @@
     signal?: AbortSignal,
   ): Promise<number> {
     let after: string | null = null;
-    // Changes made while later pages are read are seen again by following from the first page on.
+    // Following starts at the first page's revision: it repeats changes made while later ones are read.
     let revision: number | null = null;
     for (;;) {
       const page: wire.RangePage = await this.page(prefix, after, wire.RANGE_PAGE, signal);
       revision ??= page.revision;
       onPage(page.items);
-      if (!page.more || page.items.length === 0) return revision;
-      after = page.items[page.items.length - 1]!.key;
+      const last = page.items.at(-1);
+      if (!page.more || last === undefined) return revision;
+      after = last.key;
     }
   }
 
@@ -159,7 +180,10 @@
     return wire.parseRange(expectStatus(reply, 200, prefix));
   }
 
-  /** One try. Throws `Refused` if it was not executed, `NoAnswer` if that cannot be told. */
+  /**
+   * One attempt. Rejects with `RequestRejectedError` if the transaction was not executed, with
+   * `LeaseNotFoundError` if its lease has ended, with `NoResponseError` if the result is ambiguous.
+   */
   async tryCommit(
     conditions: wire.Condition[],
     changes: wire.Change[],
@@ -170,13 +194,13 @@
     const body = wire.transactionBody(conditions, changes);
     const reply = await this.sendTransaction(body, changes.length > 0, priority, signal);
     if (reply.status === 409) return { ok: false, failed: wire.parseConflict(reply.body) };
-    if (reply.status === 400 && isLeaseNotFound(reply.body))
-      throw new LeaseNotFoundError('no such lease');
+    if (reply.status === 400 && wire.isLeaseNotFound(reply.body))
+      throw new LeaseNotFoundError(leaseOf(changes));
     if (reply.status === 400) this.onSizeRejected(changes.length);
     return { ok: true, revision: wire.parseCommitted(expectStatus(reply, 200, 'txn')) };
   }
 
-  /** Which of these keys have other versions than these, without any change. */
+  /** A version check: the keys whose versions differ from those in `conditions`. */
   async compareVersions(
     conditions: wire.Condition[],
     requestClass: RequestClass,
@@ -191,39 +215,38 @@
 
   private async sendTransaction(
     body: object,
-    changes: boolean,
+    isWrite: boolean,
     priority: RequestPriority,
     signal?: AbortSignal,
   ): Promise<Reply> {
     try {
       const reply = await this.call('POST', wire.STORE_PATHS.transaction, body, priority, signal);
-      if (changes && reply.status === 200) {
+      if (isWrite && reply.status === 200) {
         this.rateRejections = Math.max(0, this.rateRejections - SUCCESS_OFFSETS);
       }
       return reply;
     } catch (error) {
-      if (changes && error instanceof RequestRejectedError && error.status === 429)
+      if (isWrite && error instanceof RequestRejectedError && error.status === 429)
         this.onRateRejected();
       throw error;
     }
   }
 
-  /** Too large a value or too many operations: the announced limits hold by now, for everybody. */
+  /** A value was too large or its operations too many: the store applies the announced limits. */
   private onSizeRejected(changes: number): void {
     if (!this.limits.applyAnnounced()) return;
-    this.runtime.log.warn({ changes }, 'store refused a size, lower limits in force');
+    this.runtime.log.warn({ changes }, 'store rejected a size, announced limits in force');
   }
 
   private onRateRejected(): void {
     this.rateRejections++;
     if (this.rateRejections < PERSISTENT_RATE_REJECTIONS || !this.limits.applyAnnounced()) return;
-    this.runtime.log.warn({}, 'store refuses the rate again and again, lower limits in force');
+    this.runtime.log.warn({}, 'store rejects the rate persistently, announced limits in force');
   }
 
   /**
-   * Repeats one transaction until the store gives a definite answer. A copy that got no answer may
-   * still be applied later; since all copies carry the same conditions on the keys they write,
-   * at most one of them ever is.
+   * Repeats one transaction until the outcome is known. A copy without a response may still be applied
+   * later; all copies have the same conditions on the keys they write, so at most one ever is.
    */
   async commit(
     conditions: wire.Condition[],
@@ -232,7 +255,7 @@
     signal: AbortSignal,
   ): Promise<CommitResult> {
     let ambiguous = false;
-    let wait = this.timeoutMs / 20;
+    let waitMs = this.timeoutMs / MIN_COMMIT_WAIT_DIVISOR;
     for (;;) {
       signal.throwIfAborted();
       try {
@@ -246,29 +269,38 @@
           throw error;
         }
       }
-      await this.runtime.clock.sleep(jitter(wait, this.runtime.random), signal);
-      wait = Math.min(wait * 2, this.timeoutMs / 2);
+      await this.runtime.clock.sleep(jitter(waitMs, this.runtime.random), signal);
+      waitMs = Math.min(waitMs * 2, this.timeoutMs / MAX_COMMIT_WAIT_DIVISOR);
     }
   }
 
+  /** Grants a lease of `ttlMs` milliseconds; resolves to its number. */
   async grantLease(ttlMs: number, signal?: AbortSignal): Promise<number> {
     const body = wire.leaseBody(ttlMs);
     const reply = await this.call('POST', wire.STORE_PATHS.leases, body, null, signal);
     return wire.parseGranted(expectStatus(reply, 200, 'lease'));
   }
 
-  /** Throws `LeaseGone` if the lease has ended. Renewals never queue behind other requests. */
+  /**
+   * Renews a lease; rejects with `LeaseNotFoundError` if it has ended. Renewals never wait for the rate
+   * limit; `timeoutMs` is their own timeout, in milliseconds.
+   */
   async renewLease(lease: number, timeoutMs: number, signal?: AbortSignal): Promise<void> {
     const path = wire.STORE_PATHS.renew(lease);
     const reply = await this.call('POST', path, {}, null, signal, timeoutMs);
-    if (reply.status === 404) throw new LeaseNotFoundError('the lease has ended');
+    if (reply.status === 404) throw new LeaseNotFoundError(lease);
     expectStatus(reply, 200, 'renewal');
   }
 
+  /** Ends a lease; its keys are deleted. */
   async revokeLease(lease: number): Promise<void> {
     await this.call('DELETE', wire.STORE_PATHS.lease(lease), null, null);
   }
 
+  /**
+   * Waits up to `waitMs` milliseconds for changes below `prefix` since revision `after`; rejects with
+   * `RevisionCompactedError` if some were missed.
+   */
   async watch(
     prefix: string,
     after: number,
@@ -305,25 +337,28 @@
       if (reply.status === 429) throw new RequestRejectedError(429, path);
       return reply;
     } catch (error) {
-      const rateAlone = error instanceof RequestRejectedError && error.status === 429;
-      if (!signal?.aborted && !rateAlone) this.health.recordFailure(error);
+      const isRateRejection = error instanceof RequestRejectedError && error.status === 429;
+      if (!signal?.aborted && !isRateRejection) this.health.recordFailure(error);
       throw error;
     }
   }
 }
 
-function expectStatus(reply: Reply, status: number, what: string): unknown {
-  if (reply.status !== status) throw new RequestRejectedError(reply.status, what);
+function expectStatus(reply: Reply, status: number, subject: string): unknown {
+  if (reply.status !== status) throw new RequestRejectedError(reply.status, subject);
   return reply.body;
 }
 
-/** The store called a transaction too large: a value of it, or the number of its changes or conditions. */
+/** The store rejected a transaction as too large: a value, or the number of changes or conditions. */
 export const isSizeRejection = (error: unknown): boolean =>
   error instanceof RequestRejectedError && error.status === 400;
 
 const isRetryable = (status: number): boolean => status === 429 || status === 503;
 
-const isLeaseNotFound = (body: unknown): boolean =>
-  typeof body === 'object' &&
-  body !== null &&
-  (body as { error?: unknown }).error === 'no such lease';
+/** The lease that a transaction binds its keys to. */
+function leaseOf(changes: wire.Change[]): number | null {
+  for (const change of changes) {
+    if ('put' in change && change.lease !== undefined) return change.lease;
+  }
+  return null;
+}
--- a/src/wire/store.ts
+++ b/src/wire/store.ts
@@ -74,6 +74,12 @@
   };
 }
 
+/** Whether a rejected transaction named a lease that has ended. */
+export const isLeaseNotFound = (body: unknown): boolean =>
+  typeof body === 'object' &&
+  body !== null &&
+  (body as { error?: unknown }).error === 'no such lease';
+
 export const STORE_PATHS = {
   key: (key: string): string => `/store/${key}`,
   range: (prefix: string, after: string | null, limit: number): string =>
