--- a/src/wire/cloud.ts
+++ b/src/wire/cloud.ts
@@ -1,3 +1,7 @@
+/**
+ * Maps the cloud's interface (PROTOCOL, cloud) to the names of the source. The field names in the
+ * schemas and bodies are the cloud's and stay as they are.
+ */
 import { z } from 'zod/mini';
 import type { MachineType } from '../fleet/resources.js';
 
@@ -20,6 +24,7 @@
   ),
 });
 
+/** The machine types on offer. Throws if the body does not have the cloud's form. */
 export function parseMachineTypes(body: unknown): MachineType[] {
   return z.parse(flavors, body).hulls.map((hull) => ({
     name: hull.sku,
@@ -33,12 +38,14 @@
   }));
 }
 
+/** A machine as the cloud lists it. */
 export interface ListedMachine {
   id: string;
   type: string;
   zone: string;
   spot: boolean;
   state: 'booting' | 'running' | 'failed';
+  /** Time since it was provisioned, in milliseconds. */
   ageMs: number;
 }
 
@@ -61,6 +68,7 @@
   failed: 'failed',
 };
 
+/** One page of the list of machines; `more`: it goes on after the last one. */
 export function parseMachineList(body: unknown): { machines: ListedMachine[]; more: boolean } {
   const page = z.parse(list, body);
   return {
@@ -76,7 +84,9 @@
   };
 }
 
+/** A request for `count` machines of one type in one zone. */
 export interface ProvisioningRequest {
+  /** Its id; the cloud provisions once for each id. */
   request: string;
   type: string;
   zone: string;
@@ -84,22 +94,39 @@
   count: number;
 }
 
+/** What the cloud takes at most in one request to provision, and in one to release. */
 export const MAX_MACHINES_PER_REQUEST = 50;
 export const MAX_MACHINES_PER_RELEASE = 100;
-export const LIST_PAGE = 500;
 
-export function provisioningBody(r: ProvisioningRequest): object {
-  return { charter: r.request, hull: r.type, yard: r.zone, driftwood: r.spot, number: r.count };
+/** Machines on one page of the list. */
+const LIST_PAGE = 500;
+
+/** The body of a request to provision machines. */
+export function provisioningBody(order: ProvisioningRequest): object {
+  return {
+    charter: order.request,
+    hull: order.type,
+    yard: order.zone,
+    driftwood: order.spot,
+    number: order.count,
+  };
 }
 
 const provisioned = z.object({ rigs: z.array(z.string()) });
 
+/** The ids of the machines that a request has provisioned. */
 export const parseProvisioned = (body: unknown): string[] => z.parse(provisioned, body).rigs;
+
+/** The body of a request to release machines. */
 export const releaseBody = (machines: string[]): object => ({ rigs: machines });
+
+/** The path of one page of the list of machines; `after`: the last machine of the page before. */
 export const listPath = (after: string | null): string =>
   after === null
     ? `/hosts?page=${LIST_PAGE}`
     : `/hosts?since=${encodeURIComponent(after)}&page=${LIST_PAGE}`;
+
+/** Paths of the cloud's other requests. */
 export const CLOUD_PATHS = {
   types: '/flavors',
   provision: '/hosts',
--- a/src/wire/store.ts
+++ b/src/wire/store.ts
@@ -1,10 +1,19 @@
+/**
+ * Maps the interface of the key-value store (PROTOCOL, state) to the names of the source. The field
+ * names in the schemas and bodies are the store's and stay as they are.
+ */
 import type { Change, Condition, Entry, StoreEvent } from '@leverhatch/core/store';
 import { z } from 'zod/mini';
 
 export type { Change, Condition, Entry, StoreEvent } from '@leverhatch/core/store';
 
 const count = z.int().check(z.nonnegative());
-const entry = z.object({ k: z.string(), value: z.unknown(), stamp: count });
+const entry = z.object({
+  // eslint-disable-next-line id-length -- the store's field name
+  k: z.string(),
+  value: z.unknown(),
+  stamp: count,
+});
 const rangePage = z.object({
   entries: z.array(entry),
   more: z._default(z.boolean(), false),
@@ -23,12 +32,13 @@
   ),
 });
 
-const toEntry = (e: z.infer<typeof entry>): Entry => ({
-  key: e.k,
-  value: e.value,
-  version: e.stamp,
+const toEntry = (item: z.infer<typeof entry>): Entry => ({
+  key: item.k,
+  value: item.value,
+  version: item.stamp,
 });
 
+/** One entry. Like all parsers here it throws if the body does not have the store's form. */
 export const parseEntry = (body: unknown): Entry => toEntry(z.parse(entry, body));
 
 /** A part of a range, in key order; `more`: it goes on after the last item. */
@@ -38,29 +48,36 @@
   revision: number;
 }
 
+/** One page of a range. */
 export function parseRange(body: unknown): RangePage {
   const page = z.parse(rangePage, body);
   return { items: page.entries.map(toEntry), more: page.more, revision: page.ledgerRev };
 }
 
+/** The revision of a transaction that was applied. */
 export const parseCommitted = (body: unknown): number => z.parse(committed, body).ledgerRev;
+/** The keys whose conditions failed. */
 export const parseConflict = (body: unknown): string[] => z.parse(conflict, body).failed;
+/** The number of a lease that was granted. */
 export const parseGranted = (body: unknown): number => z.parse(granted, body).hold;
 
+/** The changes that a watch reports, and the revision to follow from next. */
 export function parseWatch(body: unknown): { revision: number; events: StoreEvent[] } {
   const page = z.parse(follow, body);
   return {
     revision: page.ledgerRev,
-    events: page.news.map((n) =>
-      'write' in n
-        ? { key: n.write, value: n.value, version: n.stamp }
-        : { key: n.delete, gone: true },
+    events: page.news.map((change) =>
+      'write' in change
+        ? { key: change.write, value: change.value, version: change.stamp }
+        : { key: change.delete, gone: true },
     ),
   };
 }
 
+/** The body of a compare-and-swap transaction. */
 export function transactionBody(conditions: Condition[], changes: Change[]): object {
   return {
+    // eslint-disable-next-line id-length -- the store's field name
     when: conditions.map((condition) => ({ k: condition.key, stamp: condition.version })),
     then: changes.map((change) =>
       'put' in change
@@ -80,6 +97,7 @@
   body !== null &&
   (body as { error?: unknown }).error === 'no such lease';
 
+/** Paths of the store's requests. */
 export const STORE_PATHS = {
   key: (key: string): string => `/store/${key}`,
   range: (prefix: string, after: string | null, limit: number): string =>
@@ -90,9 +108,13 @@
   leases: '/grants',
   renew: (lease: number): string => `/grants/${lease}/extend`,
   lease: (lease: number): string => `/grants/${lease}`,
-  /** A wait that is no integer would count as none, and the answer would come at once. */
+  /** The store takes a wait that is no integer for none, and would answer at once. */
   watch: (prefix: string, after: number, waitMs: number): string =>
     `/follow?starts=${encodeURIComponent(prefix)}&since=${after}&holdMs=${Math.round(waitMs)}`,
 };
+
+/** Entries on one page of a range. */
 export const RANGE_PAGE = 1000;
+
+/** The body of a request for a lease; `ttlMs` in milliseconds. */
 export const leaseBody = (ttlMs: number): object => ({ lifeMs: ttlMs });
--- a/src/wire/submission.ts
+++ b/src/wire/submission.ts
@@ -1,12 +1,18 @@
+/**
+ * Maps users' submissions and answers (PROTOCOL, users) to the names of the source. The field names in
+ * the schema and the answers are the interface's and stay as they are.
+ */
 import { z } from 'zod/mini';
 import { Priority, type JobKind, type JobSpec } from '../jobs/job.js';
 
 const amount = z.number().check(z.nonnegative(), z.maximum(1e9));
 const name = z.string().check(z.minLength(1), z.maxLength(200));
 
-export const MAX_TASKS = 100_000;
+/** The most tasks that one job may have. */
+const MAX_TASKS = 100_000;
 
-const jobId = z.string().check(z.regex(/^req-\d{1,20}$/));
+const JOB_ID = /^req-\d{1,20}$/;
+const jobId = z.string().check(z.regex(JOB_ID));
 
 const schema = z.object({
   ref: jobId,
@@ -39,6 +45,7 @@
   best_effort: Priority.Low,
 } as const;
 
+/** A job as a user submits it. */
 export interface Submission {
   id: string;
   spec: JobSpec;
@@ -46,8 +53,10 @@
   dependencies: readonly string[];
 }
 
+/** What was parsed, or why it could not be. */
 export type ParseResult<T> = { ok: true; value: T } | { ok: false; reason: string };
 
+/** Parses a submission; `reason` goes to the user. */
 export function parseSubmission(body: unknown): ParseResult<Submission> {
   const result = schema.safeParse(body);
   if (!result.success) {
@@ -55,50 +64,54 @@
     const path = issue?.path.join('.');
     return { ok: false, reason: path ? `${path}: ${issue?.message}` : 'must be an object' };
   }
-  const d = result.data;
+  return { ok: true, value: toSubmission(result.data) };
+}
+
+function toSubmission(data: z.infer<typeof schema>): Submission {
   return {
-    ok: true,
-    value: {
-      id: d.ref,
-      spec: {
-        jobClass: d.lane,
-        team: d.crew,
-        kind: d.shape satisfies JobKind,
-        priority: PRIORITIES[d.urgency],
-        tasks: d.pieces,
-        need: { cpus: d.vcpus, gpus: d.gpus, memoryGb: d.memoryGb },
-        types: d.hulls ?? null,
-        zone: d.yard ?? null,
-        oneZone: d.samePlace,
-        spread: d.apart,
-        spot: d.driftwood,
-        image: d.crate,
-        imageGb: d.sizeGb,
-        estimateMs: d.guessS * 1000,
-        checkpointMs: d.snapshotEveryS * 1000,
-        saveMs: d.stowS * 1000,
-        deadlineMs: d.dueS == null ? null : d.dueS * 1000,
-      },
-      dependencies: [...new Set(d.waitsOn ?? [])],
+    id: data.ref,
+    spec: {
+      jobClass: data.lane,
+      team: data.crew,
+      kind: data.shape satisfies JobKind,
+      priority: PRIORITIES[data.urgency],
+      tasks: data.pieces,
+      need: { cpus: data.vcpus, gpus: data.gpus, memoryGb: data.memoryGb },
+      types: data.hulls ?? null,
+      zone: data.yard ?? null,
+      oneZone: data.samePlace,
+      spread: data.apart,
+      spot: data.driftwood,
+      image: data.crate,
+      imageGb: data.sizeGb,
+      estimateMs: data.guessS * 1000,
+      checkpointMs: data.snapshotEveryS * 1000,
+      saveMs: data.stowS * 1000,
+      deadlineMs: data.dueS == null ? null : data.dueS * 1000,
     },
+    dependencies: [...new Set(data.waitsOn ?? [])],
   };
 }
 
-/** The id that a body names, even where the rest of it is unsound: known jobs are answered first. */
+/** The job id in a body, even if the rest is malformed: known jobs are answered before it is checked. */
 export function submissionId(body: unknown): string | null {
   if (typeof body !== 'object' || body === null) return null;
   const id: unknown = (body as { ref?: unknown }).ref;
   return typeof id === 'string' && isJobId(id) ? id : null;
 }
 
-export const isJobId = (id: string): boolean => /^req-\d{1,20}$/.test(id);
+/** Whether `id` has the form of a job id. */
+export const isJobId = (id: string): boolean => JOB_ID.test(id);
 
+/** The phase of a job as users see it. */
 export type PublicPhase = 'pending' | 'running' | 'done' | 'withdrawn';
 
+/** The answer to a submission or a cancellation. */
 export function jobAnswer(id: string, phase: PublicPhase): object {
   return { ref: id, phase };
 }
 
+/** The answer to a query; `done` and `running` count tasks. */
 export function jobStatus(id: string, phase: PublicPhase, done: number, running: number): object {
   return { ref: id, phase, done, running };
 }
--- a/src/wire/worker-heartbeat.ts
+++ b/src/wire/worker-heartbeat.ts
@@ -1,9 +1,14 @@
 /**
- * Reports come once a second from every machine, so they are checked by hand: a schema library
- * costs several times as much and the leader has an eighth of a core.
+ * Maps workers' heartbeats and commands (PROTOCOL, workers) to the names of the source. The field names
+ * in the bodies are the interface's and stay as they are.
+ *
+ * A heartbeat arrives from every machine once a second, so the parser is written by hand: a schema
+ * library costs several times as much, and the leader has an eighth of a core.
  */
 
+/** What a task does on its machine. */
 export type TaskState = 'fetching' | 'waiting' | 'running' | 'saving' | 'exited';
+/** Why a task has exited. */
 export type ExitReason =
   | 'done'
   | 'stopped'
@@ -14,15 +19,19 @@
   | 'already_running'
   | 'unknown';
 
+/** One attempt of a task as its worker sees it. */
 export interface TaskStatus {
   job: string;
   task: number;
   attempt: number;
   state: TaskState;
+  /** Null unless `state` is `exited`. */
   exitReason: ExitReason | null;
+  /** Its progress is saved. */
   checkpointed: boolean;
 }
 
+/** What a worker reports of its machine and of the tasks there. */
 export interface WorkerHeartbeat {
   machine: string;
   address: string;
@@ -32,6 +41,7 @@
   agentEpoch: number;
   sequence: number;
   fencingToken: number;
+  /** In how many milliseconds the cloud takes the machine back; null: no notice. */
   preemptionNoticeMs: number | null;
   tasks: TaskStatus[];
 }
@@ -54,20 +64,25 @@
   unknown: 'unknown',
 };
 
-const isObject = (v: unknown): v is Record<string, unknown> =>
-  typeof v === 'object' && v !== null && !Array.isArray(v);
-const isCount = (v: unknown): v is number => Number.isSafeInteger(v) && (v as number) >= 0;
-const isName = (v: unknown): v is string =>
-  typeof v === 'string' && v.length > 0 && v.length <= 200;
+const MAX_NAME_LENGTH = 200;
 
-/** Null where any field is missing or invalid: such a report changes nothing. */
+const isObject = (value: unknown): value is Record<string, unknown> =>
+  typeof value === 'object' && value !== null && !Array.isArray(value);
+const isCount = (value: unknown): value is number =>
+  Number.isSafeInteger(value) && (value as number) >= 0;
+const isName = (value: unknown): value is string =>
+  typeof value === 'string' && value.length > 0 && value.length <= MAX_NAME_LENGTH;
+const isNotice = (value: unknown): value is number | null | undefined =>
+  value == null || (typeof value === 'number' && value >= 0);
+
+/** Parses a heartbeat; null if any field is missing or invalid: such a heartbeat changes nothing. */
 export function parseHeartbeat(body: unknown): WorkerHeartbeat | null {
   if (!isObject(body)) return null;
-  const { rig, address, hull, yard, driftwood, shift, tick, baton, warningS, pieces } = body;
-  if (!isName(rig) || !isName(address) || !isName(hull) || !isName(yard)) return null;
-  if (typeof driftwood !== 'boolean' || !Array.isArray(pieces)) return null;
+  const machine = parseMachine(body);
+  if (!machine) return null;
+  const { shift, tick, baton, warningS, pieces } = body;
+  if (!Array.isArray(pieces) || !isNotice(warningS)) return null;
   if (!isCount(shift) || !isCount(tick) || !isCount(baton)) return null;
-  if (warningS != null && !(typeof warningS === 'number' && warningS >= 0)) return null;
   const tasks: TaskStatus[] = [];
   for (const piece of pieces as unknown[]) {
     const task = parseTask(piece);
@@ -75,11 +90,7 @@
     tasks.push(task);
   }
   return {
-    machine: rig,
-    address,
-    type: hull,
-    zone: yard,
-    spot: driftwood,
+    ...machine,
     agentEpoch: shift,
     sequence: tick,
     fencingToken: baton,
@@ -88,38 +99,51 @@
   };
 }
 
+type MachineFields = Pick<WorkerHeartbeat, 'machine' | 'address' | 'type' | 'zone' | 'spot'>;
+
+function parseMachine(body: Record<string, unknown>): MachineFields | null {
+  const { rig, address, hull, yard, driftwood } = body;
+  if (!isName(rig) || !isName(address) || !isName(hull) || !isName(yard)) return null;
+  if (typeof driftwood !== 'boolean') return null;
+  return { machine: rig, address, type: hull, zone: yard, spot: driftwood };
+}
+
 function parseTask(piece: unknown): TaskStatus | null {
   if (!isObject(piece) || typeof piece.piece !== 'string' || !isCount(piece.try)) return null;
   const slash = piece.piece.lastIndexOf('/');
   const task = Number(piece.piece.slice(slash + 1));
   const state = typeof piece.phase === 'string' ? TASK_STATES[piece.phase] : undefined;
   if (slash <= 0 || !isCount(task) || !state) return null;
-  let why: ExitReason | null = null;
-  if (state === 'exited') {
-    // An unknown cause is treated as a failure: the task is off the machine either way.
-    why = (typeof piece.cause === 'string' ? EXIT_REASONS[piece.cause] : undefined) ?? 'error';
-  }
   return {
     job: piece.piece.slice(0, slash),
     task,
     attempt: piece.try,
     state,
-    exitReason: why,
+    exitReason: state === 'exited' ? parseExitReason(piece.cause) : null,
     checkpointed: piece.stored === true,
   };
 }
 
+/** An unknown cause counts as a failure: the task is off the machine either way. */
+function parseExitReason(cause: unknown): ExitReason {
+  return (typeof cause === 'string' ? EXIT_REASONS[cause] : undefined) ?? 'error';
+}
+
+/** What a worker shall do with one attempt of a task; `graceMs`: time to save, in milliseconds. */
 export type WorkerCommand =
   | { kind: 'start'; job: string; task: number; attempt: number }
   | { kind: 'stop'; job: string; task: number; attempt: number; graceMs: number }
   | { kind: 'forget'; job: string; task: number; attempt: number };
 
+/** The leader's answer to a heartbeat. */
 export function heartbeatResponse(fencingToken: number, commands: WorkerCommand[]): object {
   return { baton: fencingToken, orders: commands.map(encodeCommand) };
 }
 
+/** Where a worker takes commands between two heartbeats. */
 export const DIRECT_COMMAND_PATH = '/do';
 
+/** The body of commands between two heartbeats. */
 export function directCommandBody(
   fencingToken: number,
   agentEpoch: number,
@@ -128,8 +152,9 @@
   return { baton: fencingToken, shift: agentEpoch, orders: commands.map(encodeCommand) };
 }
 
-export function redirectResponse(member: string | null): object {
-  return member === null ? {} : { foreman: member };
+/** The answer of a controller that does not lead; `leader`: the one that does, null if unknown. */
+export function redirectResponse(leader: string | null): object {
+  return leader === null ? {} : { foreman: leader };
 }
 
 function encodeCommand(command: WorkerCommand): object {
