--- a/src/settings/cli.ts
+++ b/src/settings/cli.ts
@@ -1,12 +1,17 @@
+/** The command line. */
 import { Command, CommanderError } from 'commander';
 
+/** What the command line asks for. */
 export interface Arguments {
+  /** The deploy file. */
   config: string;
+  /** The operators' file; null if there is none. */
   operator: string | null;
+  /** Only validate the settings. */
   check: boolean;
 }
 
-/** Reads the command line; answers an exit code where there is nothing to run. */
+/** Parses the command line; returns an exit code if there is nothing to run. */
 export function parseArguments(argv: string[], version: string): Arguments | number {
   const command = new Command('leverhatch')
     .description('A scheduler for fleets that serve language models')
--- a/src/settings/deploy.ts
+++ b/src/settings/deploy.ts
@@ -1,21 +1,24 @@
-import { readFileSync } from 'node:fs';
+/**
+ * Maps the platform's deploy file (DEPLOY, TOML) to the names of the source. The field names in the
+ * schema are the file's and stay as they are; its seconds and kilobytes become milliseconds and bytes.
+ */
 import { parse } from 'smol-toml';
 import { z } from 'zod/mini';
 import type { Limits } from '../state/store-limits.js';
-import { SettingsError } from './error.js';
+import { firstLine, readSettingsFile, SettingsError } from './error.js';
 
 const positive = z.number().check(z.positive());
 const amount = z.number().check(z.nonnegative());
 const address = z.string().check(z.regex(/^[^:\s]+:\d{1,5}$/, 'must be HOST:PORT'));
 
-/** The record of a job is one value: some 350 bytes with short names. Lists in it are split over several. */
-const LEAST_VALUE_KB = 1;
-const valueKb = z.number().check(z.minimum(LEAST_VALUE_KB, 'is too small for the record of a job'));
+/** The record of a job is one value: about 350 bytes with short names. Its lists are stored in chunks. */
+const MIN_VALUE_KB = 1;
+const valueKb = z.number().check(z.minimum(MIN_VALUE_KB, 'is too small for the record of a job'));
 
-const LEAST_CHANGES = 2;
+const MIN_CHANGES = 2;
 const transactionChanges = z
   .int()
-  .check(z.minimum(LEAST_CHANGES, 'is too small for a job and its start'));
+  .check(z.minimum(MIN_CHANGES, 'is too small for a job and its start'));
 
 const schema = z.object({
   member: z.string().check(z.minLength(1)),
@@ -58,8 +61,8 @@
         cancel_s: positive,
       })
       .check(
-        // With fewer, a worker that reports in time would lose its lease.
-        z.refine((w) => w.lease_s >= w.report_s * 2, {
+        // With a shorter one, a worker whose heartbeats are in time would lose its lease.
+        z.refine(({ lease_s, report_s }) => lease_s >= report_s * 2, {
           path: ['lease_s'],
           error: 'must hold at least two reports',
         }),
@@ -83,24 +86,31 @@
   }),
 });
 
+type DeployFile = z.infer<typeof schema>;
+type DeployFacts = DeployFile['facts'];
+
+/** A team and its quota. */
 export interface Team {
   name: string;
-  /** What the team may have at once without waiting for others; 0: nothing is guaranteed. */
+  /** What the team gets without waiting for other teams; 0: nothing is guaranteed. */
   guarantee: { cpus: number; gpus: number };
-  /** What its tasks may use at most; Infinity where the settings say 0, which means no limit. */
+  /** What its tasks may use at most; Infinity: no limit, which the file writes as 0. */
   limit: { cpus: number; gpus: number };
 }
 
+/** A service-level objective, in the terms of the file. */
 export interface ServiceLevelObjective {
   kind: string;
   jobClass: string | null;
   withinMs: number | null;
   share: number | null;
-  /** Of aims on deadlines: by how many times the deadline. */
+  /** For objectives on deadlines: the multiple of the deadline within which a job shall end. */
   deadlineMultiple: number;
 }
 
+/** The deploy file. Addresses are `HOST:PORT`. */
 export interface Settings {
+  /** The name of this controller. */
   member: string;
   zone: string;
   publicAddress: string;
@@ -108,8 +118,10 @@
   peers: { member: string; zone: string; address: string }[];
   cloudAddress: string;
   stateAddress: string;
+  /** How many controllers there are. */
   size: number;
   zones: string[];
+  /** How much clocks of different machines may differ, in milliseconds. */
   clockErrorMs: number;
   teams: Map<string, Team>;
   objectives: ServiceLevelObjective[];
@@ -120,12 +132,13 @@
     gangPeerMs: number;
     cancelMs: number;
   };
-  /** `next`: limits that the store will have from some later moment on; null: none announced. */
+  /** `next`: limits announced for some later moment; null if there are none. */
   state: Limits & { next: Partial<Limits> | null };
   cloud: { rps: number; listLagMs: number };
   machine: { coreShare: number; memoryMb: number; sockets: number };
 }
 
+/** Parses the text of a deploy file; `file` names it in errors. Throws `SettingsError`. */
 export function parseSettings(text: string, file: string): Settings {
   let document: unknown;
   try {
@@ -142,32 +155,25 @@
   return toSettings(result.data);
 }
 
-/** A zone that is misspelt for one controller would put it into a zone of its own, without any worker. */
-function assertZonesKnown({ site, known, facts }: z.infer<typeof schema>, file: string): void {
-  const sites = [site, ...known.map((peer) => peer.site)];
-  const fields = ['site', ...known.map((_, i) => `known.${i}.site`)];
-  const unknown = sites.findIndex((name) => !facts.zones.includes(name));
-  if (unknown === -1) return;
-  throw new SettingsError(file, fields[unknown]!, `zone ${sites[unknown]} is not in facts.zones`);
+/** A controller whose zone is misspelt would be in a zone of its own, without any worker. */
+function assertZonesKnown({ site, known, facts }: DeployFile, file: string): void {
+  const named = [
+    { field: 'site', zone: site },
+    ...known.map((peer, i) => ({ field: `known.${i}.site`, zone: peer.site })),
+  ];
+  const unknown = named.find(({ zone }) => !facts.zones.includes(zone));
+  if (!unknown) return;
+  throw new SettingsError(file, unknown.field, `zone ${unknown.zone} is not in facts.zones`);
 }
 
+/** Reads a deploy file. Throws `SettingsError`. */
 export function loadSettings(file: string): Settings {
-  let text: string;
-  try {
-    text = readFileSync(file, 'utf8');
-  } catch (error) {
-    throw new SettingsError(file, null, firstLine(error));
-  }
-  return parseSettings(text, file);
+  return parseSettings(readSettingsFile(file), file);
 }
 
-function firstLine(error: unknown): string {
-  return (error instanceof Error ? error.message : String(error)).split('\n')[0] ?? '';
-}
+type AnnouncedLimits = NonNullable<DeployFacts['state']['next']>;
 
-type Announced = NonNullable<z.infer<typeof schema>['facts']['state']['next']>;
-
-function announcedLimits(next: Announced): Partial<Limits> {
+function toAnnouncedLimits(next: AnnouncedLimits): Partial<Limits> {
   return {
     ...(next.rps === undefined ? {} : { rps: next.rps }),
     ...(next.write_rps === undefined ? {} : { writeRps: next.write_rps }),
@@ -176,50 +182,28 @@
   };
 }
 
-function toSettings(d: z.infer<typeof schema>): Settings {
-  const { facts } = d;
-  const noLimit = (limit: number): number => (limit === 0 ? Infinity : limit);
+function toSettings(document: DeployFile): Settings {
+  const { facts } = document;
   return {
-    member: d.member,
-    zone: d.site,
-    publicAddress: d.public_addr,
-    peerAddress: d.peer_bind,
-    peers: d.known.map((p) => ({ member: p.member, zone: p.site, address: p.address })),
-    cloudAddress: d.external.cloud,
-    stateAddress: d.external.state,
+    member: document.member,
+    zone: document.site,
+    publicAddress: document.public_addr,
+    peerAddress: document.peer_bind,
+    peers: document.known.map(({ member, site, address }) => ({ member, zone: site, address })),
+    cloudAddress: document.external.cloud,
+    stateAddress: document.external.state,
     size: facts.size,
     zones: facts.zones,
     clockErrorMs: facts.clock_error_ms,
-    teams: new Map(
-      facts.teams.map((team) => [
-        team.name,
-        {
-          name: team.name,
-          guarantee: { cpus: team.cpus, gpus: team.gpus },
-          limit: { cpus: noLimit(team.cpus_max), gpus: noLimit(team.gpus_max) },
-        },
-      ]),
-    ),
-    objectives: facts.objectives.map((objective) => ({
-      kind: objective.kind,
-      jobClass: objective.class ?? null,
-      withinMs: objective.within_s === undefined ? null : objective.within_s * 1000,
-      share: objective.share ?? null,
-      deadlineMultiple: objective.times ?? 1,
-    })),
-    workers: {
-      heartbeatIntervalMs: facts.workers.report_s * 1000,
-      leaseMs: facts.workers.lease_s * 1000,
-      gangWaitMs: facts.workers.gang_wait_s * 1000,
-      gangPeerMs: facts.workers.gang_peer_s * 1000,
-      cancelMs: facts.workers.cancel_s * 1000,
-    },
+    teams: new Map(facts.teams.map((team) => [team.name, toTeam(team)])),
+    objectives: facts.objectives.map(toObjective),
+    workers: toWorkers(facts.workers),
     state: {
       rps: facts.state.rps,
       writeRps: facts.state.write_rps,
       valueBytes: facts.state.value_kb * 1024,
       txnOps: facts.state.txn_ops,
-      next: facts.state.next ? announcedLimits(facts.state.next) : null,
+      next: facts.state.next ? toAnnouncedLimits(facts.state.next) : null,
     },
     cloud: { rps: facts.cloud.rps, listLagMs: facts.cloud.list_lag_s * 1000 },
     machine: {
@@ -229,3 +213,32 @@
     },
   };
 }
+
+function toTeam(team: DeployFacts['teams'][number]): Team {
+  const toLimit = (amount: number): number => (amount === 0 ? Infinity : amount);
+  return {
+    name: team.name,
+    guarantee: { cpus: team.cpus, gpus: team.gpus },
+    limit: { cpus: toLimit(team.cpus_max), gpus: toLimit(team.gpus_max) },
+  };
+}
+
+function toObjective(objective: DeployFacts['objectives'][number]): ServiceLevelObjective {
+  return {
+    kind: objective.kind,
+    jobClass: objective.class ?? null,
+    withinMs: objective.within_s === undefined ? null : objective.within_s * 1000,
+    share: objective.share ?? null,
+    deadlineMultiple: objective.times ?? 1,
+  };
+}
+
+function toWorkers(workers: DeployFacts['workers']): Settings['workers'] {
+  return {
+    heartbeatIntervalMs: workers.report_s * 1000,
+    leaseMs: workers.lease_s * 1000,
+    gangWaitMs: workers.gang_wait_s * 1000,
+    gangPeerMs: workers.gang_peer_s * 1000,
+    cancelMs: workers.cancel_s * 1000,
+  };
+}
--- a/src/settings/extensions.ts
+++ b/src/settings/extensions.ts
@@ -1,3 +1,4 @@
+/** Loads the extensions that the operators' file enables. */
 import { readFileSync } from 'node:fs';
 import type { AllowList } from '@leverhatch/operators/allow-list';
 import type { Policy } from '@leverhatch/shares';
@@ -9,38 +10,40 @@
   type QuotaTransferPackage,
 } from '../control/extensions/quota-transfer-extension.js';
 import { httpTransportFactory } from '../http/client.js';
-import { SettingsError } from './error.js';
+import { firstLine, SettingsError } from './error.js';
 import type { OperatorSettings } from './operator.js';
 
-/** A policy has to propose the same so many times in a row, and rests for so long between two teams. */
+/**
+ * How many evaluations in a row have to propose a quota transfer before it is made, and for how many
+ * evaluations a policy then leaves the two teams alone.
+ */
 const POLICY_CONFIRMATIONS = 3;
 const POLICY_HOLD_EVALUATIONS = 60;
 
-/** Connections to replicas are kept for so many intervals after a probe. */
-const KEEP_INTERVALS = 1.5;
+/** How long a connection to a replica is kept after a probe, in probe intervals. */
+const KEEP_IDLE_INTERVALS = 1.5;
 
-/** Longer answers of replicas are not taken. */
-const PROBE_ANSWER_BYTES = 32 * 1024;
+/** Longer responses of replicas are abandoned. */
+const MAX_PROBE_RESPONSE_BYTES = 32 * 1024;
 
-/** Where operators ask, and who may. */
+/** The listener for operators' requests. */
 export interface OperatorListener {
+  /** `HOST:PORT` */
   address: string;
   allowed: AllowList;
 }
 
-/** The optional parts that the operators' file switches on. */
+/** The extensions that the operators' file enables. */
 export interface LoadedExtensions {
   create: CreateExtension[];
   listener: OperatorListener;
-  /** Connections that they may hold, beside the listener's. */
+  /** Connections that they may hold, without the listener's. */
   sockets: number;
 }
 
 /**
- * Loads the optional parts that are switched on; null: none is, and they cost nothing. Throws
- * `SettingsError` for what cannot be used of the settings.
- *
- * @param file names the operators' file in errors
+ * Loads the packages of the enabled extensions; null if none is, so that unused packages cost nothing.
+ * `file` names the operators' file in errors. Throws `SettingsError`.
  */
 export async function loadExtensions(
   operator: OperatorSettings,
@@ -65,7 +68,7 @@
   return { create, sockets, listener: await loadListener(operator, file) };
 }
 
-/** Former settings files name the listener with the shares. */
+/** Former operators' files name the listener in `shares`. */
 async function loadListener(operator: OperatorSettings, file: string): Promise<OperatorListener> {
   const { AllowList, InvalidNetworkError } = await import('@leverhatch/operators/allow-list');
   const { operators, shares } = operator;
@@ -73,20 +76,20 @@
   if (address === '') {
     throw new SettingsError(file, 'leverhatch.operators.listen', 'must be HOST:PORT');
   }
-  const former = operators.listen === '';
-  const field = former && shares.allow !== '' ? 'shares.allow' : 'operators.allow';
-  const text = field === 'shares.allow' ? shares.allow : operators.allow;
+  const isFormer = operators.listen === '';
+  const field = isFormer && shares.allow !== '' ? 'shares.allow' : 'operators.allow';
+  const networks = field === 'shares.allow' ? shares.allow : operators.allow;
   try {
-    return { address, allowed: new AllowList(text) };
+    return { address, allowed: new AllowList(networks) };
   } catch (error) {
     if (!(error instanceof InvalidNetworkError)) throw error;
     throw new SettingsError(file, `leverhatch.${field}`, error.message);
   }
 }
 
-/** As many as are probed while one is kept. */
+/** Connections to replicas: as many as are probed while one is kept. */
 function probeSockets({ rollout }: OperatorSettings): number {
-  return Math.ceil(rollout.probesPerSecond * rollout.probeSeconds * KEEP_INTERVALS);
+  return Math.ceil(rollout.probesPerSecond * rollout.probeSeconds * KEEP_IDLE_INTERVALS);
 }
 
 function createProbe(
@@ -99,8 +102,8 @@
     const template = new rollout.AddressTemplate(probe);
     const limits = {
       sockets: probeSockets(operator),
-      maxResponseBytes: PROBE_ANSWER_BYTES,
-      keepIdleMs: probeSeconds * 1000 * KEEP_INTERVALS,
+      maxResponseBytes: MAX_PROBE_RESPONSE_BYTES,
+      keepIdleMs: probeSeconds * 1000 * KEEP_IDLE_INTERVALS,
     };
     return new rollout.HttpReplicaProbe(template, httpTransportFactory(limits));
   } catch (error) {
@@ -128,7 +131,6 @@
     };
     return { source, scripts, bounds, evaluateMs };
   } catch (error) {
-    const message = error instanceof Error ? error.message : String(error);
-    throw new SettingsError(file, 'leverhatch.shares.policy', message.split('\n')[0] ?? '');
+    throw new SettingsError(file, 'leverhatch.shares.policy', firstLine(error));
   }
 }
--- a/src/settings/operator.ts
+++ b/src/settings/operator.ts
@@ -1,33 +1,34 @@
-import { readFileSync } from 'node:fs';
+/** Maps the operators' file (XML) to the names of the source; its element names stay as they are. */
 import { XMLParser, XMLValidator } from 'fast-xml-parser';
 import { splitAddress } from '@leverhatch/operators/address';
-import { SettingsError } from './error.js';
+import { readSettingsFile, SettingsError } from './error.js';
 
 /**
  * What operators may set beyond the platform's file. Each number is a ratio to a figure from the
  * deploy file or from the machine types, so that one set of defaults fits different fleets.
  */
 export interface OperatorSettings {
+  /** `lifetime`: the leader lease, as a fraction of a worker's lease. */
   election: { lifetime: number };
   gate: { slackSeconds: number; returnSeconds: number };
   fleet: { idleBoots: number };
-  /** Where operators ask, and from which networks; `listen` empty: nowhere. */
+  /** Where operators' requests are taken (`HOST:PORT`; empty: nowhere), and from which networks. */
   operators: { listen: string; allow: string };
-  /** Moving shares. */
+  /** Quota transfers. */
   shares: {
-    /** `yes`: it is on. */
+    /** `yes` or `no`; empty: by `listen`. */
     enabled: string;
-    /** The listener as it was named before other parts had one; a value switches shares on. */
+    /** The listener's former name, from before other extensions had one; a value enables transfers. */
     listen: string;
     allow: string;
-    /** A script that proposes moves; empty: there is none. */
+    /** File of a script that proposes transfers; empty: there is none. */
     policy: string;
     policySeconds: number;
     policyMovesPerHour: number;
   };
-  /** Rolling out versions of services. */
+  /** Rollouts of service versions. */
   rollout: {
-    /** Where replicas are asked whether they serve, with variables; empty: rollouts are off. */
+    /** Template of the address for replicas' health checks; empty: rollouts are off. */
     probe: string;
     probeSeconds: number;
     probesPerSecond: number;
@@ -36,6 +37,7 @@
 
 const LOOPBACK = '127.0.0.0/8 ::1/128';
 
+/** What holds without an operators' file. */
 export const OPERATOR_DEFAULTS: OperatorSettings = {
   election: { lifetime: 0.3 },
   gate: { slackSeconds: 30, returnSeconds: 30 },
@@ -52,6 +54,7 @@
   rollout: { probe: '', probeSeconds: 2, probesPerSecond: 50 },
 };
 
+/** Parses the text of an operators' file; `file` names it in errors. Throws `SettingsError`. */
 export function parseOperatorSettings(text: string, file: string): OperatorSettings {
   const valid = XMLValidator.validate(text);
   if (valid !== true) throw new SettingsError(file, null, valid.err.msg);
@@ -75,7 +78,7 @@
   return operator;
 }
 
-/** Operators ask all parts at one address; the one in `shares` is where former files name it. */
+/** All extensions share one listener; former files name it in `shares`. */
 function checkListeners({ operators, shares }: OperatorSettings, file: string): void {
   for (const [name, { listen }] of Object.entries({ operators, shares })) {
     if (listen === '' || splitAddress(listen) !== null) continue;
@@ -85,18 +88,13 @@
     throw new SettingsError(file, 'leverhatch.shares.enabled', 'must be yes or no');
   }
   if (operators.listen === '' || shares.listen === '') return;
-  const what = 'must be left out where leverhatch.operators.listen is given';
-  throw new SettingsError(file, 'leverhatch.shares.listen', what);
+  const reason = 'must be left out where leverhatch.operators.listen is given';
+  throw new SettingsError(file, 'leverhatch.shares.listen', reason);
 }
 
+/** Reads an operators' file. Throws `SettingsError`. */
 export function loadOperatorSettings(file: string): OperatorSettings {
-  let text: string;
-  try {
-    text = readFileSync(file, 'utf8');
-  } catch (error) {
-    throw new SettingsError(file, null, error instanceof Error ? error.message : String(error));
-  }
-  return parseOperatorSettings(text, file);
+  return parseOperatorSettings(readSettingsFile(file), file);
 }
 
 function section(value: unknown, file: string, path: string): Record<string, unknown> {
@@ -106,6 +104,7 @@
   return value as Record<string, unknown>;
 }
 
+/** Copies what `source` names into `target`, whose values say which names and types there are. */
 function fill(
   target: Record<string, unknown>,
   source: Record<string, unknown>,
@@ -113,16 +112,16 @@
   path: string,
 ): void {
   for (const [name, value] of Object.entries(source)) {
-    const here = `${path}.${name}`;
+    const field = `${path}.${name}`;
     const current = Object.hasOwn(target, name) ? target[name] : undefined;
-    if (current === undefined) throw new SettingsError(file, here, 'unknown element');
+    if (current === undefined) throw new SettingsError(file, field, 'unknown element');
     if (typeof current === 'object') {
-      fill(current as Record<string, unknown>, section(value, file, here), file, here);
+      fill(current as Record<string, unknown>, section(value, file, field), file, field);
     } else if (typeof current === 'string') {
-      if (typeof value !== 'string') throw new SettingsError(file, here, 'must be text');
+      if (typeof value !== 'string') throw new SettingsError(file, field, 'must be text');
       target[name] = value;
     } else if (typeof value !== 'number' || !Number.isFinite(value) || value <= 0) {
-      throw new SettingsError(file, here, 'must be a positive number');
+      throw new SettingsError(file, field, 'must be a positive number');
     } else {
       target[name] = value;
     }
