--- a/src/fleet/boot-times.ts
+++ b/src/fleet/boot-times.ts
@@ -1,48 +1,58 @@
-import type { Machine } from './machine.js';
+/** How long machines take to boot, and which of them are late or have failed to. */
 import type { MachineType } from './resources.js';
 
-/** After how many boot times a machine is late: it is not counted on, and another takes its place. */
+/** Boot times after which a machine is late: it is no longer counted on and may be replaced. */
 const LATE_BOOTS = 1.8;
 
-/** After how many boot times a late machine is given up without further evidence. */
+/** Boot times after which a late machine is given up without further evidence. */
 const FAILED_BOOTS = 3;
 
 /** The same while several machines of its type are late: then the whole cloud boots slowly. */
 const SLOW_CLOUD_FAILED_BOOTS = 6;
 
-/** How many late machines of a type tell a slow cloud from a machine that never comes up. */
+/** Late machines of one type that indicate a slow cloud rather than a machine that never comes up. */
 const SLOW_CLOUD_LATE_MACHINES = 2;
 
-/** The machine of a type that was rented last among those that have come up. */
+/** What a boot is judged by. */
+export interface BootingMachine {
+  readonly type: MachineType | null;
+  /** Monotonic time in milliseconds. */
+  readonly provisionedAt: number;
+  /** The cloud reports it as booting, and its worker has not sent a heartbeat. */
+  readonly isBooting: boolean;
+  readonly isReleasing: boolean;
+}
+
+/** The most recently provisioned machine of a type among those that have come up. */
 interface Boot {
-  /** Steady time, in milliseconds. */
-  rentedAt: number;
-  /** From its rental to its first report, in milliseconds. */
-  tookMs: number;
+  /** Monotonic time in milliseconds. */
+  provisionedAt: number;
+  /** From provisioning to the first heartbeat, in milliseconds. */
+  bootMs: number;
 }
 
 /**
- * How long machines take to boot, as those that have come up in this term show. Once one that was
- * rented no earlier has come up, a late machine will hardly come at all. Without such evidence it
- * may be the cloud that is slow: if its machines were given back then, none would ever come up.
+ * Boot times observed in this term. Once a machine provisioned no earlier has come up, a late one is
+ * unlikely to come up at all. Without such evidence the whole cloud may be slow: releasing its late
+ * machines would then mean that none ever comes up.
  */
 export class BootTimes {
   private readonly latest = new Map<string, Boot>();
 
-  /** The first report of a machine that was booting has come. */
-  recordBoot(type: string, rentedAt: number, now: number): void {
+  /** The first heartbeat of a booting machine has arrived; times are monotonic milliseconds. */
+  recordBoot(type: string, provisionedAt: number, now: number): void {
     const before = this.latest.get(type);
-    if (before && before.rentedAt > rentedAt) return;
-    this.latest.set(type, { rentedAt, tookMs: now - rentedAt });
+    if (before && before.provisionedAt > provisionedAt) return;
+    this.latest.set(type, { provisionedAt, bootMs: now - provisionedAt });
   }
 
   /** How long a machine of this type should take to boot. */
   expectedMs(type: MachineType): number {
-    return Math.max(type.bootMs, this.latest.get(type.name)?.tookMs ?? 0);
+    return Math.max(type.bootMs, this.latest.get(type.name)?.bootMs ?? 0);
   }
 
-  /** It has been booting for longer than usual. */
-  isLate(machine: Machine, now: number): boolean {
+  /** The machine has been booting for longer than expected. */
+  isLate(machine: BootingMachine, now: number): boolean {
     return (
       machine.isBooting &&
       machine.type !== null &&
@@ -50,26 +60,26 @@
     );
   }
 
-  /** It is late, and nothing shows yet that others come up sooner. */
-  mayStillBoot(machine: Machine, now: number, machines: Iterable<Machine>): boolean {
+  /** The machine is late, and there is no evidence yet that it has failed. */
+  mayStillBoot(machine: BootingMachine, now: number, machines: Iterable<BootingMachine>): boolean {
     return this.isLate(machine, now) && !this.hasFailed(machine, now, machines);
   }
 
-  /** It is paid for and will not come up. */
-  hasFailed(machine: Machine, now: number, machines: Iterable<Machine>): boolean {
+  /** The machine is paid for and will not come up. */
+  hasFailed(machine: BootingMachine, now: number, machines: Iterable<BootingMachine>): boolean {
     if (machine.type === null || !this.isLate(machine, now)) return false;
     if (this.isOvertaken(machine, machine.type)) return true;
-    const slow = this.isCloudSlow(machine.type, now, machines);
-    const patience = slow ? SLOW_CLOUD_FAILED_BOOTS : FAILED_BOOTS;
-    return now - machine.provisionedAt > this.expectedMs(machine.type) * patience;
+    const isSlow = this.isCloudSlow(machine.type, now, machines);
+    const maxBoots = isSlow ? SLOW_CLOUD_FAILED_BOOTS : FAILED_BOOTS;
+    return now - machine.provisionedAt > this.expectedMs(machine.type) * maxBoots;
   }
 
-  /** One that was rented no earlier has come up. */
-  private isOvertaken(machine: Machine, type: MachineType): boolean {
-    return (this.latest.get(type.name)?.rentedAt ?? -Infinity) >= machine.provisionedAt;
+  /** A machine provisioned no earlier has come up. */
+  private isOvertaken(machine: BootingMachine, type: MachineType): boolean {
+    return (this.latest.get(type.name)?.provisionedAt ?? -Infinity) >= machine.provisionedAt;
   }
 
-  private isCloudSlow(type: MachineType, now: number, machines: Iterable<Machine>): boolean {
+  private isCloudSlow(type: MachineType, now: number, machines: Iterable<BootingMachine>): boolean {
     let count = 0;
     for (const machine of machines) {
       if (machine.type?.name !== type.name || machine.isReleasing || !this.isLate(machine, now))
--- a/src/fleet/fleet.ts
+++ b/src/fleet/fleet.ts
@@ -1,79 +1,94 @@
-import type { Placement } from '../jobs/tracked-job.js';
+/** The fleet as the leader sees it: placements per machine, reconciled with heartbeats. */
 import { MAX_CLOCK_DRIFT } from '@leverhatch/core/clock';
+import type { Placement } from '../jobs/tracked-job.js';
+import { dropOldest } from '../runtime/drop-oldest.js';
 import type {
   ExitReason,
+  TaskStatus,
   WorkerCommand,
   WorkerHeartbeat,
-  TaskStatus,
 } from '../wire/worker-heartbeat.js';
-import { dropOldest } from '../runtime/drop-oldest.js';
 import { BootTimes } from './boot-times.js';
 import { Machine, startKey, taskKey } from './machine.js';
 import type { MachineType } from './resources.js';
+import { startCommand, stopCommand } from './worker-commands.js';
 
-/** So many machines that went back are remembered, at some 100 bytes each. */
+/** Released machines that are remembered, at some 100 bytes each. */
 const MAX_RELEASED_REMEMBERED = 5000;
 
-/** What reports prove about starts. */
+/** A machine without a heartbeat for the lease divided by this gets no new work. */
+const SCHEDULABLE_LEASE_DIVISOR = 3;
+
+/** A pause between heartbeats of more than this share of the lease counts as a gap. */
+const HEARTBEAT_GAP_LEASE_RATIO = 1 / 2;
+
+/** An agent epoch that ends after this share of the lease without a gap shows that answers get lost. */
+const STEADY_LEASE_RATIO = 1.1;
+
+/** Added to every lease before it counts as expired. */
+const LEASE_MARGIN_MS = 50;
+
+/** What heartbeats prove about placements. */
 export interface FleetEvents {
   running(placement: Placement): void;
   exited(placement: Placement, exitReason: ExitReason, checkpointed: boolean): void;
-  /** Proven gone without having reported an end. */
+  /** Proven gone without a reported exit. */
   lost(placement: Placement): void;
 }
 
-/** Who else may have answered a zone's workers, and when that was last looked up. */
+/** Until when zone delegates may have renewed a zone's leases, and when that was last looked up. */
 export interface ZoneDelegateExpiries {
+  /** Monotonic time in milliseconds. */
   expiryOf(zone: string): number;
+  /** Monotonic time in milliseconds. */
   readonly confirmedAsOf: number;
 }
 
-/** A machine that was not heard for this part of a lease gets no new work. */
-const SCHEDULABLE_LEASE_FRACTION = 3;
-
 /**
- * Belief about machines, built from reports. A recorded start stays on its machine until one of
- * the proofs below: a newer report of the same session that knows our token and does not show it,
- * a later session, a confirmed return, a failed machine, or a silence longer than any lease.
+ * Machines and their placements. A recorded placement stays on its machine until one of these proofs:
+ * a newer heartbeat of the same agent epoch that carries our fencing token and does not report it, a
+ * later agent epoch, a confirmed release, a failed machine, or lease expiry.
  */
 export class Fleet {
   readonly machines = new Map<string, Machine>();
   readonly bootTimes = new BootTimes();
-  /** Machines that the cloud took back lately: copies of their reports may still come. */
+  /** Machines released lately: delayed copies of their heartbeats may still arrive. */
   private readonly releasedIds = new Set<string>();
 
   constructor(
     private readonly events: FleetEvents,
     private readonly fencingToken: number,
-    /** From when on no other controller could answer a worker. */
+    /** Since when no other controller could answer a worker; monotonic milliseconds. */
     private readonly exclusiveSince: number,
     private readonly leaseMs: number,
     private readonly zoneDelegates: ZoneDelegateExpiries,
   ) {}
 
-  /** How many machines have been heard in this term. */
+  /** Number of machines with a heartbeat in this term. */
   get heard(): number {
     let count = 0;
     for (const machine of this.machines.values()) if (machine.lastHeartbeatAt !== null) count++;
     return count;
   }
 
+  /** The machine of this name, created if unknown. */
   getOrCreate(id: string, now: number): Machine {
     let machine = this.machines.get(id);
     if (!machine) {
       machine = new Machine(id, now);
-      // Names are never given out twice, so nothing is placed on what goes by this one.
-      machine.isReleasing = this.releasedIds.has(id);
+      // The cloud never reuses a name, so a released machine must get no work.
+      if (this.releasedIds.has(id)) machine.beginRelease();
       this.machines.set(id, machine);
     }
     return machine;
   }
 
-  /** Whether a machine may get new work: it was heard lately, among other things. */
+  /** Whether a machine may get new work, which requires a recent heartbeat. */
   isSchedulable(machine: Machine, now: number): boolean {
-    return machine.isSchedulable(now, this.leaseMs / SCHEDULABLE_LEASE_FRACTION);
+    return machine.isSchedulable(now, this.leaseMs / SCHEDULABLE_LEASE_DIVISOR);
   }
 
+  /** Adds a placement to its machine. */
   addPlacement(placement: Placement, now: number): void {
     const machine = this.getOrCreate(placement.machine, now);
     if (machine.zone === '') machine.zone = placement.zone;
@@ -81,95 +96,72 @@
   }
 
   /**
-   * Takes one report and answers what to order. `act` is false while the records are still being
-   * read: then nothing is believed and nothing ordered, but the lease is kept alive.
+   * Applies one heartbeat and returns the commands for its answer. While records are still being read
+   * `mayAct` is false: then nothing is concluded or commanded, but the lease is renewed.
    */
   applyHeartbeat(
     heartbeat: WorkerHeartbeat,
     type: MachineType | null,
     now: number,
-    act: boolean,
+    mayAct: boolean,
   ): WorkerCommand[] {
     const machine = this.getOrCreate(heartbeat.machine, now);
-    // A late copy changes nothing. It does not show that the machine is within reach: work placed on
-    // one that is cut off would wait for its lease, and a lease that runs out then would look as if
-    // it were deaf. Nor does its answer renew a lease beyond the one of the newest report: a lease
-    // counts from when a report was sent, and that one was sent later.
-    if (!machine.isNewerHeartbeat(heartbeat.agentEpoch, heartbeat.sequence)) return [];
-    machine.lastHeartbeat = { agentEpoch: heartbeat.agentEpoch, sequence: heartbeat.sequence };
+    const { agentEpoch, sequence } = heartbeat;
+    // A delayed copy does not show that the machine is reachable: work placed on a partitioned one
+    // would wait for its lease, whose expiry would then look as if the worker missed our answers. Nor
+    // does its answer renew a lease, which counts from when the newest heartbeat was sent.
+    if (!machine.isNewerHeartbeat(agentEpoch, sequence)) return [];
+    machine.lastHeartbeat = { agentEpoch, sequence };
     machine.lastAnsweredAt = now;
-    // The answer to a direct command has overtaken it; but its own answer renews the lease, and then
-    // must not lack a stop.
-    if (!machine.isNewer(heartbeat.agentEpoch, heartbeat.sequence))
-      return heartbeat.agentEpoch === machine.agentEpoch ? this.pendingStopCommands(machine) : [];
-    if (machine.lastHeartbeatAt === null || now - machine.lastHeartbeatAt > this.leaseMs / 2)
-      machine.steadySince = now;
+    // Overtaken by the response to a direct command. Its answer still renews the lease, and then must
+    // not lack a stop.
+    if (!machine.isNewer(agentEpoch, sequence))
+      return agentEpoch === machine.agentEpoch ? this.pendingStopCommands(machine) : [];
     if (machine.isBooting && machine.type)
       this.bootTimes.recordBoot(machine.type.name, machine.provisionedAt, now);
-    machine.firstHeartbeatAt ??= now;
-    machine.lastHeartbeatAt = now;
-    const before = machine.agentEpoch;
-    if (act) machine.agentEpoch = heartbeat.agentEpoch;
-    machine.sequence = heartbeat.sequence;
-    machine.address = heartbeat.address;
-    machine.type = type ?? machine.type;
-    machine.zone = heartbeat.zone;
-    machine.spot = heartbeat.spot;
-    machine.preemptionNoticeAt =
-      heartbeat.preemptionNoticeMs === null ? null : now + heartbeat.preemptionNoticeMs;
-    if (!act) return [];
-
-    if (heartbeat.agentEpoch > before) {
-      // Answered without a gap for longer than a lease, and the lease ran out all the same: the
-      // reports arrive, the answers do not.
-      if (before >= 0 && now - machine.steadySince > this.leaseMs * 1.1) machine.unansweredEpochs++;
-      machine.steadySince = now;
-      machine.unrecordedExits.clear();
-      for (const placement of [...machine.placements.values()]) {
-        if (placement.agentEpoch < heartbeat.agentEpoch) this.markLost(machine, placement);
-      }
-    }
+    machine.recordHeartbeat(heartbeat, type, now, this.leaseMs * HEARTBEAT_GAP_LEASE_RATIO);
+    if (!mayAct) return [];
+    if (agentEpoch > machine.agentEpoch) this.beginEpoch(machine, agentEpoch, now);
     if (heartbeat.fencingToken >= this.fencingToken) machine.isTokenConfirmed = true;
     return this.reconcileHeartbeat(machine, heartbeat);
   }
 
+  private beginEpoch(machine: Machine, agentEpoch: number, now: number): void {
+    machine.beginEpoch(agentEpoch, now, this.leaseMs * STEADY_LEASE_RATIO);
+    for (const placement of [...machine.placements.values()]) {
+      if (placement.agentEpoch < agentEpoch) this.markLost(machine, placement);
+    }
+  }
+
   private reconcileHeartbeat(machine: Machine, heartbeat: WorkerHeartbeat): WorkerCommand[] {
     const stops: WorkerCommand[] = [];
     const forgets: WorkerCommand[] = [];
-    const seen = new Set<string>();
+    const reported = new Set<string>();
     for (const status of heartbeat.tasks) {
       if (this.applyTaskStatus(machine, heartbeat, status))
-        seen.add(taskKey(status.job, status.task));
+        reported.add(taskKey(status.job, status.task));
       else this.addOrphanCommands(machine, status, stops, forgets);
     }
     const starts: WorkerCommand[] = [];
     for (const [key, placement] of [...machine.placements]) {
       if (placement.agentEpoch !== heartbeat.agentEpoch) continue;
-      if (!seen.has(key) && placement.stage !== 'recording')
+      if (!reported.has(key) && placement.stage !== 'recording')
         this.handleMissing(machine, placement, heartbeat, starts);
       else if (placement.stop && placement.stage === 'reported') {
-        stops.push({
-          kind: 'stop',
-          job: placement.job.id,
-          task: placement.task,
-          attempt: placement.attempt,
-          graceMs: placement.stop.graceMs,
-        });
+        stops.push(stopCommand(placement, placement.stop.graceMs));
       }
     }
     return [...stops, ...forgets, ...starts];
   }
 
   /**
-   * The report that answers a direct command. It tells of what it shows, and proves nothing gone: an
-   * order that is on its way in the answer to an ordinary report may not have been carried out yet.
-   * Nor does it renew the lease.
+   * Applies the heartbeat in the response to a direct command. It proves nothing lost: a command in
+   * the answer to an ordinary heartbeat may not have been carried out yet. Nor does it renew the lease.
    */
   applyDirectResponse(heartbeat: WorkerHeartbeat): void {
     const machine = this.machines.get(heartbeat.machine);
     if (
-      !machine ||
-      heartbeat.agentEpoch !== machine.agentEpoch ||
+      machine?.agentEpoch !== heartbeat.agentEpoch ||
       !machine.isNewer(heartbeat.agentEpoch, heartbeat.sequence)
     )
       return;
@@ -177,7 +169,7 @@
     for (const status of heartbeat.tasks) this.applyTaskStatus(machine, heartbeat, status);
   }
 
-  /** What a report says of one task; false if it is none of the recorded starts. */
+  /** Applies the status of one task; false if it belongs to no recorded placement. */
   private applyTaskStatus(
     machine: Machine,
     heartbeat: WorkerHeartbeat,
@@ -185,11 +177,7 @@
   ): boolean {
     const key = taskKey(status.job, status.task);
     const placement = machine.placements.get(key);
-    if (
-      !placement ||
-      placement.attempt !== status.attempt ||
-      placement.agentEpoch !== heartbeat.agentEpoch
-    )
+    if (placement?.attempt !== status.attempt || placement.agentEpoch !== heartbeat.agentEpoch)
       return false;
     if (status.state === 'exited') {
       machine.placements.delete(key);
@@ -213,8 +201,8 @@
   }
 
   /**
-   * Orders that have come up since its newest report was taken, which still waits for its answer.
-   * What that report showed is still the latest that is known.
+   * Commands that have come up since the newest heartbeat was applied, whose answer is still held
+   * back. What it reported is still the latest that is known.
    */
   pendingCommands(machine: Machine): WorkerCommand[] {
     const commands = this.pendingStopCommands(machine);
@@ -230,7 +218,7 @@
     return commands;
   }
 
-  /** Stops of what the machine's newest report showed. */
+  /** Stops of tasks that the newest heartbeat reported. */
   pendingStopCommands(machine: Machine): WorkerCommand[] {
     const commands: WorkerCommand[] = [];
     for (const placement of machine.placements.values()) {
@@ -240,8 +228,7 @@
         !placement.stop
       )
         continue;
-      const { task, attempt, stop } = placement;
-      commands.push({ kind: 'stop', job: placement.job.id, task, attempt, graceMs: stop.graceMs });
+      commands.push(stopCommand(placement, placement.stop.graceMs));
     }
     return commands;
   }
@@ -249,15 +236,10 @@
   private dispatch(machine: Machine, placement: Placement): WorkerCommand {
     placement.stage = 'dispatched';
     machine.noteImage(placement.job.spec.image, placement.job.spec.imageGb, false);
-    return {
-      kind: 'start',
-      job: placement.job.id,
-      task: placement.task,
-      attempt: placement.attempt,
-    };
+    return startCommand(placement);
   }
 
-  /** On the machine but not in our records, or an exited start that was recorded as such. */
+  /** On the machine but not in our records, or an exited start whose exit is recorded. */
   private addOrphanCommands(
     machine: Machine,
     status: TaskStatus,
@@ -271,20 +253,20 @@
     }
   }
 
-  /** A recorded start that its worker does not show. */
+  /** A recorded placement that its worker does not report. */
   private handleMissing(
     machine: Machine,
     placement: Placement,
     heartbeat: WorkerHeartbeat,
     starts: WorkerCommand[],
   ): void {
-    // A report from before our time may have been held up while an earlier leader had the start
-    // executed; only one that knows our token proves that it never will be. Of a start of our own
-    // term the next newer report proves it, whatever token it knows: the worker had then already
-    // taken or dropped the answer that carried the order.
+    // A heartbeat from before our term may have been delayed while an earlier leader had the start
+    // executed; only one that carries our token proves that it never will be. For a start of our own
+    // term the next newer heartbeat proves it, whatever its token: the worker had by then taken or
+    // dropped the answer with the command.
     if (placement.stage === 'recovered' && heartbeat.fencingToken < this.fencingToken) return;
     if (placement.stage === 'reported' || placement.stop) {
-      // Seen before and now gone, or never executed and no longer wanted.
+      // Reported before and now missing, or never executed and no longer wanted.
       this.markLost(machine, placement);
       return;
     }
@@ -297,28 +279,28 @@
     this.events.lost(placement);
   }
 
-  /** A start that was recorded in this term and never sent can be taken back at once. */
+  /** Withdraws a start that was recorded in this term and never dispatched. */
   withdraw(placement: Placement): void {
     const machine = this.machines.get(placement.machine);
     if (machine) this.markLost(machine, placement);
   }
 
-  /** The end of a start is in the store: its worker may forget it. */
+  /** The exit of a start is in the store: its worker may forget it. */
   acknowledgeExit(placement: Placement): void {
     this.machines
       .get(placement.machine)
       ?.unrecordedExits.delete(startKey(placement.job.id, placement.task, placement.attempt));
   }
 
-  /** The cloud has confirmed that it took the machine back. */
+  /** The cloud has confirmed the release of the machine. */
   confirmReleased(id: string): void {
     this.releasedIds.add(id);
-    // What comes of one that is dropped is taken for a machine that is in no list, and soon given up.
+    // A heartbeat of one dropped here creates a machine that no listing has, which is soon removed.
     dropOldest(this.releasedIds, MAX_RELEASED_REMEMBERED);
     this.removeMachine(id);
   }
 
-  /** The machine no longer exists, and with it all that was on it. */
+  /** The machine no longer exists, nor do the placements on it. */
   removeMachine(id: string): void {
     const machine = this.machines.get(id);
     if (!machine) return;
@@ -326,39 +308,39 @@
     this.machines.delete(id);
   }
 
-  /** From when on the silence of a machine proves that its worker's lease has run out. */
+  /** From when on a machine without heartbeats has an expired lease, if no zone delegate renewed it. */
   leaseExpiryOf(machine: Machine): number {
-    const answered = Math.max(
+    const renewedAt = Math.max(
       machine.lastAnsweredAt ?? -Infinity,
       this.exclusiveSince,
       this.zoneDelegates.expiryOf(machine.zone),
     );
-    return answered + this.leaseMs * (1 + MAX_CLOCK_DRIFT) + 50;
+    return renewedAt + this.leaseMs * (1 + MAX_CLOCK_DRIFT) + LEASE_MARGIN_MS;
   }
 
   /**
-   * Gives up what is on machines whose leases have run out. Answers true if the zone delegates have to be
-   * looked up first: one that came after the last refresh may have kept a lease alive.
+   * Marks placements on machines with expired leases as lost. Returns true if zone delegates have to
+   * be looked up first: one that came after the last lookup may have renewed a lease.
    */
   expireLeases(now: number): boolean {
-    let unsure = false;
+    let needsLookup = false;
     for (const machine of this.machines.values()) {
       if (machine.placements.size === 0 || now <= this.leaseExpiryOf(machine)) continue;
       if (!this.isLeaseExpired(machine, now)) {
-        unsure = true;
+        needsLookup = true;
         continue;
       }
       for (const placement of [...machine.placements.values()]) this.markLost(machine, placement);
     }
-    return unsure;
+    return needsLookup;
   }
 
   /**
-   * The lease of a silent machine has run out for certain: its time is over, and the zone delegates
-   * were looked up since, so that none of them can have answered it unknown to us.
+   * The lease of an unresponsive machine has certainly expired: zone delegates were looked up after
+   * its expiry, so that none can have renewed it unknown to us.
    */
   isLeaseExpired(machine: Machine, now: number): boolean {
-    const from = this.leaseExpiryOf(machine);
-    return now > from && this.zoneDelegates.confirmedAsOf >= from;
+    const expiry = this.leaseExpiryOf(machine);
+    return now > expiry && this.zoneDelegates.confirmedAsOf >= expiry;
   }
 }
--- /dev/null
+++ b/src/fleet/image-cache.ts
@@ -0,0 +1,50 @@
+/** The container images on one machine, as far as the leader knows them. */
+
+/** Images remembered for one machine, whatever their sizes. */
+const MAX_IMAGES = 200;
+
+/** One image on a machine or on its way there. */
+export interface CachedImage {
+  /** Size in gigabytes. */
+  gb: number;
+  /** False while it is still being fetched. */
+  isPresent: boolean;
+}
+
+/** An image cache with least-recently-used eviction; images that tasks use are never evicted. */
+export class ImageCache {
+  private readonly entries = new Map<string, CachedImage>();
+
+  /** @param isInUse whether a task placed on the machine uses the image */
+  constructor(private readonly isInUse: (image: string) => boolean) {}
+
+  /** Least recently used first. */
+  get images(): ReadonlyMap<string, CachedImage> {
+    return this.entries;
+  }
+
+  /**
+   * Records that a task needs the image.
+   *
+   * @param isPresent whether a task has begun to run with it
+   * @param cacheGb capacity of the machine's cache
+   */
+  note(image: string, gb: number, isPresent: boolean, cacheGb: number): void {
+    const known = this.entries.get(image);
+    this.entries.delete(image);
+    this.entries.set(image, { gb, isPresent: isPresent || (known?.isPresent ?? false) });
+    let totalGb = 0;
+    for (const entry of this.entries.values()) totalGb += entry.gb;
+    for (const [name, entry] of this.entries) {
+      if (totalGb <= cacheGb && this.entries.size <= MAX_IMAGES) break;
+      if (name === image || this.isInUse(name)) continue;
+      this.entries.delete(name);
+      totalGb -= entry.gb;
+    }
+  }
+
+  /** A worker gives up a fetch once no task waits for the image. */
+  cancelFetch(image: string): void {
+    if (!this.entries.get(image)?.isPresent && !this.isInUse(image)) this.entries.delete(image);
+  }
+}
--- a/src/fleet/machine.ts
+++ b/src/fleet/machine.ts
@@ -1,62 +1,62 @@
-import type { FailureAttribution, FailureHistory } from '../jobs/failure-history.js';
+/** What the leader knows of one machine: heartbeats, state in the cloud, placements, images, failures. */
+import type { FailureHistory } from '../jobs/failure-history.js';
 import type { Placement } from '../jobs/tracked-job.js';
-import { dropOldest } from '../runtime/drop-oldest.js';
+import type { ListedMachine } from '../wire/cloud.js';
+import type { WorkerHeartbeat } from '../wire/worker-heartbeat.js';
 import type { BootTimes } from './boot-times.js';
+import { FailedJobs } from './failed-jobs.js';
+import { ImageCache, type CachedImage } from './image-cache.js';
 import type { MachineType, Resources } from './resources.js';
 import { subtract } from './resources.js';
 
-export const taskKey = (job: string, task: number): string => `${job}/${task}`;
-export const startKey = (job: string, task: number, attempt: number): string =>
-  `${job}/${task}/${attempt}`;
-
-/** So many jobs that run well elsewhere have to fail on a machine before it is taken for faulty. */
+/** Jobs that run well elsewhere and failed on a machine, from which on it counts as faulty. */
 const FAULTY_JOBS = 2;
 
-/** So many jobs that failed on a machine are remembered; where more fail they prove no less. */
-const MAX_FAILED_JOBS = 16;
+/** Key of a task. */
+export const taskKey = (job: string, task: number): string => `${job}/${task}`;
 
-/** So many images are remembered on a machine, whatever their sizes say. */
-const MAX_IMAGES = 200;
+/** Key of one start of a task. */
+export const startKey = (job: string, task: number, attempt: number): string =>
+  `${job}/${task}/${attempt}`;
 
-/** What is known of one machine, and what may be on it. */
+/** One machine, and the placements that may be on it. Times are monotonic milliseconds. */
 export class Machine {
   type: MachineType | null = null;
   zone = '';
   spot = false;
-  /** Session and sequence number of the newest report; -1: none yet. */
+  /** Agent epoch and sequence number of the newest heartbeat; -1: none yet. */
   agentEpoch = -1;
   sequence = -1;
-  /** Of the newest ordinary report, which the answer to a direct command may have overtaken. */
+  /** Of the newest ordinary heartbeat, which the response to a direct command may have overtaken. */
   lastHeartbeat = { agentEpoch: -1, sequence: -1 };
-  /** Its worker has reported with our token: our answers reach it. */
+  /** A heartbeat has carried our fencing token: our answers reach the worker. */
   isTokenConfirmed = false;
   firstHeartbeatAt: number | null = null;
-  /** When the last report came, and when one was last answered; null: not in this term. */
+  /** When the last heartbeat arrived, and when one was last answered; null: not in this term. */
   lastHeartbeatAt: number | null = null;
   lastAnsweredAt: number | null = null;
-  /** Since when its reports have come without a gap. */
+  /** Since when heartbeats have arrived without a gap. */
   steadySince = 0;
-  /** Where its worker takes direct commands; null: it has not reported. */
+  /** Where the worker takes direct commands; null: no heartbeat yet. */
   address: string | null = null;
-  cloudState: 'booting' | 'running' | 'failed' | null = null;
-  /** When the list first said that it runs. */
+  cloudState: ListedMachine['state'] | null = null;
+  /** When a listing first reported it as running. */
   cloudRunningSince: number | null = null;
   provisionedAt: number;
+  /** Listings in a row that lacked it. */
   missedListings = 0;
   preemptionNoticeAt: number | null = null;
   isReleasing = false;
-  /** What is on it is being stopped, so that it can go back. */
+  /** Its tasks are being stopped so that it can be released. */
   isDraining = false;
-  /** Sessions that ended although we answered: its worker does not get the answers. */
+  /** Agent epochs that ended although we answered: the worker does not receive our answers. */
   unansweredEpochs = 0;
-  /** What is known of each job that failed here lately. */
-  private readonly failedJobs = new Set<FailureHistory>();
   readonly placements = new Map<string, Placement>();
-  /** Exited starts that must not be forgotten yet, since their end is not in the store. */
+  /** Exited starts whose exit is not in the store yet, so that their worker must keep them. */
   readonly unrecordedExits = new Set<string>();
-  /** Images on the machine or on their way, least recently used first. */
-  readonly images = new Map<string, { gb: number; isPresent: boolean }>();
   idleSince: number;
+  private readonly failedJobs: FailedJobs;
+  private readonly imageCache = new ImageCache((image) => this.usesImage(image));
 
   constructor(
     readonly id: string,
@@ -64,20 +64,87 @@
   ) {
     this.provisionedAt = now;
     this.idleSince = now;
+    this.failedJobs = new FailedJobs(id);
+  }
+
+  /** Images on the machine or on their way, least recently used first. */
+  get images(): ReadonlyMap<string, CachedImage> {
+    return this.imageCache.images;
+  }
+
+  /** Takes origin and age from the first listing that names the machine. */
+  discover(listed: ListedMachine, now: number): void {
+    this.provisionedAt = now - listed.ageMs;
+    this.zone = listed.zone;
+    this.spot = listed.spot;
+  }
+
+  /** A listing names the machine; `type` is null where the catalog lacks it. */
+  applyListing(state: ListedMachine['state'], type: MachineType | null, now: number): void {
+    this.type ??= type;
+    this.cloudState = state;
+    if (state === 'running') this.cloudRunningSince ??= now;
+    this.missedListings = 0;
+  }
+
+  /** A listing lacks the machine. */
+  recordMissedListing(): void {
+    this.missedListings++;
+  }
+
+  /** The machine is to be released: it gets no new work. */
+  beginRelease(): void {
+    this.isReleasing = true;
+  }
+
+  /** Its tasks are to be evicted, so that it can be released. */
+  beginDrain(): void {
+    this.isDraining = true;
+  }
+
+  /** Takes what a newer heartbeat says of the machine itself, except for the agent epoch. */
+  recordHeartbeat(
+    heartbeat: WorkerHeartbeat,
+    type: MachineType | null,
+    now: number,
+    maxGapMs: number,
+  ): void {
+    if (this.lastHeartbeatAt === null || now - this.lastHeartbeatAt > maxGapMs)
+      this.steadySince = now;
+    this.firstHeartbeatAt ??= now;
+    this.lastHeartbeatAt = now;
+    this.sequence = heartbeat.sequence;
+    this.address = heartbeat.address;
+    this.type = type ?? this.type;
+    this.zone = heartbeat.zone;
+    this.spot = heartbeat.spot;
+    this.preemptionNoticeAt =
+      heartbeat.preemptionNoticeMs === null ? null : now + heartbeat.preemptionNoticeMs;
+  }
+
+  /**
+   * A new agent epoch has begun: the lease of the one before ran out.
+   *
+   * @param maxSteadyMs heartbeats without a gap for longer than this should have kept that lease alive
+   */
+  beginEpoch(agentEpoch: number, now: number, maxSteadyMs: number): void {
+    // Heartbeats arrive and are answered, and the lease ran out all the same: answers get lost.
+    if (this.agentEpoch >= 0 && now - this.steadySince > maxSteadyMs) this.unansweredEpochs++;
+    this.agentEpoch = agentEpoch;
+    this.steadySince = now;
+    this.unrecordedExits.clear();
   }
 
   /** A task of the job failed here. */
   recordFailure(job: FailureHistory): void {
-    this.failedJobs.delete(job);
-    this.failedJobs.add(job);
-    dropOldest(this.failedJobs, MAX_FAILED_JOBS);
+    this.failedJobs.record(job);
   }
 
-  /** It may get new work: it answers, is not on its way out and has not proven faulty. */
+  /** It may get new work: it is responsive, stays in the fleet and has not proven faulty. */
   isSchedulable(now: number, maxHeartbeatAgeMs: number): boolean {
     return (
       this.type !== null &&
-      // Heard while the records were being read only: its session is not known yet.
+      // Heard only while records were being read: its agent epoch is not known yet.
       this.agentEpoch >= 0 &&
       this.isReachable(now, maxHeartbeatAgeMs) &&
       !this.isReleasing &&
@@ -90,7 +157,7 @@
     );
   }
 
-  /** Nothing on it changes by itself: it is empty, or holds replicas that run. */
+  /** Nothing on it changes by itself: it is idle, or holds running replicas only. */
   get isIdleOrServing(): boolean {
     if (this.preemptionNoticeAt !== null || this.isReleasing) return false;
     for (const placement of this.placements.values()) {
@@ -101,55 +168,51 @@
     return true;
   }
 
-  /** A start there is being written down. */
+  /** A start on it is being recorded. */
   get hasStartBeingRecorded(): boolean {
     for (const placement of this.placements.values())
       if (placement.stage === 'recording') return true;
     return false;
   }
 
-  /** Our answers reach it, or it has only just begun to report. */
-  private isReachable(now: number, patienceMs: number): boolean {
+  /** Our answers reach the worker, or its first heartbeat is recent. */
+  private isReachable(now: number, timeoutMs: number): boolean {
     return (
       this.isTokenConfirmed ||
-      (this.firstHeartbeatAt !== null && now - this.firstHeartbeatAt < patienceMs)
+      (this.firstHeartbeatAt !== null && now - this.firstHeartbeatAt < timeoutMs)
     );
   }
 
+  /** Quarantined: its worker misses our answers, or jobs that run well elsewhere fail here. */
   get isFaulty(): boolean {
-    return this.unansweredEpochs > 0 || this.countFailedJobs(['sound'], 0) >= FAULTY_JOBS;
+    return this.unansweredEpochs > 0 || this.failedJobs.count(['sound'], 0) >= FAULTY_JOBS;
   }
 
   /**
-   * Jobs have failed here of which nothing shows yet whether they fail everywhere. It gets no work
-   * meanwhile; tried elsewhere, they soon clear it or prove it faulty.
+   * Jobs failed here that may fail everywhere. The machine gets no work meanwhile; the retries of
+   * those jobs elsewhere soon clear it or prove it faulty.
    */
   private isSuspect(now: number): boolean {
-    return this.countFailedJobs(['sound', 'open'], now) >= FAULTY_JOBS;
-  }
-
-  private countFailedJobs(blames: FailureAttribution[], now: number): number {
-    let jobs = 0;
-    for (const job of this.failedJobs) if (blames.includes(job.attribution(this.id, now))) jobs++;
-    return jobs;
+    return this.failedJobs.count(['sound', 'open'], now) >= FAULTY_JOBS;
   }
 
   /**
-   * Not heard of yet, but expected: it boots, or is said to run and its worker should report soon.
-   * One that is late is not counted on any more, so that another is rented in its place.
+   * No heartbeat yet, but one is expected within `timeoutMs` of when the cloud reported it as running.
+   * A machine whose boot is late is not expected, so that another is provisioned in its place.
    */
-  isExpected(now: number, patienceMs: number, boots: BootTimes): boolean {
+  isExpected(now: number, timeoutMs: number, boots: BootTimes): boolean {
     if (this.lastHeartbeatAt !== null || this.placements.size > 0 || this.type === null)
       return false;
     if (this.cloudState === 'booting') return !boots.isLate(this, now);
-    return this.cloudRunningSince !== null && now - this.cloudRunningSince < patienceMs;
+    return this.cloudRunningSince !== null && now - this.cloudRunningSince < timeoutMs;
   }
 
-  /** The cloud says that it boots, and its worker has not reported. */
+  /** The cloud reports it as booting, and its worker has not sent a heartbeat. */
   get isBooting(): boolean {
     return this.lastHeartbeatAt === null && this.cloudState === 'booting';
   }
 
+  /** Capacity without what its placements take. */
   freeCapacity(): Resources {
     const capacity: Resources = this.type
       ? { ...this.type.capacity }
@@ -158,24 +221,14 @@
     return capacity;
   }
 
-  /** Notes that a task needs the image; `here` once one has begun to run with it. */
+  /** Records that a task needs the image; `isPresent` once one has begun to run with it. */
   noteImage(image: string, gb: number, isPresent: boolean): void {
-    const known = this.images.get(image);
-    this.images.delete(image);
-    this.images.set(image, { gb, isPresent: isPresent || (known?.isPresent ?? false) });
-    let sum = 0;
-    for (const entry of this.images.values()) sum += entry.gb;
-    for (const [name, entry] of this.images) {
-      if (sum <= (this.type?.cacheGb ?? Infinity) && this.images.size <= MAX_IMAGES) break;
-      if (name === image || this.usesImage(name)) continue;
-      this.images.delete(name);
-      sum -= entry.gb;
-    }
+    this.imageCache.note(image, gb, isPresent, this.type?.cacheGb ?? Infinity);
   }
 
-  /** A fetch is given up when no task waits for it any more. */
+  /** The worker gives up a fetch once no task waits for the image. */
   cancelFetch(image: string): void {
-    if (!this.images.get(image)?.isPresent && !this.usesImage(image)) this.images.delete(image);
+    this.imageCache.cancelFetch(image);
   }
 
   private usesImage(image: string): boolean {
@@ -184,13 +237,14 @@
     return false;
   }
 
+  /** Whether a heartbeat or direct response was sent after the newest one that has arrived. */
   isNewer(agentEpoch: number, sequence: number): boolean {
     return (
       agentEpoch > this.agentEpoch || (agentEpoch === this.agentEpoch && sequence > this.sequence)
     );
   }
 
-  /** Whether an ordinary report was sent after the newest one that has come. */
+  /** Whether an ordinary heartbeat was sent after the newest one that has arrived. */
   isNewerHeartbeat(agentEpoch: number, sequence: number): boolean {
     const { lastHeartbeat } = this;
     return (
