--- a/src/fleet/machine-provisioner.ts
+++ b/src/fleet/machine-provisioner.ts
@@ -1,46 +1,82 @@
-import { RequestPriority } from '@leverhatch/core/store';
-import { NoResponseError, type Reply, type Transport } from '../http/client.js';
+/** Provisions, lists and releases machines at the cloud. */
 import type { Runtime } from '@leverhatch/core/duty';
 import { jitter } from '@leverhatch/core/random';
+import { RequestPriority } from '@leverhatch/core/store';
+import type { Term } from '../election/term.js';
+import { NoResponseError, type Reply, type Transport } from '../http/client.js';
+import type { ScaleOutRequest } from '../scheduler/scheduling-model.js';
 import type { Settings } from '../settings/deploy.js';
 import { RateLimiter } from '../state/rate-limiter.js';
 import type { Entry, Store } from '../state/store.js';
-import type { Term } from '../election/term.js';
-import type { ScaleOutRequest } from '../scheduler/scheduling-model.js';
-import { ProvisioningRecords } from './provisioning-records.js';
 import {
+  CLOUD_PATHS,
   listPath,
-  MAX_MACHINES_PER_REQUEST,
   MAX_MACHINES_PER_RELEASE,
+  MAX_MACHINES_PER_REQUEST,
   parseMachineList,
   parseProvisioned,
-  CLOUD_PATHS,
   provisioningBody,
   releaseBody,
   type ListedMachine,
 } from '../wire/cloud.js';
+import { ProvisioningRecords } from './provisioning-records.js';
+
+/** Share of the cloud's rate limit that is used. */
+const RATE_RATIO = 0.9;
+
+/** Requests may queue for as long as the cloud takes for this many time-outs' worth of calls. */
+const PENDING_TIMEOUTS = 4;
+
+/** Divides the time-out of a call into the pause before a provisioning request is first repeated. */
+const FIRST_RETRY_TIMEOUT_DIVISOR = 8;
+
+/** Divides the time-out of a call into the pause before a release is repeated. */
+const RELEASE_RETRY_TIMEOUT_DIVISOR = 4;
+
+/** Listing lags after which the machines of an answered request are certainly listed. */
+const LISTED_LIST_LAGS = 2;
+
+/** Listing lags for which an offer that is out of capacity is backed off at first. */
+const BACKOFF_LIST_LAGS = 2;
 
-/** A rental whose machines are not all known yet. */
+/** Bound on doublings of that time while the offer stays out of capacity. */
+const MAX_BACKOFF_DOUBLINGS = 2;
+
+/** What a reply to a provisioning request means. */
+type ProvisioningOutcome = 'provisioned' | 'out of capacity' | 'malformed' | 'unavailable';
+
+/** A request whose machines are not all known yet. */
 interface PendingRequest extends ScaleOutRequest {
   request: string;
-  /** Steady time after which its machines must be in the list if there are any. */
+  /** Monotonic time after which its machines must be listed if there are any. */
   until: number;
 }
 
-/** An offer for which the cloud had no room. */
+/** An offer that is out of capacity. */
 interface CapacityBackoff {
-  /** Steady time until which it is left alone. */
+  /** Monotonic time until which it is not requested. */
   until: number;
   doublings: number;
 }
 
+/** What the cloud's answers bring. */
 export interface ProvisioningEvents {
   provisioned(ids: string[], request: ScaleOutRequest): void;
+  /** A complete listing. */
   listed(machines: ListedMachine[]): void;
+  /** The cloud has confirmed the release. */
   released(ids: string[]): void;
 }
 
-/** The leader's dealings with the cloud. */
+/** The cloud rejected a provisioning request as malformed; repeating it is pointless. */
+class MalformedRequestError extends Error {
+  constructor(readonly request: string) {
+    super(`the cloud rejects provisioning request ${request} as malformed`);
+    this.name = 'MalformedRequestError';
+  }
+}
+
+/** The leader's client of the cloud. */
 export class MachineProvisioner {
   private readonly rateLimiter: RateLimiter;
   private readonly records: ProvisioningRecords;
@@ -48,7 +84,7 @@
   private readonly backoffs = new Map<string, CapacityBackoff>();
   private readonly releaseQueue = new Set<string>();
   private isReleasing = false;
-  /** Since when the cloud has refused or been silent; null while it serves. */
+  /** Monotonic time since which the cloud has been unavailable; null while it serves. */
   unavailableSince: number | null = null;
 
   constructor(
@@ -57,114 +93,118 @@
     private readonly runtime: Runtime,
     private readonly settings: Settings,
     private readonly term: Term,
+    /** Time-out of one call, in milliseconds. */
     private readonly timeoutMs: number,
     private readonly events: ProvisioningEvents,
   ) {
     const { rps } = settings.cloud;
-    this.rateLimiter = new RateLimiter(runtime.clock, rps * 0.9, rps);
+    this.rateLimiter = new RateLimiter(runtime.clock, rps * RATE_RATIO, rps);
     this.records = new ProvisioningRecords(store, term);
   }
 
-  /** After a takeover: requests whose machines may not be in the list yet. */
+  /** After a failover: takes over a request whose machines may not be listed yet. */
   restore(entry: Entry): void {
-    const left = this.records.restore(entry);
-    if (!left) return;
+    const restored = this.records.restore(entry);
+    if (!restored) return;
     const { clock } = this.runtime;
-    this.pending.set(left.request, {
-      ...left.record,
-      request: left.request,
-      until: clock.now() + this.settings.cloud.listLagMs * 2,
+    this.pending.set(restored.request, {
+      ...restored.record,
+      request: restored.request,
+      until: clock.now() + this.settings.cloud.listLagMs * LISTED_LIST_LAGS,
     });
   }
 
-  /** Machines on order that are not known by name yet. */
+  /** Requests for machines that are not known by name yet. */
   pendingRequests(now: number): ScaleOutRequest[] {
     for (const [request, pending] of this.pending) {
       if (pending.until < now) {
         this.pending.delete(request);
+        // Left behind, the record is harmless: the next leader lets it expire in the same way.
         void this.records.remove(request).catch(() => undefined);
       }
     }
     return [...this.pending.values()];
   }
 
+  /** Whether the offer ran out of capacity lately and is not to be requested now. */
   isBackedOff(type: string, zone: string, spot: boolean): boolean {
     return (this.backoffs.get(offerKey(type, zone, spot))?.until ?? 0) > this.runtime.clock.now();
   }
 
-  provision(rent: ScaleOutRequest): void {
-    let left = rent.count;
-    while (left > 0) {
-      const count = Math.min(left, MAX_MACHINES_PER_REQUEST);
-      // The rest is asked for by a later round, which sees what these have brought.
+  /** Requests machines; what exceeds the bound on pending requests is left to a later cycle. */
+  provision(scaleOut: ScaleOutRequest): void {
+    let remaining = scaleOut.count;
+    while (remaining > 0) {
+      const count = Math.min(remaining, MAX_MACHINES_PER_REQUEST);
       if (this.pending.size >= this.maxPendingRequests) return;
-      left -= count;
+      remaining -= count;
       const request = this.runtime.random.unique();
-      // Until its answer comes it counts as ordered, so that no round orders the same again.
-      this.pending.set(request, { ...rent, count, request, until: Infinity });
-      void this.submitRequest(request, { ...rent, count }).catch((error: unknown) => {
+      // Pending until it is answered, so that no cycle requests the same again.
+      this.pending.set(request, { ...scaleOut, count, request, until: Infinity });
+      void this.submitRequest(request, { ...scaleOut, count }).catch((error: unknown) => {
         this.pending.delete(request);
-        this.runtime.log.debug({ error: String(error) }, 'rental given up');
+        this.runtime.log.debug({ error: String(error) }, 'provisioning request abandoned');
       });
     }
   }
 
-  /** More orders than the cloud takes calls within some of its time-outs would only wait. */
+  /** More requests than the rate limit admits within some time-outs would only queue. */
   private get maxPendingRequests(): number {
     return Math.ceil(((this.settings.cloud.rps * this.timeoutMs) / 1000) * PENDING_TIMEOUTS);
   }
 
-  private async submitRequest(request: string, rent: ScaleOutRequest): Promise<void> {
-    const { clock, random, log } = this.runtime;
+  private async submitRequest(request: string, scaleOut: ScaleOutRequest): Promise<void> {
+    const { clock, random } = this.runtime;
     const { signal } = this.term;
-    if (!(await this.records.add({ w: request, ...rent, at: clock.wall() }))) return;
-    let wait = this.timeoutMs / 8;
+    if (!(await this.records.add(request, { ...scaleOut, at: clock.wall() }))) return;
+    const body = provisioningBody({ request, ...scaleOut });
+    let waitMs = this.timeoutMs / FIRST_RETRY_TIMEOUT_DIVISOR;
     for (;;) {
       let reply: Reply | null = null;
       try {
-        reply = await this.call(
-          'POST',
-          CLOUD_PATHS.provision,
-          provisioningBody({ request, ...rent }),
-        );
+        reply = await this.call('POST', CLOUD_PATHS.provision, body);
       } catch (error) {
+        // The request may have been carried out; repeated under its name it yields the same machines.
         if (!(error instanceof NoResponseError)) throw error;
       }
-      if (reply?.status === 200) {
-        const ids = parseProvisioned(reply.body);
-        log.debug({ ...rent, got: ids.length }, 'rented');
-        this.backoffs.delete(offerKey(rent.type, rent.zone, rent.spot));
-        if (ids.length < rent.count) this.backOff(rent);
-        this.events.provisioned(ids, rent);
-        this.pending.delete(request);
-        // The record stays until the list shows the machines, so that a successor does not order
-        // the same again.
-        await clock.sleep(this.settings.cloud.listLagMs * 2, signal);
-        await this.records.remove(request);
-        return;
-      }
-      if (reply && reply.status === 503 && isOutOfCapacity(reply.body)) {
-        this.backOff(rent);
-        this.pending.delete(request);
-        await this.records.remove(request);
-        return;
-      }
-      if (reply && reply.status === 400) {
-        await this.records.remove(request);
-        throw new Error('the cloud calls the request malformed');
+      switch (outcomeOf(reply)) {
+        case 'provisioned':
+          this.completeRequest(request, scaleOut, reply?.body);
+          // Its machines may not be listed yet, and a successor would provision the same again.
+          await clock.sleep(this.settings.cloud.listLagMs * LISTED_LIST_LAGS, signal);
+          await this.records.remove(request);
+          return;
+        case 'out of capacity':
+          this.backOff(scaleOut);
+          this.pending.delete(request);
+          await this.records.remove(request);
+          return;
+        case 'malformed':
+          await this.records.remove(request);
+          throw new MalformedRequestError(request);
+        case 'unavailable':
+          await clock.sleep(jitter(waitMs, random), signal);
+          signal.throwIfAborted();
+          waitMs = Math.min(waitMs * 2, this.timeoutMs);
       }
-      await clock.sleep(jitter(wait, random), signal);
-      signal.throwIfAborted();
-      wait = Math.min(wait * 2, this.timeoutMs);
     }
   }
 
+  private completeRequest(request: string, scaleOut: ScaleOutRequest, body: unknown): void {
+    const ids = parseProvisioned(body);
+    this.runtime.log.debug({ ...scaleOut, provisioned: ids.length }, 'machines provisioned');
+    this.backoffs.delete(offerKey(scaleOut.type, scaleOut.zone, scaleOut.spot));
+    if (ids.length < scaleOut.count) this.backOff(scaleOut);
+    this.events.provisioned(ids, scaleOut);
+    this.pending.delete(request);
+  }
+
   /**
-   * An order that is refused costs the store two changes and the cloud a call. Where room is short
-   * for minutes, asking for it at the same pace would hold up the starts and the users' submissions.
+   * A request that finds no capacity costs the store two writes and the cloud a call. During a shortage
+   * of minutes, repeating it at the same pace would delay starts and users' submissions.
    */
-  private backOff(rent: ScaleOutRequest): void {
-    const key = offerKey(rent.type, rent.zone, rent.spot);
+  private backOff(scaleOut: ScaleOutRequest): void {
+    const key = offerKey(scaleOut.type, scaleOut.zone, scaleOut.spot);
     const doublings = Math.min(
       (this.backoffs.get(key)?.doublings ?? -1) + 1,
       MAX_BACKOFF_DOUBLINGS,
@@ -172,9 +212,10 @@
     const pauseMs = this.settings.cloud.listLagMs * BACKOFF_LIST_LAGS * 2 ** doublings;
     const until = this.runtime.clock.now() + jitter(pauseMs, this.runtime.random);
     this.backoffs.set(key, { until, doublings });
-    this.runtime.log.debug({ ...rent, pauseMs }, 'rental refused');
+    this.runtime.log.debug({ ...scaleOut, pauseMs }, 'offer out of capacity, backing off');
   }
 
+  /** Releases a machine; repeated until the cloud confirms it or the term ends. */
   release(id: string): void {
     this.releaseQueue.add(id);
     if (!this.isReleasing) void this.releaseQueued();
@@ -184,17 +225,18 @@
     this.isReleasing = true;
     while (this.releaseQueue.size > 0 && !this.term.signal.aborted) {
       const ids = [...this.releaseQueue].slice(0, MAX_MACHINES_PER_RELEASE);
+      // Whatever kept the call from an answer, the release is repeated.
       const reply = await this.call('POST', CLOUD_PATHS.release, releaseBody(ids)).catch(
         () => null,
       );
       if (reply?.status === 200) {
         for (const id of ids) this.releaseQueue.delete(id);
-        // Its room can be had again.
+        // The capacity that they held is available again.
         this.backoffs.clear();
         this.events.released(ids);
       } else {
         await this.runtime.clock.sleep(
-          jitter(this.timeoutMs / 4, this.runtime.random),
+          jitter(this.timeoutMs / RELEASE_RETRY_TIMEOUT_DIVISOR, this.runtime.random),
           this.term.signal,
         );
       }
@@ -202,17 +244,19 @@
     this.isReleasing = false;
   }
 
-  /** Reads the whole list once. */
+  /** Reads the whole listing once; false if any page of it is missing, and then nothing is reported. */
   async listMachines(): Promise<boolean> {
     const machines: ListedMachine[] = [];
     let after: string | null = null;
     for (;;) {
+      // A failed call is logged by its outcome; the listing is read again at its next interval.
       const reply = await this.call('GET', listPath(after), null).catch(() => null);
       if (reply?.status !== 200) return false;
       const page = parseMachineList(reply.body);
       machines.push(...page.machines);
-      if (!page.more || page.machines.length === 0) break;
-      after = page.machines[page.machines.length - 1]!.id;
+      const last = page.machines.at(-1);
+      if (!page.more || last === undefined) break;
+      after = last.id;
     }
     this.events.listed(machines);
     return true;
@@ -225,16 +269,16 @@
       path === CLOUD_PATHS.release ? RequestPriority.Critical : RequestPriority.High,
       signal,
     );
-    // Nothing in the cloud is fenced: a controller that stood still may by now be the last to know
-    // that another leads. It would return machines with work on them, or rent some for what was
-    // rented for already.
+    // The cloud knows no fencing tokens: a controller that was paused may be unaware of a new leader. It
+    // would release machines with placements on them, or provision what has been provisioned already.
     if (method === 'POST' && !this.term.isActive(this.runtime.clock.now())) {
-      throw new NoResponseError('office has lapsed');
+      throw new NoResponseError('leadership has lapsed');
     }
     try {
       const reply = await this.cloud.request(method, path, body, this.timeoutMs, signal);
-      const served = reply.status === 200 || (reply.status === 503 && isOutOfCapacity(reply.body));
-      this.recordOutcome(served);
+      const isServed =
+        reply.status === 200 || (reply.status === 503 && isOutOfCapacity(reply.body));
+      this.recordOutcome(isServed);
       return reply;
     } catch (error) {
       this.recordOutcome(false);
@@ -243,36 +287,33 @@
   }
 
   /**
-   * Without these lines a log cannot tell a fleet that stays small because the cloud does not serve
-   * from one that nothing was rented for.
+   * Logs outages: without these lines a fleet that cannot grow looks in the log like one that need not.
    */
-  private recordOutcome(served: boolean): void {
+  private recordOutcome(isServed: boolean): void {
     const { clock, log } = this.runtime;
-    if (!served) {
-      if (this.unavailableSince === null) log.info({}, 'the cloud does not serve');
+    if (!isServed) {
+      if (this.unavailableSince === null) log.info({}, 'cloud unavailable');
       this.unavailableSince ??= clock.now();
       return;
     }
     if (this.unavailableSince !== null) {
       const forMs = Math.round(clock.now() - this.unavailableSince);
-      log.info({ forMs }, 'the cloud serves again');
+      log.info({ forMs }, 'cloud available again');
     }
     this.unavailableSince = null;
   }
 }
 
-/** For how many of the cloud's time-outs orders may queue. */
-const PENDING_TIMEOUTS = 4;
-
-/** For how many times the list's lag an offer that was refused is left alone at first. */
-const BACKOFF_LIST_LAGS = 2;
-
-/** How often that pause is doubled at most while the offer is refused again and again. */
-const MAX_BACKOFF_DOUBLINGS = 2;
-
+/** Key of one kind of machine at one price in one zone. */
 const offerKey = (type: string, zone: string, spot: boolean): string => `${type}|${zone}|${spot}`;
 
 const isOutOfCapacity = (body: unknown): boolean =>
   typeof body === 'object' &&
   body !== null &&
   (body as { error?: unknown }).error === 'no capacity';
+
+function outcomeOf(reply: Reply | null): ProvisioningOutcome {
+  if (reply?.status === 200) return 'provisioned';
+  if (reply?.status === 503 && isOutOfCapacity(reply.body)) return 'out of capacity';
+  return reply?.status === 400 ? 'malformed' : 'unavailable';
+}
--- a/src/fleet/machine-type-catalog.ts
+++ b/src/fleet/machine-type-catalog.ts
@@ -1,3 +1,4 @@
+/** The catalog of machine types, from the store or the cloud. */
 import { RequestPriority } from '@leverhatch/core/store';
 import { BehaviorSubject } from 'rxjs';
 import type { Transport } from '../http/client.js';
@@ -8,13 +9,17 @@
 import { z } from 'zod/mini';
 import type { MachineType } from './resources.js';
 
-const stored = z.object({ types: z.unknown() });
+/** Divides the cloud's time-out into the pause between attempts to load the types. */
+const RETRY_TIMEOUT_DIVISOR = 4;
+
+const storedTypes = z.object({ types: z.unknown() });
 
 /**
- * The machine types. They are kept in the store as the cloud told them, so that a controller that
- * starts while the cloud is down knows them all the same.
+ * The machine types. They are stored as the cloud gave them, so that a controller that starts while
+ * the cloud is unavailable knows them too.
  */
 export class MachineTypeCatalog {
+  /** By name; null until loaded. */
   readonly types = new BehaviorSubject<ReadonlyMap<string, MachineType> | null>(null);
   private raw: unknown = null;
 
@@ -22,22 +27,25 @@
     private readonly store: Store,
     private readonly cloud: Transport,
     private readonly runtime: Runtime,
+    /** Time-out of calls to the cloud, in milliseconds. */
     private readonly timeoutMs: number,
   ) {}
 
+  /** Loads the types from the store, else from the cloud, until one of them has answered. */
   async load(signal: AbortSignal): Promise<void> {
     while (!this.types.value) {
+      // A store that is unavailable is no obstacle: the cloud is asked instead, and both again later.
       const entry = await this.store
         .get(KEYS.types, RequestPriority.High, signal)
         .catch(() => null);
-      if (entry) this.update(z.parse(stored, entry.value).types);
+      if (entry) this.update(z.parse(storedTypes, entry.value).types);
       else if (await this.refresh(signal).catch(() => false)) await this.persist(signal);
-      else await this.runtime.clock.sleep(this.timeoutMs / 4, signal);
+      else await this.runtime.clock.sleep(this.timeoutMs / RETRY_TIMEOUT_DIVISOR, signal);
       signal.throwIfAborted();
     }
   }
 
-  /** Asks the cloud for the types at their current prices. */
+  /** Reads the types at their current prices from the cloud; false if it does not serve them. */
   async refresh(signal: AbortSignal): Promise<boolean> {
     const reply = await this.cloud.request('GET', CLOUD_PATHS.types, null, this.timeoutMs, signal);
     if (reply.status !== 200) return false;
@@ -46,7 +54,8 @@
   }
 
   private async persist(signal: AbortSignal): Promise<void> {
-    // Whoever is first keeps them; another's copy is as good as ours.
+    // The first write wins. A conflict or an unavailable store is ignored: another controller's copy is
+    // as good as ours, and the next start tries again.
     await this.store
       .tryCommit(
         [{ key: KEYS.types, version: 0 }],
--- a/src/fleet/stop-commands.ts
+++ b/src/fleet/stop-commands.ts
@@ -1,3 +1,4 @@
+/** Direct stop commands to workers. */
 import { NoResponseError, type Transport } from '../http/client.js';
 import type { Term } from '../election/term.js';
 import type { Runtime } from '@leverhatch/core/duty';
@@ -10,46 +11,50 @@
 } from '../wire/worker-heartbeat.js';
 import type { Machine } from './machine.js';
 
-/** Reaches the worker at an address. */
+/** Returns the transport to the worker at an address. */
 export type WorkerTransports = (address: string) => Transport;
 
 /**
- * Stops that go straight to workers instead of waiting for their next reports. Only stops do: such a
- * command may be carried out minutes late, and a stop is meant for ever while a start is not. What
- * is lost on the way is repeated in the answers to reports.
+ * Stop commands that go straight to workers instead of waiting for their next heartbeats. Only stops
+ * do: a direct command may be carried out minutes late, which is harmless for a stop but not for a
+ * start. Lost commands are repeated in the answers to heartbeats.
  */
 export class StopCommands {
-  private readonly waiting = new Map<Machine, WorkerCommand[]>();
-  /** Requests without an answer. */
+  private readonly queued = new Map<Machine, WorkerCommand[]>();
+  /** Requests without a response yet. */
   private inFlight = 0;
 
   constructor(
     private readonly transportTo: WorkerTransports,
     private readonly runtime: Runtime,
     private readonly term: Term,
+    /** Time-out of one request, in milliseconds. */
     private readonly timeoutMs: number,
-    /** So many requests may be under way; a stop beyond them goes with the answer to a report. */
+    /** Bound on requests in flight; a stop beyond it goes with the answer to a heartbeat. */
     private readonly maxInFlight: number,
     private readonly onResponse: (heartbeat: WorkerHeartbeat) => void,
   ) {}
 
-  /** Stops that are decided together reach a machine in one request. */
+  /** Queues a command; those of the same turn reach a machine in one request. */
   add(machine: Machine, command: WorkerCommand): void {
-    const commands = this.waiting.get(machine);
+    const commands = this.queued.get(machine);
     if (commands) commands.push(command);
     else {
-      if (this.waiting.size === 0) queueMicrotask(() => this.sendAll());
-      this.waiting.set(machine, [command]);
+      if (this.queued.size === 0) queueMicrotask(() => this.sendAll());
+      this.queued.set(machine, [command]);
     }
   }
 
   private sendAll(): void {
-    const all = [...this.waiting];
-    this.waiting.clear();
-    for (const [machine, commands] of all) {
+    const batches = [...this.queued];
+    this.queued.clear();
+    for (const [machine, commands] of batches) {
       void this.send(machine, commands).catch((error: unknown) => {
         if (!(error instanceof NoResponseError)) throw error;
-        this.runtime.log.debug({ machine: machine.id, error: error.message }, 'stop not delivered');
+        this.runtime.log.debug(
+          { machine: machine.id, error: error.message },
+          'direct stop command not delivered',
+        );
       });
     }
   }
@@ -66,7 +71,7 @@
         this.timeoutMs,
       )
       .finally(() => this.inFlight--);
-    const report = reply.status === 200 ? parseHeartbeat(reply.body) : null;
-    if (report && this.term.holdsLease(this.runtime.clock.now())) this.onResponse(report);
+    const heartbeat = reply.status === 200 ? parseHeartbeat(reply.body) : null;
+    if (heartbeat && this.term.holdsLease(this.runtime.clock.now())) this.onResponse(heartbeat);
   }
 }
--- a/test/large-fleet.test.ts
+++ b/test/large-fleet.test.ts
@@ -70,7 +70,7 @@
   runtime.log.info = quiet;
   assert.deepEqual(
     lines.map(([, message]) => message),
-    ['the cloud does not serve', 'the cloud serves again'],
+    ['cloud unavailable', 'cloud available again'],
   );
 });
 
