--- a/src/control/reconciliation/long-poll.ts
+++ b/src/control/reconciliation/long-poll.ts
@@ -1,42 +1,46 @@
+/** Heartbeats whose answers are held back until there is a command for the worker. */
 import type { Runtime } from '@leverhatch/core/duty';
 
-/** How often it is checked which reports have waited long enough, within the time they may wait. */
+/** Checks for heartbeats that have been held long enough, within the longest hold. */
 const CHECKS_PER_WAIT = 10;
 
-interface Held {
+interface HeldHeartbeat {
+  /** Monotonic time in milliseconds. */
   until: number;
-  answer(newest: boolean): void;
+  answer(isNewest: boolean): void;
 }
 
 /**
- * Reports that wait for their answer. A worker takes orders only from answers to its reports, and
- * between two of them a start would have to wait; so the answer to a worker that has nothing new to
- * tell is kept back a little, until there is an order for it.
+ * Holds heartbeats back as long polls. A worker takes starts only from answers to its heartbeats, and a
+ * start recorded between two of them would have to wait; so the answer to a heartbeat without news is
+ * delayed a little, until there is a command for its worker.
  */
 export class LongPoll {
-  private readonly held = new Map<string, Held>();
+  private readonly held = new Map<string, HeldHeartbeat>();
 
   constructor(
     private readonly runtime: Runtime,
+    /** Longest hold in milliseconds. */
     private readonly maxWaitMs: number,
   ) {}
 
-  /** Resolves when the report should be answered; false if a newer one has taken its place. */
+  /** Resolves when the heartbeat is to be answered; false if a newer one has superseded it. */
   wait(machine: string, ms: number): Promise<boolean> {
     const until = this.runtime.clock.now() + Math.min(ms, this.maxWaitMs);
     return new Promise((answer) => this.held.set(machine, { until, answer }));
   }
 
-  /** A newer report has come: whoever sent the one before has given up waiting. */
+  /** A newer heartbeat has arrived, so the worker no longer waits for the answer to the held one. */
   supersede(machine: string): void {
-    this.end(machine, false);
+    this.answer(machine, false);
   }
 
-  /** There is an order for this machine; false if no report of it waits. */
+  /** There is a command for this machine; false if no heartbeat of it is held. */
   release(machine: string): boolean {
-    return this.end(machine, true);
+    return this.answer(machine, true);
   }
 
+  /** Answers heartbeats that have been held long enough; all of them once the signal is aborted. */
   async run(signal: AbortSignal): Promise<void> {
     const { clock } = this.runtime;
     while (!signal.aborted) {
@@ -47,11 +51,11 @@
     for (const machine of [...this.held.keys()]) this.release(machine);
   }
 
-  private end(machine: string, newest: boolean): boolean {
+  private answer(machine: string, isNewest: boolean): boolean {
     const held = this.held.get(machine);
     if (!held) return false;
     this.held.delete(machine);
-    held.answer(newest);
+    held.answer(isNewest);
     return true;
   }
 }
--- a/src/control/reconciliation/machine-liveness-log.ts
+++ b/src/control/reconciliation/machine-liveness-log.ts
@@ -1,25 +1,26 @@
+/** Log lines on machines that become unresponsive, recover, or lose their leases. */
 import type { Machine } from '../../fleet/machine.js';
 import type { Logger } from '@leverhatch/core/log';
 
-/** A machine that has not reported for this share of the workers' lease counts as silent. */
+/** A machine without a heartbeat for this share of the workers' lease counts as unresponsive. */
 const UNRESPONSIVE_LEASE_RATIO = 1 / 3;
 
-/** How many machines a log line names at most. */
+/** Bound on machines that one log line names. */
 const MAX_LOGGED_MACHINES = 8;
 
-type Stage = 'reporting' | 'silent' | 'expired';
+type Liveness = 'responsive' | 'unresponsive' | 'expired';
 
 /**
- * Logs which machines stop reporting, which report again, and on which a lease has run out so that
- * what was on them is given up. One line for all machines that change at once: a rack that hangs or
- * is cut off shows as one event. It decides nothing.
+ * Logs which machines become unresponsive, which are responsive again, and which leases expire with
+ * placements on them. Machines that change together share one line, so that a rack that hangs or is
+ * partitioned shows as one event. It decides nothing.
  */
 export class MachineLivenessLog {
-  private readonly stages = new Map<string, Stage>();
+  private readonly states = new Map<string, Liveness>();
 
   /**
-   * @param leaseMs the workers' lease
-   * @param isLeaseExpired whether a silent machine's lease has run out for certain
+   * @param leaseMs the workers' lease in milliseconds
+   * @param isLeaseExpired whether the lease of an unresponsive machine has certainly expired
    */
   constructor(
     private readonly log: Logger,
@@ -27,42 +28,45 @@
     private readonly isLeaseExpired: (machine: Machine, now: number) => boolean,
   ) {}
 
-  /** To be called before the starts on machines with expired leases are given up. */
+  /** To be called before the placements on machines with expired leases are marked as lost. */
   observe(machines: ReadonlyMap<string, Machine>, now: number): void {
-    const fellSilent: Machine[] = [];
-    const expired: Machine[] = [];
-    const backAgain: Machine[] = [];
+    const changed: Record<Liveness, Machine[]> = { responsive: [], unresponsive: [], expired: [] };
     for (const machine of machines.values()) {
-      const before = this.stages.get(machine.id) ?? 'reporting';
-      const stage = this.stageOf(machine, before, now);
-      this.stages.set(machine.id, stage);
-      if (stage === before) continue;
-      if (stage === 'silent') fellSilent.push(machine);
-      else if (stage === 'expired') expired.push(machine);
-      else backAgain.push(machine);
+      const before = this.states.get(machine.id) ?? 'responsive';
+      const state = this.livenessOf(machine, before, now);
+      this.states.set(machine.id, state);
+      if (state !== before) changed[state].push(machine);
     }
-    for (const id of this.stages.keys()) if (!machines.has(id)) this.stages.delete(id);
-    if (fellSilent.length > 0) this.log.info(summary(fellSilent), 'machines fell silent');
-    if (expired.length > 0) this.log.warn(summary(expired), 'leases of silent machines ran out');
-    if (backAgain.length > 0) this.log.info(summary(backAgain), 'machines report again');
+    for (const id of this.states.keys()) if (!machines.has(id)) this.states.delete(id);
+    const { responsive, unresponsive, expired } = changed;
+    if (unresponsive.length > 0) this.log.info(summary(unresponsive), 'machines unresponsive');
+    if (expired.length > 0)
+      this.log.warn(summary(expired), 'leases of unresponsive machines expired');
+    if (responsive.length > 0) this.log.info(summary(responsive), 'machines responsive again');
   }
 
-  private stageOf(machine: Machine, before: Stage, now: number): Stage {
+  private livenessOf(machine: Machine, before: Liveness, now: number): Liveness {
+    const { lastHeartbeatAt } = machine;
     if (machine.isReleasing) return before;
-    const silentMs = now - (machine.lastHeartbeatAt ?? now);
-    const reporting =
-      machine.lastHeartbeatAt !== null && silentMs <= this.leaseMs * UNRESPONSIVE_LEASE_RATIO;
-    if (reporting) return 'reporting';
-    const occupied = machine.placements.size > 0;
-    if (before === 'expired' || (occupied && this.isLeaseExpired(machine, now))) return 'expired';
-    // Not heard in this term: it may still be on its way to this leader.
-    return machine.lastHeartbeatAt === null ? before : 'silent';
+    if (
+      lastHeartbeatAt !== null &&
+      now - lastHeartbeatAt <= this.leaseMs * UNRESPONSIVE_LEASE_RATIO
+    )
+      return 'responsive';
+    const hasPlacements = machine.placements.size > 0;
+    if (before === 'expired' || (hasPlacements && this.isLeaseExpired(machine, now)))
+      return 'expired';
+    // No heartbeat in this term: its worker may still be searching for this leader.
+    return lastHeartbeatAt === null ? before : 'unresponsive';
   }
 }
 
+/** Fields of a log line on several machines. */
 interface Summary {
   count: number;
+  /** Names of the first of them. */
   machines: string[];
+  /** Placements on all of them. */
   tasks: number;
 }
 
--- a/src/control/reconciliation/machine-reconciler.ts
+++ b/src/control/reconciliation/machine-reconciler.ts
@@ -1,3 +1,4 @@
+/** Reconciliation of the fleet with the cloud's listings, and scale in. */
 import type { Fleet } from '../../fleet/fleet.js';
 import type { Machine } from '../../fleet/machine.js';
 import type { MachineProvisioner } from '../../fleet/machine-provisioner.js';
@@ -8,16 +9,31 @@
 import type { SchedulingPlan } from '../../scheduler/scheduling-model.js';
 import type { ListedMachine } from '../../wire/cloud.js';
 
-/** For how many times the list's lag a machine that went back is not believed to be there again. */
+/** Listing lags for which a listing that still names a released machine is ignored. */
 const RELEASED_LIST_LAGS = 6;
 
-/** After how many boot times of silence a machine that runs and holds nothing goes back. */
+/** Boot times without a heartbeat after which a running machine without placements is released. */
 const UNREACHABLE_BOOTS = 3;
 
-/** Which machines there are, as the cloud lists them, and which of them go back. */
+/** Listings in a row that must lack a machine before it may be removed. */
+const MIN_MISSED_LISTINGS = 3;
+
+/** An idle machine is worth more if a boot takes longer than this many times a wait objective. */
+const WAITS_PER_BOOT = 2;
+
+/** Idle machines of one type. */
+interface IdleGroup {
+  type: MachineType;
+  machines: Machine[];
+}
+
+/** Key under which idle machines are counted together with those that hold opportunistic work only. */
+const withOpportunisticKey = (type: string): string => `${type} with opportunistic work`;
+
+/** Applies the cloud's listings to the fleet, and decides which machines are released. */
 export class MachineReconciler {
   private idleMachines: IdleMachines;
-  /** Machines that went back, and when: the list lags, and shows them as running for a while. */
+  /** Released machines, and when: listings lag, and still name them as running for a while. */
   private readonly releasedAt = new Map<string, number>();
 
   constructor(
@@ -26,71 +42,76 @@
     private readonly settings: Settings,
     private readonly operatorSettings: OperatorSettings,
     private readonly machineTypes: () => ReadonlyMap<string, MachineType>,
+    /** Monotonic time in milliseconds. */
     private readonly termStartedAt: number,
   ) {
     this.idleMachines = new IdleMachines(termStartedAt, false);
   }
 
-  /** The records of an earlier leader are read; `before`: there were any. */
-  recovered(before: boolean): void {
-    this.idleMachines = new IdleMachines(this.termStartedAt, before);
+  /** The records of earlier leaders have been read; `hadLeader` if there were any. */
+  recovered(hadLeader: boolean): void {
+    this.idleMachines = new IdleMachines(this.termStartedAt, hadLeader);
   }
 
-  applyListing(listed: ListedMachine[], now: number): void {
-    const names = new Set<string>();
-    for (const l of listed) {
-      names.add(l.id);
-      // Taken for new, they would be counted on for what waits, and nothing rented for it.
-      if (this.releasedAt.has(l.id)) continue;
-      const known = this.fleet.machines.get(l.id);
-      const machine = known ?? this.fleet.getOrCreate(l.id, now);
-      if (!known) {
-        machine.provisionedAt = now - l.ageMs;
-        machine.zone = l.zone;
-        machine.spot = l.spot;
-      }
-      machine.type ??= this.machineTypes().get(l.type) ?? null;
-      machine.cloudState = l.state;
-      if (l.state === 'running') machine.cloudRunningSince ??= now;
-      machine.missedListings = 0;
-      if (l.state === 'failed') {
-        // The cloud says it has stopped: nothing is on it any more.
-        for (const placement of [...machine.placements.values()]) this.fleet.withdraw(placement);
-        machine.isReleasing = true;
-        this.provisioner.release(l.id);
-      }
+  /** Applies a complete listing. */
+  applyListing(listing: ListedMachine[], now: number): void {
+    const listedIds = new Set<string>();
+    for (const listed of listing) {
+      listedIds.add(listed.id);
+      // Taken for new, it would be counted on for pending tasks, and nothing provisioned for them.
+      if (!this.releasedAt.has(listed.id)) this.applyListed(listed, now);
     }
     for (const machine of [...this.fleet.machines.values()]) {
-      if (names.has(machine.id)) continue;
-      machine.missedListings++;
-      // Absence from a list proves nothing; only what is silent as well is given up.
-      const silent = now > this.fleet.leaseExpiryOf(machine);
-      if (machine.missedListings >= 3 && silent && machine.placements.size === 0)
-        this.fleet.removeMachine(machine.id);
+      if (!listedIds.has(machine.id)) this.applyMissing(machine, now);
     }
   }
 
-  /** The cloud has confirmed that these machines are gone, and all that was on them. */
+  private applyListed(listed: ListedMachine, now: number): void {
+    const known = this.fleet.machines.get(listed.id);
+    const machine = known ?? this.fleet.getOrCreate(listed.id, now);
+    if (!known) machine.discover(listed, now);
+    machine.applyListing(listed.state, this.machineTypes().get(listed.type) ?? null, now);
+    if (listed.state !== 'failed') return;
+    // The cloud says that it has stopped, so nothing on it runs any more.
+    for (const placement of [...machine.placements.values()]) this.fleet.withdraw(placement);
+    machine.beginRelease();
+    this.provisioner.release(listed.id);
+  }
+
+  private applyMissing(machine: Machine, now: number): void {
+    machine.recordMissedListing();
+    // Absence from a listing proves nothing: only an unresponsive machine is removed.
+    const isUnresponsive = now > this.fleet.leaseExpiryOf(machine);
+    if (
+      machine.missedListings >= MIN_MISSED_LISTINGS &&
+      isUnresponsive &&
+      machine.placements.size === 0
+    )
+      this.fleet.removeMachine(machine.id);
+  }
+
+  /** The cloud has confirmed the release of these machines. */
   confirmReleased(ids: string[], now: number): void {
     for (const id of ids) {
       this.fleet.confirmReleased(id);
       this.releasedAt.set(id, now);
     }
-    // No list is older than twice its lag.
-    const old = now - this.settings.cloud.listLagMs * RELEASED_LIST_LAGS;
-    for (const [id, at] of this.releasedAt) if (at < old) this.releasedAt.delete(id);
+    // No listing is older than twice its lag.
+    const expiredBefore = now - this.settings.cloud.listLagMs * RELEASED_LIST_LAGS;
+    for (const [id, at] of this.releasedAt) if (at < expiredBefore) this.releasedAt.delete(id);
   }
 
+  /** Releases a machine, unless that has begun already. */
   release(machine: Machine): void {
     if (machine.isReleasing) return;
-    machine.isReleasing = true;
+    machine.beginRelease();
     this.provisioner.release(machine.id);
   }
 
-  /** Gives back machines that are paid for and will not come up, or are out of reach for good. */
+  /** Releases machines that will not come up, and those that are unreachable for good. */
   releaseFailed(now: number): void {
-    const { machines, bootTimes: bootTimes } = this.fleet;
-    // A machine that is given back here is evidence for the others no more: all are judged first.
+    const { machines, bootTimes } = this.fleet;
+    // A released machine is no longer evidence for the others, so all are judged first.
     const failed = [...machines.values()].filter(
       (machine) =>
         bootTimes.hasFailed(machine, now, machines.values()) || this.isUnreachable(machine, now),
@@ -99,64 +120,72 @@
   }
 
   /**
-   * The cloud says that it runs, and its worker has been silent for so long that another would have
-   * been up several times over. Where most machines of its zone are silent too, a cut is the likelier
-   * reason: they will be of use once it is over.
+   * The cloud reports it as running, and its worker has been unresponsive for so long that another
+   * would have booted several times over. Where most machines of its zone are unresponsive too, a
+   * network partition is likelier: they will be of use once it has healed.
    */
   private isUnreachable(machine: Machine, now: number): boolean {
     if (machine.cloudState !== 'running' || machine.type === null || machine.placements.size > 0)
       return false;
-    const lastSignAt = Math.max(
+    const lastSeenAt = Math.max(
       machine.lastHeartbeatAt ?? -Infinity,
       machine.cloudRunningSince ?? Infinity,
     );
-    if (now - lastSignAt <= machine.type.bootMs * UNREACHABLE_BOOTS) return false;
-    let heard = 0;
+    if (now - lastSeenAt <= machine.type.bootMs * UNREACHABLE_BOOTS) return false;
+    let responsive = 0;
     let unresponsive = 0;
     for (const other of this.fleet.machines.values()) {
       if (other.zone !== machine.zone || other.cloudState !== 'running') continue;
-      if (now - (other.lastHeartbeatAt ?? -Infinity) <= this.settings.workers.leaseMs) heard++;
+      if (now - (other.lastHeartbeatAt ?? -Infinity) <= this.settings.workers.leaseMs) responsive++;
       else unresponsive++;
     }
-    return heard > unresponsive;
+    return responsive > unresponsive;
   }
 
   /**
-   * Gives back empty machines that were beyond need for a while: the dearest first, then what has
-   * idled longest. Machines that hold opportunistic work alone count as spare beside them, and those
-   * that can be are drained. Empty ones are not given back in their place: work with a claim would
-   * wait for the guests to leave.
+   * Releases idle machines that have been surplus for their idle timeout: the dearest first, then the
+   * longest idle. Machines with opportunistic work only count as idle in a second count, and those of
+   * its surplus that can be are drained. Empty ones are not released in their place: guaranteed work
+   * would then wait for an eviction.
    */
   scaleIn(plan: Pick<SchedulingPlan, 'idleMachines' | 'drainableMachines'>, now: number): void {
-    const idle = new Set(plan.idleMachines);
-    const byType = new Map<string, Machine[]>();
-    for (const name of this.machineTypes().keys()) byType.set(name, []);
-    for (const machine of this.fleet.machines.values()) {
-      const spare = idle.has(machine.id) && machine.type !== null;
-      if (spare) byType.get(machine.type!.name)?.push(machine);
-      if (!spare || machine.placements.size > 0) machine.idleSince = now;
-    }
-    for (const [name, machines] of byType) {
-      const idleTimeoutMs = this.idleTimeoutMs(this.machineTypes().get(name)!);
+    for (const { type, machines } of this.groupIdle(new Set(plan.idleMachines), now)) {
+      const idleTimeoutMs = this.idleTimeoutMs(type);
       const empty = machines.filter((machine) => machine.placements.size === 0);
-      const surplus = this.idleMachines.surplus(name, empty.length, now, idleTimeoutMs);
-      const withGuests = this.idleMachines.surplus(
-        `${name} with guests`,
+      const surplus = this.idleMachines.surplus(type.name, empty.length, now, idleTimeoutMs);
+      const surplusWithOpportunistic = this.idleMachines.surplus(
+        withOpportunisticKey(type.name),
         machines.length,
         now,
         idleTimeoutMs,
       );
       empty.sort((a, b) => Number(a.spot) - Number(b.spot) || a.idleSince - b.idleSince);
       for (const machine of empty.slice(0, surplus)) this.release(machine);
-      const drained = this.drain(machines, plan.drainableMachines, withGuests - surplus);
-      this.idleMachines.recordReleased(name, surplus);
-      this.idleMachines.recordReleased(`${name} with guests`, surplus + drained);
+      const drained = this.drain(
+        machines,
+        plan.drainableMachines,
+        surplusWithOpportunistic - surplus,
+      );
+      this.idleMachines.recordReleased(type.name, surplus);
+      this.idleMachines.recordReleased(withOpportunisticKey(type.name), surplus + drained);
+    }
+  }
+
+  /** Groups idle machines by type, and restarts the idle time of all that are in use. */
+  private groupIdle(idleIds: ReadonlySet<string>, now: number): Iterable<IdleGroup> {
+    const groups = new Map<string, IdleGroup>();
+    for (const [name, type] of this.machineTypes()) groups.set(name, { type, machines: [] });
+    for (const machine of this.fleet.machines.values()) {
+      const type = idleIds.has(machine.id) ? machine.type : null;
+      if (type) groups.get(type.name)?.machines.push(machine);
+      if (!type || machine.placements.size > 0) machine.idleSince = now;
     }
+    return groups.values();
   }
 
-  /** Drains up to `most` of these machines; not while others drain, since all of it takes the same room. */
-  private drain(machines: Machine[], clearable: readonly string[], maxMachines: number): number {
-    if (maxMachines <= 0 || clearable.length === 0) return 0;
+  /** Drains some of these machines; none while others drain, whose tasks need the same capacity. */
+  private drain(machines: Machine[], drainable: readonly string[], maxMachines: number): number {
+    if (maxMachines <= 0 || drainable.length === 0) return 0;
     if (
       [...this.fleet.machines.values()].some(
         (machine) => machine.isDraining && !machine.isReleasing,
@@ -164,25 +193,25 @@
     )
       return 0;
     const byId = new Map(machines.map((machine) => [machine.id, machine]));
-    const drained = clearable.flatMap((id) => byId.get(id) ?? []).slice(0, maxMachines);
-    for (const machine of drained) machine.isDraining = true;
+    const drained = drainable.flatMap((id) => byId.get(id) ?? []).slice(0, maxMachines);
+    for (const machine of drained) machine.beginDrain();
     return drained.length;
   }
 
-  /** How long an idle machine is kept. */
+  /** How long an idle machine of this type is kept, in milliseconds. */
   idleTimeoutMs(type: MachineType): number {
-    return type.bootMs * this.operatorSettings.fleet.idleBoots * this.tightness(type);
+    return type.bootMs * this.operatorSettings.fleet.idleBoots * this.idleValue(type);
   }
 
   /**
-   * How much longer than a boot a machine is worth keeping: the shorter the aims to begin are
-   * against the time it takes to get another machine, the more an idle one is worth.
+   * Factor on the idle timeout: the shorter the wait objectives are compared to the time it takes to
+   * boot another machine, the more an idle one is worth.
    */
-  private tightness(type: MachineType): number {
+  private idleValue(type: MachineType): number {
     let ratio = 1;
     for (const objective of this.settings.objectives) {
       if (objective.kind !== 'wait' || objective.withinMs === null) continue;
-      ratio = Math.max(ratio, type.bootMs / objective.withinMs / 2);
+      ratio = Math.max(ratio, type.bootMs / objective.withinMs / WAITS_PER_BOOT);
     }
     return ratio * ratio;
   }
--- a/src/control/reconciliation/task-stopper.ts
+++ b/src/control/reconciliation/task-stopper.ts
@@ -1,17 +1,22 @@
+/** Stopping of tasks, and the grace that they get to save a checkpoint. */
 import type { Clock } from '@leverhatch/core/clock';
 import type { Fleet } from '../../fleet/fleet.js';
 import type { StopCommands } from '../../fleet/stop-commands.js';
+import { stopCommand } from '../../fleet/worker-commands.js';
 import type { Job, Placement } from '../../jobs/tracked-job.js';
 import type { Settings } from '../../settings/deploy.js';
 import type { LongPoll } from './long-poll.js';
 
-/** Work is little that is done again in this many times what saving it takes. */
+/** Lost work is negligible if repeating it takes no longer than this many saves. */
 const NEGLIGIBLE_LOSS_SAVES = 2;
 
-/** A task that is stopped at any moment has lost on average this share of what it does between checkpoints. */
+/** Mean share of the work between two checkpoints that a stop at a random moment loses. */
 const MEAN_LOSS_RATIO = 0.5;
 
-/** Stops tasks, with or without time to save, by the shortest way there is to their machines. */
+/** Heartbeat intervals without a heartbeat after which a worker gets no direct stop command. */
+const UNRESPONSIVE_INTERVALS = 2;
+
+/** Stops tasks, with or without grace, by the fastest route to their machines. */
 export class TaskStopper {
   constructor(
     private readonly fleet: Fleet,
@@ -21,48 +26,46 @@
     private readonly clock: Clock,
   ) {}
 
-  /** Stops every task of a job; what was never sent is taken back at once. */
+  /** Stops every task of a job; starts that were never dispatched are withdrawn at once. */
   stopAll(job: Job, graceMs: number): void {
     for (const placement of [...job.placements.values()]) this.stop(placement, graceMs);
   }
 
+  /** Stops one task with `graceMs` to save; a stop with no more grace that is under way stays as it is. */
   stop(placement: Placement, graceMs: number): void {
     if (placement.stop && placement.stop.graceMs <= graceMs) return;
-    if (
-      !placement.stop &&
-      placement.state === 'running' &&
-      (graceMs === 0 || placement.job.spec.checkpointMs === 0)
-    ) {
-      const { stopsWithoutCheckpoint: stopsWithoutCheckpoint } = placement.job;
-      stopsWithoutCheckpoint.set(
-        placement.task,
-        (stopsWithoutCheckpoint.get(placement.task) ?? 0) + 1,
-      );
-    }
+    if (!placement.stop && placement.state === 'running') this.countStop(placement, graceMs);
     placement.stop = { graceMs };
     if (placement.stage === 'recording' || placement.stage === 'recorded')
       this.fleet.withdraw(placement);
     else if (!this.longPoll.release(placement.machine)) this.sendStop(placement, graceMs);
   }
 
+  /** Counts a stop that leaves the task no time to save a checkpoint. */
+  private countStop(placement: Placement, graceMs: number): void {
+    const { job, task } = placement;
+    if (graceMs !== 0 && job.spec.checkpointMs !== 0) return;
+    job.stopsWithoutCheckpoint.set(task, (job.stopsWithoutCheckpoint.get(task) ?? 0) + 1);
+  }
+
   private sendStop(placement: Placement, graceMs: number): void {
     const machine = this.fleet.machines.get(placement.machine);
-    // A silent machine would only hold a socket; its lease is running out.
-    if (!machine || placement.agentEpoch !== machine.agentEpoch || machine.lastHeartbeatAt === null)
-      return;
-    if (this.clock.now() - machine.lastHeartbeatAt > this.workers.heartbeatIntervalMs * 2) return;
-    const { task, attempt } = placement;
-    this.commands.add(machine, { kind: 'stop', job: placement.job.id, task, attempt, graceMs });
+    if (machine?.agentEpoch !== placement.agentEpoch || machine.lastHeartbeatAt === null) return;
+    // An unresponsive worker would only hold a socket; its lease is running out.
+    const sinceHeartbeatMs = this.clock.now() - machine.lastHeartbeatAt;
+    if (sinceHeartbeatMs > this.workers.heartbeatIntervalMs * UNRESPONSIVE_INTERVALS) return;
+    this.commands.add(machine, stopCommand(placement, graceMs));
   }
 
+  /** Grace in which a task of the job can save a checkpoint, in milliseconds; 0 if it never saves. */
   checkpointGraceMs(job: Job): number {
     const { spec } = job;
     return spec.checkpointMs > 0 ? spec.saveMs + this.workers.gangPeerMs : 0;
   }
 
   /**
-   * What makes way for others saves first only if it would lose much: a machine that saves does no
-   * more work than one that does a little of it again, and whoever waits for it waits longer.
+   * Grace of a preempted task, in milliseconds. It saves only if it would lose much: saving takes the
+   * machine as long as repeating a little work, and the task that preempts it waits longer.
    */
   preemptionGraceMs(job: Job): number {
     const { checkpointMs, saveMs } = job.spec;
--- a/test/incident-log.test.ts
+++ b/test/incident-log.test.ts
@@ -14,7 +14,7 @@
   const job = await simulatedCluster.submit({ pieces: 32, runMs: 120_000 });
   await simulatedCluster.until(() => simulatedCluster.running(job) === 32, 10, 'all run');
   await simulatedCluster.pass(3);
-  assert.deepEqual(lines(simulatedCluster, 'machines fell silent'), []);
+  assert.deepEqual(lines(simulatedCluster, 'machines unresponsive'), []);
   const hanging = [...simulatedCluster.workers.keys()].slice(0, 2);
   const tasks = hanging.reduce(
     (sum, id) => sum + simulatedCluster.workers.get(id)!.pieces.length,
@@ -24,10 +24,10 @@
   await simulatedCluster.pass(16);
   const event = { count: 2, machines: hanging, tasks };
   assert.deepEqual(
-    lines(simulatedCluster, 'machines fell silent').map((line) => line.fields),
+    lines(simulatedCluster, 'machines unresponsive').map((line) => line.fields),
     [event],
   );
-  const expired = lines(simulatedCluster, 'leases of silent machines ran out').map(
+  const expired = lines(simulatedCluster, 'leases of unresponsive machines expired').map(
     (line) => line.fields,
   ) as {
     tasks: number;
@@ -38,7 +38,7 @@
   );
   for (const id of hanging) simulatedCluster.workers.get(id)!.hung = false;
   await simulatedCluster.pass(6);
-  assert.ok(lines(simulatedCluster, 'machines report again').length > 0);
+  assert.ok(lines(simulatedCluster, 'machines responsive again').length > 0);
   await simulatedCluster.close();
 });
 
@@ -110,10 +110,10 @@
   simulatedCluster.split(true);
   await simulatedCluster.pass(30);
   assert.equal(simulatedCluster.running(job), 4);
-  assert.ok(lines(simulatedCluster, 'machines fell silent').length > 0);
-  assert.deepEqual(lines(simulatedCluster, 'leases of silent machines ran out'), []);
+  assert.ok(lines(simulatedCluster, 'machines unresponsive').length > 0);
+  assert.deepEqual(lines(simulatedCluster, 'leases of unresponsive machines expired'), []);
   simulatedCluster.split(false);
   await simulatedCluster.pass(10);
-  assert.ok(lines(simulatedCluster, 'machines report again').length > 0);
+  assert.ok(lines(simulatedCluster, 'machines responsive again').length > 0);
   await simulatedCluster.close();
 });
