--- a/src/scheduler/capacity-finder.ts
+++ b/src/scheduler/capacity-finder.ts
@@ -1,14 +1,9 @@
 import { fits } from '../fleet/resources.js';
 import type { JobSpec } from '../jobs/job.js';
 import type { JobView, MachineView } from './scheduling-model.js';
-import {
-  isAllowedOn,
-  placeTasks,
-  schedulingShape,
-  type Placed,
-  type ContendedTypes,
-  type ZoneRules,
-} from './placement.js';
+import type { ContendedTypes } from './contended-types.js';
+import { placeTasks, type Placed } from './placement.js';
+import { isAllowedOn, schedulingShape, type ZoneRules } from './placement-rules.js';
 
 /** Finds room on machines for the tasks of one round, and remembers where there is none left. */
 export class CapacityFinder {
--- a/src/scheduler/consolidation.ts
+++ b/src/scheduler/consolidation.ts
@@ -1,6 +1,7 @@
 import { fits, subtract, type Resources } from '../fleet/resources.js';
 import type { JobView, MachineView, ReplicaView } from './scheduling-model.js';
-import { isAllowedOn, fetchSeconds, ZoneRules } from './placement.js';
+import { fetchSeconds } from './placement-cost.js';
+import { isAllowedOn, ZoneRules } from './placement-rules.js';
 
 /** An empty machine that is kept for longer than this many boot times is not worth emptying. */
 const QUICK_RELEASE_BOOTS = 2;
--- a/src/scheduler/gang-reservations.ts
+++ b/src/scheduler/gang-reservations.ts
@@ -2,7 +2,7 @@
 import type { JobSpec } from '../jobs/job.js';
 import type { JobView, MachineView } from './scheduling-model.js';
 import { rank } from './job-order.js';
-import { isAllowedOn, schedulingShape, ZoneRules } from './placement.js';
+import { isAllowedOn, schedulingShape, ZoneRules } from './placement-rules.js';
 import type { Preemption } from './preemption.js';
 import type { ScaleOutPlan } from './scale-out-plan.js';
 import type { Reservations } from './reservations.js';
--- a/src/scheduler/headroom.ts
+++ b/src/scheduler/headroom.ts
@@ -1,7 +1,7 @@
 import { copiesThatFit, subtract } from '../fleet/resources.js';
 import type { ExpectedTasks } from './demand-forecast.js';
 import type { JobView, MachineView, Snapshot } from './scheduling-model.js';
-import { isAllowedOn, ZoneRules } from './placement.js';
+import { isAllowedOn, ZoneRules } from './placement-rules.js';
 import type { Preemption } from './preemption.js';
 import type { ScaleOutPlan } from './scale-out-plan.js';
 
--- a/src/scheduler/opportunistic.ts
+++ b/src/scheduler/opportunistic.ts
@@ -1,14 +1,14 @@
 import { fits, subtract, type Resources } from '../fleet/resources.js';
 import type { JobSpec } from '../jobs/job.js';
 import type { JobView, MachineView, PreemptionCandidate } from './scheduling-model.js';
-import { isAllowedOn, ZoneRules } from './placement.js';
+import { isAllowedOn, ZoneRules } from './placement-rules.js';
 
 /** How many machines are cleared at once at most: a search for room takes time. */
 const MAX_DRAINED = 8;
 
 /** Which share of a machine is taken. */
 function usedShare(machine: MachineView): number {
-  const { capacity: capacity } = machine.type;
+  const { capacity } = machine.type;
   const share = (free: number, of: number): number => (of > 0 ? 1 - free / of : 0);
   return Math.max(
     share(machine.free.cpus, capacity.cpus),
@@ -18,7 +18,7 @@
 }
 
 /** What a task takes of a machine, as the largest of its shares. */
-function shareOf({ need }: JobSpec, { capacity: capacity }: MachineView['type']): number {
+function shareOf({ need }: JobSpec, { capacity }: MachineView['type']): number {
   return Math.max(
     need.cpus / capacity.cpus,
     capacity.gpus > 0 ? need.gpus / capacity.gpus : 0,
--- a/src/scheduler/preemption.ts
+++ b/src/scheduler/preemption.ts
@@ -1,7 +1,7 @@
 import { fits, copiesThatFit, subtract, type Resources } from '../fleet/resources.js';
 import { outranks, rank } from './job-order.js';
 import type { JobView, MachineView, TeamView, PreemptionCandidate } from './scheduling-model.js';
-import { isAllowedOn, schedulingShape, type ZoneRules } from './placement.js';
+import { isAllowedOn, schedulingShape, type ZoneRules } from './placement-rules.js';
 
 /**
  * Stops work to make room: of lower priority, or, for a job within its team's guarantee, what
--- a/src/scheduler/reservations.ts
+++ b/src/scheduler/reservations.ts
@@ -1,5 +1,5 @@
 import type { JobView, MachineView } from './scheduling-model.js';
-import type { ZoneRules } from './placement.js';
+import type { ZoneRules } from './placement-rules.js';
 import type { ScaleOutPlan } from './scale-out-plan.js';
 import type { CapacityFinder } from './capacity-finder.js';
 
--- a/src/scheduler/scale-out-plan.ts
+++ b/src/scheduler/scale-out-plan.ts
@@ -1,7 +1,7 @@
 import { fits, copiesThatFit, subtract } from '../fleet/resources.js';
 import type { JobSpec } from '../jobs/job.js';
 import type { JobView, MachineView, InstanceOffer, ScaleOutRequest } from './scheduling-model.js';
-import { isAllowedOn, type ZoneRules } from './placement.js';
+import { isAllowedOn, type ZoneRules } from './placement-rules.js';
 
 /** What each machine in a zone adds to the cost of an offer there: less than prices differ by. */
 const COST_PER_MACHINE = 1e-3;
--- a/src/scheduler/scheduling-cycle.ts
+++ b/src/scheduler/scheduling-cycle.ts
@@ -9,14 +9,10 @@
   Snapshot,
   TeamView,
 } from './scheduling-model.js';
-import {
-  noteImageFetch,
-  FETCH_WEIGHT,
-  fetchSeconds,
-  placeGang,
-  ContendedTypes,
-  ZoneRules,
-} from './placement.js';
+import { ContendedTypes } from './contended-types.js';
+import { placeGang } from './placement.js';
+import { FETCH_WEIGHT, fetchSeconds, recordImageFetch } from './placement-cost.js';
+import { ZoneRules } from './placement-rules.js';
 import { scaleOutHeadroom } from './headroom.js';
 import { drainableMachines, holdsOnly } from './opportunistic.js';
 import { Preemption } from './preemption.js';
@@ -322,7 +318,7 @@
   private recordStart(job: JobView, placed: { machine: MachineView; count: number }[]): void {
     for (const { machine } of placed) {
       if (!isOpportunistic(job)) this.reservations.needed.add(machine.id);
-      noteImageFetch(job.spec, machine);
+      recordImageFetch(job.spec, machine);
     }
     this.plan.starts.push({
       job: job.id,
