--- /dev/null
+++ b/src/scheduler/cycle-context.ts
@@ -0,0 +1,47 @@
+/** What the parts of one scheduling cycle share. */
+import { CapacityFinder } from './capacity-finder.js';
+import { ContendedTypes } from './contended-types.js';
+import { withinGuarantee } from './job-order.js';
+import { Preemption } from './preemption.js';
+import { Reservations } from './reservations.js';
+import { ScaleOutPlan } from './scale-out-plan.js';
+import type { JobView, MachineView, Snapshot } from './scheduling-model.js';
+
+/** State of one scheduling cycle. Capacity that a part takes is gone for all that come after it. */
+export interface CycleContext {
+  snapshot: Snapshot;
+  /** Machines that are up. Always this very list: `CapacityFinder` remembers lists by identity. */
+  up: MachineView[];
+  /** Jobs within their team's guarantee. */
+  guaranteed: ReadonlySet<string>;
+  contended: ContendedTypes;
+  finder: CapacityFinder;
+  scaleOutPlan: ScaleOutPlan;
+  reservations: Reservations;
+  preemption: Preemption;
+}
+
+/** True for work of teams without a guarantee that may wait. */
+export const isOpportunistic = (job: JobView): boolean => job.opportunisticTasks !== null;
+
+/** The state in which a cycle begins. */
+export function createCycleContext(snapshot: Snapshot): CycleContext {
+  const { jobs, machines, teams, types, offers, preemptionCandidates } = snapshot;
+  const up = machines.filter((machine) => machine.isUp);
+  const booting = machines.filter((machine) => !machine.isUp);
+  const dependents = jobs.filter((job) => !isOpportunistic(job));
+  const contended = new ContendedTypes(dependents, types, up);
+  const guaranteed = withinGuarantee(jobs, teams);
+  const finder = new CapacityFinder(up, contended);
+  const scaleOutPlan = new ScaleOutPlan(offers, machines);
+  return {
+    snapshot,
+    up,
+    guaranteed,
+    contended,
+    finder,
+    scaleOutPlan,
+    reservations: new Reservations(finder, scaleOutPlan, booting),
+    preemption: new Preemption(preemptionCandidates, up, teams, guaranteed),
+  };
+}
--- a/src/scheduler/gang-reservations.ts
+++ b/src/scheduler/gang-reservations.ts
@@ -1,54 +1,64 @@
+/** Reserves capacity for whole gangs that do not fit on what is free (KEP-349). */
 import { copiesThatFit } from '../fleet/resources.js';
-import type { JobSpec } from '../jobs/job.js';
+import type { CycleContext } from './cycle-context.js';
 import type { JobView, MachineView } from './scheduling-model.js';
 import { rank } from './job-order.js';
-import { isAllowedOn, schedulingShape, ZoneRules } from './placement-rules.js';
+import { mayUse, schedulingShape, ZoneRules } from './placement-rules.js';
 import type { Preemption } from './preemption.js';
 import type { ScaleOutPlan } from './scale-out-plan.js';
 import type { Reservations } from './reservations.js';
 import type { CapacityFinder } from './capacity-finder.js';
 
-/** Sets aside room for whole gangs that do not find it free. */
+/** Reserves capacity for whole gangs in one scheduling cycle. */
 export class GangReservations {
-  /** Gangs that found no room, by shape and rank: the fewest tasks that did not. */
+  /** By shape and rank, the size in tasks of the smallest gang that found no capacity. */
   private readonly tooLarge = new Map<string, number>();
 
-  constructor(
-    private readonly machines: MachineView[],
-    private readonly up: MachineView[],
-    private readonly guaranteed: ReadonlySet<string>,
-    private readonly finder: CapacityFinder,
-    private readonly scaleOutPlan: ScaleOutPlan,
-    private readonly reservations: Reservations,
-    private readonly preemption: Preemption,
-  ) {}
+  private readonly machines: MachineView[];
+  private readonly up: MachineView[];
+  private readonly guaranteed: ReadonlySet<string>;
+  private readonly finder: CapacityFinder;
+  private readonly scaleOutPlan: ScaleOutPlan;
+  private readonly reservations: Reservations;
+  private readonly preemption: Preemption;
+
+  constructor(context: CycleContext) {
+    this.machines = context.snapshot.machines;
+    this.up = context.up;
+    this.guaranteed = context.guaranteed;
+    this.finder = context.finder;
+    this.scaleOutPlan = context.scaleOutPlan;
+    this.reservations = context.reservations;
+    this.preemption = context.preemption;
+  }
 
   /**
-   * Sets aside room for a whole gang: what is free, what lesser work makes when it is stopped (sooner
-   * than a machine boots, and it loses little where it can be saved), what boots, what can be rented.
+   * Reserves capacity for a whole gang: what is free, what preemption frees (sooner than a machine
+   * boots, and little is lost with checkpoints), what boots, what scale-out provisions. False: there
+   * is not enough.
    *
-   * A gang behind the gate is not admitted. But its room is made or rented ahead and kept from
-   * smaller work, so that it passes with its whole room free: one boot after another, gangs would
-   * wait for as many boots as there are gangs before them. Since every round gives what there is to
-   * the first in order, two gangs cannot keep half of the machines each.
+   * A gang behind the gate (KEP-349) is not admitted. But its capacity is freed or provisioned ahead
+   * and kept from smaller work, so that it passes with all of it free; else gangs would wait for as
+   * many boots as there are gangs before them. Since every scheduling cycle gives what there is to
+   * the first in order, two gangs cannot hold half of the machines each.
    */
   reserve(job: JobView): boolean {
     const { spec } = job;
-    // Room only shrinks while a round goes on: where a gang found none, one of its kind that is no
-    // smaller finds none either.
+    // Capacity only shrinks during a cycle: where a gang found too little, one of the same kind that
+    // is no smaller finds too little as well.
     const kind = `${schedulingShape(spec)}|${spec.oneZone}|${rank(job.priority, this.isGuaranteed(job))}`;
-    const usual = job.avoidedMachines.size === 0 && job.tasksByZone.size === 0;
-    if (usual && spec.tasks >= (this.tooLarge.get(kind) ?? Infinity)) return false;
+    const isUnrestricted = job.avoidedMachines.size === 0 && job.tasksByZone.size === 0;
+    if (isUnrestricted && spec.tasks >= (this.tooLarge.get(kind) ?? Infinity)) return false;
     const best = this.bestZone(job);
     if (best) return this.reserveIn(job, best.zone);
-    if (usual) this.tooLarge.set(kind, spec.tasks);
+    if (isUnrestricted) this.tooLarge.set(kind, spec.tasks);
     return false;
   }
 
   /**
-   * The zone in which the fewest tasks would need a machine to be rented; null: there is none. Among
-   * equals the one with the fewest machines: what the cloud has to give in a zone is limited, and
-   * gangs that all went to one zone would use it up while other zones have plenty.
+   * The zone in which the fewest tasks would need scale-out; null: there is none. Among equals the
+   * one with the fewest machines: the cloud's capacity in a zone is limited, and gangs that all went
+   * to one zone would use it up while other zones have plenty.
    */
   private bestZone(job: JobView): { zone: string | null } | null {
     const { spec } = job;
@@ -60,7 +70,7 @@
     for (const zone of zones) {
       const missing = this.missingIn(job, zone, coming);
       if (missing > 0 && !this.scaleOutPlan.offersFor(spec, zone)) continue;
-      // Where nothing is missing the first will do: its choice has to stand until the gang starts.
+      // Where nothing is missing the first zone will do: its choice has to stand until the gang starts.
       const machines = missing > 0 && zone !== null ? this.scaleOutPlan.machinesInZone(zone) : 0;
       const better =
         best === null ||
@@ -72,9 +82,9 @@
   }
 
   /**
-   * How many tasks find no room in a zone. Room that is being made or can be made counts, so that the
-   * choice of the zone stands until it is there, and so that a gang is admitted also where nothing
-   * can be rented.
+   * How many tasks find no capacity in a zone. What preemption frees or could free counts, so that
+   * the choice of the zone stands until it is free, and so that a gang is admitted also where
+   * scale-out is not possible.
    */
   private missingIn(job: JobView, zone: string | null, coming: MachineView[]): number {
     const { spec } = job;
@@ -90,7 +100,7 @@
       }
     }
     for (const machine of coming) {
-      if (isIn(zone, machine) && suits(job, spec, machine))
+      if (isIn(zone, machine) && mayUse(job, machine))
         missing -= copiesThatFit(spec.need, machine.free);
     }
     return Math.max(0, missing);
@@ -116,7 +126,3 @@
 /** `zone` null stands for any. */
 const isIn = (zone: string | null, machine: MachineView): boolean =>
   zone === null || machine.zone === zone;
-
-const suits = (job: JobView, spec: JobSpec, machine: MachineView): boolean =>
-  isAllowedOn(spec, machine.type.name, machine.zone, machine.spot) &&
-  !job.avoidedMachines.has(machine.id);
--- a/src/scheduler/job-order.ts
+++ b/src/scheduler/job-order.ts
@@ -1,5 +1,6 @@
 import type { Priority } from '../jobs/job.js';
-import type { JobView, TeamView } from './scheduling-model.js';
+import type { JobView, TeamCapacity, TeamView } from './scheduling-model.js';
+import { addTasks, CAPACITY_TOLERANCE } from './team-capacity.js';
 
 /**
  * A job is within its team's guarantee if it fits into it together with the team's earlier
@@ -10,17 +11,16 @@
   teams: ReadonlyMap<string, TeamView>,
 ): Set<string> {
   const inside = new Set<string>();
-  const sums = new Map<string, { cpus: number; gpus: number }>();
+  const sums = new Map<string, TeamCapacity>();
   for (const job of [...jobs].sort((a, b) => a.readyAt - b.readyAt)) {
     const team = teams.get(job.spec.team);
     if (!team) continue;
     const sum = sums.get(job.spec.team) ?? { cpus: 0, gpus: 0 };
-    sum.cpus += job.spec.need.cpus * job.unfinishedTasks;
-    sum.gpus += job.spec.need.gpus * job.unfinishedTasks;
+    addTasks(sum, job.spec, job.unfinishedTasks);
     sums.set(job.spec.team, sum);
     // 0 means that nothing of the kind is guaranteed, and nothing is asked of it either.
     const covers = (guarantee: number, used: number): boolean =>
-      guarantee === 0 || used <= guarantee + 1e-6;
+      guarantee === 0 || used <= guarantee + CAPACITY_TOLERANCE;
     const { need } = job.spec;
     // What uses nothing of what is guaranteed has no claim to it.
     const claims =
--- /dev/null
+++ b/src/scheduler/opportunistic-scheduler.ts
@@ -0,0 +1,112 @@
+/** Starts opportunistic work: it takes what no other work took or reserved. */
+import { isOpportunistic, type CycleContext } from './cycle-context.js';
+import { inSchedulingOrder } from './job-order.js';
+import { drainableMachines, holdsOnly } from './opportunistic.js';
+import { ZoneRules } from './placement-rules.js';
+import type { JobView, MachineView, TeamView } from './scheduling-model.js';
+import type { TaskStarter } from './task-starter.js';
+import { addTasks, quotaHeadroom } from './team-capacity.js';
+
+/** An opportunistic job during a scheduling cycle. */
+class OpportunisticWork {
+  readonly rules: ZoneRules;
+  /** How many tasks have to run at once for the job to be in time. */
+  readonly tasksAtOnce: number;
+  /** Tasks that are on machines or start. */
+  running: number;
+  /** Tasks that wait. */
+  waiting: number;
+
+  constructor(
+    readonly job: JobView,
+    readonly team: TeamView,
+  ) {
+    this.rules = new ZoneRules(job.spec, job.tasksByZone);
+    this.tasksAtOnce = job.opportunisticTasks ?? 0;
+    this.running = [...job.tasksByZone.values()].reduce((a, b) => a + b, 0);
+    this.waiting = job.waitingTasks;
+  }
+}
+
+/** Schedules opportunistic work after all other, and finds the machines that are idle but for it. */
+export class OpportunisticScheduler {
+  /** Opportunistic jobs, whether or not tasks of theirs wait. */
+  private readonly jobs: ReadonlySet<string>;
+  /** Some opportunistic work found no capacity. */
+  private isStarved = false;
+
+  constructor(
+    private readonly context: CycleContext,
+    private readonly starter: TaskStarter,
+    private readonly scheduleGang: (job: JobView, team: TeamView) => void,
+  ) {
+    this.jobs = new Set(context.snapshot.jobs.filter(isOpportunistic).map((job) => job.id));
+  }
+
+  /**
+   * Starts one task of each job that has none first, or small jobs would wait for the end of large
+   * ones. Scale-out covers what has to run at once for a job to be in time; machines that hold
+   * nothing else count as idle all the same.
+   */
+  schedule(waiting: JobView[]): void {
+    const { snapshot, guaranteed } = this.context;
+    const work = inSchedulingOrder(waiting, guaranteed).flatMap((job) => {
+      const team = snapshot.teams.get(job.spec.team);
+      return team ? [new OpportunisticWork(job, team)] : [];
+    });
+    for (const item of work) if (item.running === 0) this.start(item, 1);
+    for (const item of work) {
+      if (item.job.gang) this.scheduleWholeGang(item);
+      else this.scheduleTasks(item);
+    }
+  }
+
+  /** Machines that are empty or hold only opportunistic work, and that nothing else needs. */
+  idleMachines(): MachineView[] {
+    const { up, reservations } = this.context;
+    return up.filter(
+      (machine) => !reservations.needed.has(machine.id) && holdsOnly(machine, this.jobs),
+    );
+  }
+
+  /** Of the idle machines, those whose opportunistic work fits elsewhere; the emptiest first. */
+  drainableMachines(idle: MachineView[]): string[] {
+    if (this.jobs.size === 0 || this.isStarved) return [];
+    const { snapshot, up } = this.context;
+    const jobs = new Map(snapshot.jobs.map((job) => [job.id, job]));
+    const starting = new Set(
+      this.starter.starts.flatMap(({ assignments }) => assignments.map(({ machine }) => machine)),
+    );
+    return drainableMachines(
+      idle.filter((machine) => !starting.has(machine.id)),
+      up,
+      snapshot.preemptionCandidates,
+      jobs,
+    );
+  }
+
+  private scheduleWholeGang({ job, team, tasksAtOnce }: OpportunisticWork): void {
+    if (!this.starter.startGangIfItFits(job, team) && tasksAtOnce > 0) this.scheduleGang(job, team);
+  }
+
+  private scheduleTasks(work: OpportunisticWork): void {
+    const { job, team, rules } = work;
+    this.start(work, Infinity);
+    const waiting = Math.min(work.waiting, quotaHeadroom(team, job.spec));
+    if (waiting <= 0) return;
+    this.isStarved = true;
+    const missing = Math.min(waiting, work.tasksAtOnce - work.running);
+    if (missing <= 0) return;
+    addTasks(team.used, job.spec, missing);
+    this.context.reservations.reserveOrScaleOut(job, missing, rules);
+  }
+
+  private start(work: OpportunisticWork, maxTasks: number): void {
+    const { job, team, rules } = work;
+    const count = Math.min(work.waiting, maxTasks, quotaHeadroom(team, job.spec));
+    if (job.gang || count <= 0) return;
+    const started = this.starter.startTasks(job, count, rules, team, this.context.up);
+    work.waiting -= started;
+    work.running += started;
+  }
+}
--- a/src/scheduler/preemption.ts
+++ b/src/scheduler/preemption.ts
@@ -1,6 +1,7 @@
 import { fits, copiesThatFit, subtract, type Resources } from '../fleet/resources.js';
 import { outranks, rank } from './job-order.js';
 import type { JobView, MachineView, TeamView, PreemptionCandidate } from './scheduling-model.js';
+import { CAPACITY_TOLERANCE } from './team-capacity.js';
 import { isAllowedOn, schedulingShape, type ZoneRules } from './placement-rules.js';
 
 /**
@@ -165,8 +166,9 @@
     const leaving = this.exitingOfTeam(name);
     return (
       team !== undefined &&
-      (team.used.gpus - leaving.gpus > team.guarantee.gpus + 1e-6 ||
-        (team.guarantee.cpus > 0 && team.used.cpus - leaving.cpus > team.guarantee.cpus + 1e-6))
+      (team.used.gpus - leaving.gpus > team.guarantee.gpus + CAPACITY_TOLERANCE ||
+        (team.guarantee.cpus > 0 &&
+          team.used.cpus - leaving.cpus > team.guarantee.cpus + CAPACITY_TOLERANCE))
     );
   }
 
--- a/src/scheduler/reservations.ts
+++ b/src/scheduler/reservations.ts
@@ -1,4 +1,5 @@
 import type { JobView, MachineView } from './scheduling-model.js';
+import { placedCount } from './placement.js';
 import type { ZoneRules } from './placement-rules.js';
 import type { ScaleOutPlan } from './scale-out-plan.js';
 import type { CapacityFinder } from './capacity-finder.js';
@@ -23,7 +24,7 @@
   reserveOn(job: JobView, count: number, machines: MachineView[], rules: ZoneRules): number {
     const placed = this.finder.find(job, count, rules, machines);
     for (const { machine } of placed) this.needed.add(machine.id);
-    return placed.reduce((sum, placed) => sum + placed.count, 0);
+    return placedCount(placed);
   }
 
   /** Room on machines that boot or will be rented, for tasks that found none. */
--- /dev/null
+++ b/src/scheduler/task-starter.ts
@@ -0,0 +1,54 @@
+/** Starts tasks on free capacity and charges them to their team's quota. */
+import { isOpportunistic, type CycleContext } from './cycle-context.js';
+import { placedCount, placeGang, type Placed } from './placement.js';
+import { recordImageFetch } from './placement-cost.js';
+import type { ZoneRules } from './placement-rules.js';
+import type { JobView, MachineView, Start, TeamView } from './scheduling-model.js';
+import { addTasks, quotaHeadroom } from './team-capacity.js';
+
+/** The starts of one scheduling cycle. */
+export class TaskStarter {
+  readonly starts: Start[] = [];
+
+  constructor(private readonly context: CycleContext) {}
+
+  /** Starts up to `count` tasks; answers how many found capacity. */
+  startTasks(
+    job: JobView,
+    count: number,
+    rules: ZoneRules,
+    team: TeamView,
+    machines: MachineView[],
+    onlyBesideGpus = false,
+  ): number {
+    const placed = this.context.finder.find(job, count, rules, machines, onlyBesideGpus);
+    if (placed.length === 0) return 0;
+    const started = placedCount(placed);
+    addTasks(team.used, job.spec, started);
+    this.recordStart(job, placed);
+    return started;
+  }
+
+  /** Starts a gang if all of it fits on free capacity; false if it does not. */
+  startGangIfItFits(job: JobView, team: TeamView): boolean {
+    const { spec } = job;
+    const { finder, up, contended } = this.context;
+    if (quotaHeadroom(team, spec) < spec.tasks || finder.isFull(spec, up)) return false;
+    const placed = placeGang(job, up, contended);
+    if (!placed) return false;
+    addTasks(team.used, spec, spec.tasks);
+    this.recordStart(job, placed);
+    return true;
+  }
+
+  private recordStart(job: JobView, placed: Placed[]): void {
+    for (const { machine } of placed) {
+      if (!isOpportunistic(job)) this.context.reservations.needed.add(machine.id);
+      recordImageFetch(job.spec, machine);
+    }
+    this.starts.push({
+      job: job.id,
+      assignments: placed.map(({ machine, count }) => ({ machine: machine.id, count })),
+    });
+  }
+}
