--- a/src/scheduler/gang-reservations.ts
+++ b/src/scheduler/gang-reservations.ts
@@ -112,7 +112,8 @@
     const { coming } = this.reservations;
     const here = this.up.filter((machine) => isIn(zone, machine));
     let left = spec.tasks - this.reservations.reserveOn(job, spec.tasks, here, rules);
-    if (left > 0) left -= this.preemption.makeRoom(job, left, this.isGuaranteed(job), here, rules);
+    if (left > 0)
+      left -= this.preemption.freeCapacity(job, left, this.isGuaranteed(job), here, rules);
     const comingHere = coming.filter((machine) => isIn(zone, machine));
     left -= this.reservations.reserveOn(job, left, comingHere, rules);
     return this.scaleOutPlan.add(job, left, rules, zone) === 0;
--- a/src/scheduler/preemption.ts
+++ b/src/scheduler/preemption.ts
@@ -1,131 +1,164 @@
+/**
+ * Preemption: frees capacity by stopping tasks of lower priority or, for a job within its team's
+ * guarantee, tasks of teams that use more than theirs.
+ */
 import { fits, copiesThatFit, subtract, type Resources } from '../fleet/resources.js';
 import { outranks, rank } from './job-order.js';
-import type { JobView, MachineView, TeamView, PreemptionCandidate } from './scheduling-model.js';
-import { CAPACITY_TOLERANCE } from './team-capacity.js';
-import { isAllowedOn, schedulingShape, type ZoneRules } from './placement-rules.js';
+import { mayUse, schedulingShape, type ZoneRules } from './placement-rules.js';
+import type {
+  JobView,
+  MachineView,
+  PreemptionCandidate,
+  TaskId,
+  TeamCapacity,
+  TeamView,
+} from './scheduling-model.js';
+import { addTasks, CAPACITY_TOLERANCE } from './team-capacity.js';
+
+/** The tasks to preempt on a machine to free capacity for one task. */
+interface PreemptionChoice {
+  machine: MachineView;
+  candidates: PreemptionCandidate[];
+  /** Work lost in machine milliseconds, and one more for each task. */
+  loss: number;
+}
 
 /**
- * Stops work to make room: of lower priority, or, for a job within its team's guarantee, what
- * other teams run beyond theirs. The cheapest loss goes first. Room that is already being made is
- * counted before more is asked for.
+ * The preemptions of one scheduling cycle. The cheapest loss goes first. Capacity that is already
+ * being freed is counted before more is preempted.
  */
 export class Preemption {
-  readonly stops: { job: string; task: number }[] = [];
-  /** By machine, what may be stopped there task by task. */
+  readonly stops: TaskId[] = [];
+  /** What may be preempted on each machine; the least important first, then the cheapest loss. */
   private readonly candidatesByMachine = new Map<string, PreemptionCandidate[]>();
   private readonly chosen = new Set<PreemptionCandidate>();
-  private readonly exitingByTeam = new Map<string, { cpus: number; gpus: number }>();
-  /** Room that what is being stopped on a machine will leave, beyond what is free there. */
+  private readonly exitingByTeam = new Map<string, TeamCapacity>();
+  /** Capacity that stopping tasks will free on each machine, beyond what is free there. */
   private readonly exitingByMachine = new Map<string, Resources>();
-
-  /** Shapes for which no more was found, and after how many stops. */
+  /** By shape, how many stops there were when preemption last found too little. */
   private readonly exhaustedShapes = new Map<string, number>();
-  /** The least important priority among what may be stopped. */
+  /** The least important priority among the candidates. */
   private lowestPriority = -Infinity;
 
   constructor(
-    victims: PreemptionCandidate[],
+    candidates: PreemptionCandidate[],
     private readonly up: MachineView[],
     private readonly teams: ReadonlyMap<string, TeamView>,
     private readonly guaranteed: ReadonlySet<string>,
   ) {
     for (const machine of up)
       this.exitingByMachine.set(machine.id, { cpus: 0, gpus: 0, memoryGb: 0 });
-    for (const candidate of victims) {
-      if (candidate.isStopping) {
-        const room = this.exitingByMachine.get(candidate.machine);
-        if (room) subtract(room, candidate.spec.need, -1);
-      } else if (!candidate.isGangMember) {
-        const list = this.candidatesByMachine.get(candidate.machine);
-        if (list) list.push(candidate);
-        else this.candidatesByMachine.set(candidate.machine, [candidate]);
-        this.lowestPriority = Math.max(this.lowestPriority, candidate.priority);
-      }
-    }
-    // The least important first, and of these the cheapest loss.
+    for (const candidate of candidates) this.addCandidate(candidate);
     for (const list of this.candidatesByMachine.values()) {
       list.sort((a, b) => b.priority - a.priority || a.lostWorkMs - b.lostWorkMs);
     }
   }
 
-  /** What is free there, or will be once all that is told to stop has left. */
-  capacityAfterExits(machine: MachineView): Resources {
-    const leaving = this.exitingByMachine.get(machine.id)!;
-    return {
-      cpus: machine.free.cpus + leaving.cpus,
-      gpus: machine.free.gpus + leaving.gpus,
-      memoryGb: machine.free.memoryGb + leaving.memoryGb,
-    };
-  }
-
-  /** What there would be if all work of lower priority that comes after this job had left. */
-  capacityAfterPreemption(job: JobView, machine: MachineView, guaranteed: boolean): Resources {
-    const room = this.capacityAfterExits(machine);
-    const own = rank(job.priority, guaranteed);
+  /** What is free there if all work of lower priority that comes after this job is preempted. */
+  capacityAfterPreemption(job: JobView, machine: MachineView, isGuaranteed: boolean): Resources {
+    const capacity = this.capacityAfterExits(machine);
+    const ownRank = rank(job.priority, isGuaranteed);
     for (const candidate of this.candidatesByMachine.get(machine.id) ?? []) {
       if (this.chosen.has(candidate)) continue;
-      if (!outranks(job.priority, candidate.priority)) continue;
-      if (rank(candidate.priority, this.guaranteed.has(candidate.job)) > own)
-        subtract(room, candidate.spec.need, -1);
+      if (outranks(job.priority, candidate.priority) && this.rankOf(candidate) > ownRank)
+        subtract(capacity, candidate.spec.need, -1);
     }
-    return room;
+    return capacity;
   }
 
   /**
-   * How many of `count` tasks will find room by stopping others. Only where the job's zones let them
-   * start: room made in a zone that already holds its share would be kept free in vain, round after
-   * round, while the job waits for it.
+   * Frees capacity for up to `count` tasks and claims it; answers for how many. Only where the job's
+   * zones let them start: in a zone that already holds its share, the capacity would stay unused,
+   * cycle after cycle, while the job waits for it.
    */
-  makeRoom(
+  freeCapacity(
+    job: JobView,
+    count: number,
+    isGuaranteed: boolean,
+    machines: MachineView[],
+    rules: ZoneRules,
+  ): number {
+    // Only preemption adds capacity within a cycle: what was in vain once stays so until the next.
+    const shape = schedulingShape(job.spec);
+    const key = `${shape}|${job.priority}|${isGuaranteed ? job.spec.team : ''}`;
+    const isUnrestricted = machines === this.up && this.mayGoAnywhere(job);
+    if (isUnrestricted && this.exhaustedShapes.get(key) === this.stops.length) return 0;
+    const allowed = machines.filter((machine) => mayUse(job, machine));
+    let found = this.claimExiting(job, count, allowed, rules);
+    if (found < count) found += this.preempt(job, count - found, isGuaranteed, allowed, rules);
+    if (isUnrestricted && found < count) this.exhaustedShapes.set(key, this.stops.length);
+    return found;
+  }
+
+  private addCandidate(candidate: PreemptionCandidate): void {
+    if (candidate.isStopping) {
+      const exiting = this.exitingByMachine.get(candidate.machine);
+      if (exiting) subtract(exiting, candidate.spec.need, -1);
+      return;
+    }
+    if (candidate.isGangMember) return;
+    const list = this.candidatesByMachine.get(candidate.machine);
+    if (list) list.push(candidate);
+    else this.candidatesByMachine.set(candidate.machine, [candidate]);
+    this.lowestPriority = Math.max(this.lowestPriority, candidate.priority);
+  }
+
+  private mayGoAnywhere({ spec, avoidedMachines }: JobView): boolean {
+    return avoidedMachines.size === 0 && !spec.spread && !spec.oneZone;
+  }
+
+  private rankOf(candidate: PreemptionCandidate): number {
+    return rank(candidate.priority, this.guaranteed.has(candidate.job));
+  }
+
+  private exitingOn(machine: MachineView): Resources {
+    const exiting = this.exitingByMachine.get(machine.id);
+    if (!exiting) throw new Error(`preemption on machine ${machine.id}, which is not up`);
+    return exiting;
+  }
+
+  /** What is free there once all tasks that are told to stop have left. */
+  private capacityAfterExits(machine: MachineView): Resources {
+    const exiting = this.exitingOn(machine);
+    return {
+      cpus: machine.free.cpus + exiting.cpus,
+      gpus: machine.free.gpus + exiting.gpus,
+      memoryGb: machine.free.memoryGb + exiting.memoryGb,
+    };
+  }
+
+  /** Claims what is free or being freed already; answers for how many tasks. */
+  private claimExiting(
     job: JobView,
     count: number,
-    guaranteed: boolean,
-    among: MachineView[],
+    machines: MachineView[],
     rules: ZoneRules,
   ): number {
-    // Room only shrinks within a round, but for what stops make: what was in vain once stays so.
-    const key = `${schedulingShape(job.spec)}|${job.priority}|${guaranteed ? job.spec.team : ''}`;
-    const { spread, oneZone } = job.spec;
-    const whole = among === this.up && job.avoidedMachines.size === 0 && !spread && !oneZone;
-    if (whole && this.exhaustedShapes.get(key) === this.stops.length) return 0;
+    const { need } = job.spec;
     let found = 0;
-    const suitable = among.filter(
-      (machine) =>
-        isAllowedOn(job.spec, machine.type.name, machine.zone, machine.spot) &&
-        !job.avoidedMachines.has(machine.id),
-    );
-    for (const machine of suitable) {
+    for (const machine of machines) {
       if (found === count) break;
-      const most = Math.min(count - found, rules.remaining(machine.zone));
-      if (most <= 0) continue;
-      const total = Math.min(most, copiesThatFit(job.spec.need, this.capacityAfterExits(machine)));
-      if (total > 0) {
-        subtract(machine.free, job.spec.need, total);
-        rules.add(machine.zone, total);
-        found += total;
-      }
+      const maxTasks = Math.min(count - found, rules.remaining(machine.zone));
+      if (maxTasks <= 0) continue;
+      const tasks = Math.min(maxTasks, copiesThatFit(need, this.capacityAfterExits(machine)));
+      if (tasks <= 0) continue;
+      subtract(machine.free, need, tasks);
+      rules.add(machine.zone, tasks);
+      found += tasks;
     }
-    if (found < count) found += this.preempt(job, count - found, guaranteed, suitable, rules);
-    if (whole && found < count) this.exhaustedShapes.set(key, this.stops.length);
     return found;
   }
 
   private preempt(
     job: JobView,
     count: number,
-    guaranteed: boolean,
-    suitable: MachineView[],
+    isGuaranteed: boolean,
+    machines: MachineView[],
     rules: ZoneRules,
   ): number {
-    // Where nothing less important runs, only a guarantee could take room from others.
-    if (!guaranteed && !outranks(job.priority, this.lowestPriority)) return 0;
-    let choices: PreemptionChoice[] = [];
-    for (const machine of suitable) {
-      if (!this.candidatesByMachine.has(machine.id)) continue;
-      if (rules.remaining(machine.zone) <= 0) continue;
-      const choice = this.cheapestChoice(job, machine, guaranteed);
-      if (choice) choices.push(choice);
-    }
+    // Where nothing less important runs, only a guarantee entitles to what others hold.
+    if (!isGuaranteed && !outranks(job.priority, this.lowestPriority)) return 0;
+    let choices = this.choicesOn(job, isGuaranteed, machines, rules);
     let found = 0;
     while (found < count && choices.length > 0) {
       const best = choices.reduce((a, b) => (b.loss < a.loss ? b : a));
@@ -134,41 +167,56 @@
         continue;
       }
       // An earlier stop may have brought a team down to its guarantee: the choice is made anew.
-      const now = this.cheapestChoice(job, best.machine, guaranteed);
-      if (now && now.loss <= best.loss) {
-        this.applyChoice(job, now);
+      const current = this.cheapestChoice(job, best.machine, isGuaranteed);
+      if (current && current.loss <= best.loss) {
+        this.applyChoice(job, current);
         rules.add(best.machine.zone);
         found++;
       }
-      const next = this.cheapestChoice(job, best.machine, guaranteed);
+      const next = this.cheapestChoice(job, best.machine, isGuaranteed);
       choices.splice(choices.indexOf(best), 1);
       if (next) choices.push(next);
     }
     return found;
   }
 
-  private applyChoice(job: JobView, choice: PreemptionChoice): void {
-    const leaving = this.exitingByMachine.get(choice.machine.id)!;
-    for (const candidate of choice.candidates) {
+  /** The cheapest choice on each machine in a zone that may hold more of the job. */
+  private choicesOn(
+    job: JobView,
+    isGuaranteed: boolean,
+    machines: MachineView[],
+    rules: ZoneRules,
+  ): PreemptionChoice[] {
+    const choices: PreemptionChoice[] = [];
+    for (const machine of machines) {
+      if (!this.candidatesByMachine.has(machine.id)) continue;
+      if (rules.remaining(machine.zone) <= 0) continue;
+      const choice = this.cheapestChoice(job, machine, isGuaranteed);
+      if (choice) choices.push(choice);
+    }
+    return choices;
+  }
+
+  private applyChoice(job: JobView, { machine, candidates }: PreemptionChoice): void {
+    const exiting = this.exitingOn(machine);
+    for (const candidate of candidates) {
       this.chosen.add(candidate);
       this.stops.push({ job: candidate.job, task: candidate.task });
-      subtract(leaving, candidate.spec.need, -1);
-      const leavingTeam = this.exitingOfTeam(candidate.spec.team);
-      leavingTeam.cpus += candidate.spec.need.cpus;
-      leavingTeam.gpus += candidate.spec.need.gpus;
+      subtract(exiting, candidate.spec.need, -1);
+      addTasks(this.exitingOfTeam(candidate.spec.team), candidate.spec, 1);
     }
     // Claimed now, also where some is free already: smaller work must not slip into it.
-    subtract(choice.machine.free, job.spec.need, 1);
+    subtract(machine.free, job.spec.need, 1);
   }
 
   private isOverGuarantee(name: string): boolean {
     const team = this.teams.get(name);
-    const leaving = this.exitingOfTeam(name);
+    if (!team) return false;
+    const { guarantee, used } = team;
+    const exiting = this.exitingOfTeam(name);
     return (
-      team !== undefined &&
-      (team.used.gpus - leaving.gpus > team.guarantee.gpus + CAPACITY_TOLERANCE ||
-        (team.guarantee.cpus > 0 &&
-          team.used.cpus - leaving.cpus > team.guarantee.cpus + CAPACITY_TOLERANCE))
+      used.gpus - exiting.gpus > guarantee.gpus + CAPACITY_TOLERANCE ||
+      (guarantee.cpus > 0 && used.cpus - exiting.cpus > guarantee.cpus + CAPACITY_TOLERANCE)
     );
   }
 
@@ -176,7 +224,7 @@
    * What is being stopped of a team. It is kept apart from what the team uses: until it is proven
    * gone it counts against the team's limit, and no other task may take its share.
    */
-  private exitingOfTeam(name: string): { cpus: number; gpus: number } {
+  private exitingOfTeam(name: string): TeamCapacity {
     let sum = this.exitingByTeam.get(name);
     if (!sum) {
       sum = { cpus: 0, gpus: 0 };
@@ -188,40 +236,44 @@
   private cheapestChoice(
     job: JobView,
     machine: MachineView,
-    guaranteed: boolean,
+    isGuaranteed: boolean,
   ): PreemptionChoice | null {
-    const victims: PreemptionCandidate[] = [];
-    const besideGpus = machine.type.capacity.gpus > 0 && job.spec.need.gpus === 0;
-    const room = this.capacityAfterExits(machine);
     const { need } = job.spec;
-    const own = rank(job.priority, guaranteed);
+    const capacity = this.capacityAfterExits(machine);
+    const candidates: PreemptionCandidate[] = [];
     let loss = 0;
     for (const candidate of this.candidatesByMachine.get(machine.id) ?? []) {
-      if (victims.length > 0 && fits(need, room)) break;
+      if (candidates.length > 0 && fits(need, capacity)) break;
       if (this.chosen.has(candidate)) continue;
-      // Two that both live on what work with GPUs leaves: the one would run again as long as the
-      // other waits, and all of it makes room within seconds.
-      if (besideGpus && candidate.spec.need.gpus === 0) continue;
-      // What goes before this job in the order would take the room back in the next round, and be
-      // stopped again in the one after.
-      if (rank(candidate.priority, this.guaranteed.has(candidate.job)) <= own) continue;
-      const may =
-        outranks(job.priority, candidate.priority) ||
-        (guaranteed &&
-          candidate.spec.team !== job.spec.team &&
-          this.isOverGuarantee(candidate.spec.team));
-      if (!may) continue;
-      victims.push(candidate);
+      if (isBackfillOnly(job, candidate, machine)) continue;
+      if (!this.mayPreempt(job, isGuaranteed, candidate)) continue;
+      candidates.push(candidate);
       loss += candidate.lostWorkMs + 1;
-      subtract(room, candidate.spec.need, -1);
+      subtract(capacity, candidate.spec.need, -1);
     }
-    return victims.length > 0 && fits(need, room) ? { machine, candidates: victims, loss } : null;
+    return candidates.length > 0 && fits(need, capacity) ? { machine, candidates, loss } : null;
+  }
+
+  private mayPreempt(job: JobView, isGuaranteed: boolean, candidate: PreemptionCandidate): boolean {
+    // What precedes this job in the scheduling order would take the capacity back in the next cycle,
+    // and be preempted again in the one after.
+    if (this.rankOf(candidate) <= rank(job.priority, isGuaranteed)) return false;
+    if (outranks(job.priority, candidate.priority)) return true;
+    const { team } = candidate.spec;
+    return isGuaranteed && team !== job.spec.team && this.isOverGuarantee(team);
   }
 }
 
-/** What is stopped on a machine to make room for one task. */
-interface PreemptionChoice {
-  machine: MachineView;
-  candidates: PreemptionCandidate[];
-  loss: number;
+/**
+ * True if both use only what work with GPUs leaves on the machine. Preemption would gain nothing: the
+ * one would run again only once the other has ended, and such work frees capacity within seconds.
+ */
+function isBackfillOnly(
+  job: JobView,
+  candidate: PreemptionCandidate,
+  machine: MachineView,
+): boolean {
+  return (
+    machine.type.capacity.gpus > 0 && job.spec.need.gpus === 0 && candidate.spec.need.gpus === 0
+  );
 }
--- a/src/scheduler/scheduling-cycle.ts
+++ b/src/scheduler/scheduling-cycle.ts
@@ -105,7 +105,7 @@
     }
     if (missing <= 0) return;
     addTasks(team.used, job.spec, missing);
-    const freed = preemption.makeRoom(job, missing, guaranteed.has(job.id), up, rules);
+    const freed = preemption.freeCapacity(job, missing, guaranteed.has(job.id), up, rules);
     reservations.reserveOrScaleOut(job, missing - freed, rules);
   }
 
@@ -135,7 +135,7 @@
     const started = this.starter.startTasks(job, count, rules, team, cached);
     const missing = count - started;
     if (missing === 0) return started;
-    const freed = preemption.makeRoom(job, missing, guaranteed.has(job.id), cached, rules);
+    const freed = preemption.freeCapacity(job, missing, guaranteed.has(job.id), cached, rules);
     addTasks(team.used, spec, freed);
     return started + freed;
   }
