--- a/src/control/scheduling/quota-wait-log.ts
+++ b/src/control/scheduling/quota-wait-log.ts
@@ -1,16 +1,17 @@
+/** Tells operators when work waits for its team's quota. */
 import type { QuotaLimitedTasks, TeamView } from '../../scheduler/scheduling-model.js';
 import type { Logger } from '@leverhatch/core/log';
 
-/** For how many report intervals work has to wait, or not to, before the log says so. */
+/** For how many heartbeat intervals a change has to last before it is logged. */
 const SETTLED_HEARTBEATS = 3;
 
 interface TeamState {
-  /** Work of the team waits for its limit, as the log last said. */
-  said: boolean;
-  /** Since when each round has found the contrary of what was said; null: the last one agreed. */
+  /** What was last logged: work of the team waits for its limit. */
+  isReportedLimited: boolean;
+  /** Since when each scheduling cycle has found the contrary; null: the last one agreed. */
   changedAt: number | null;
-  /** When the wait began that the log last told of. */
-  heldSince: number;
+  /** When the wait that was last logged began. */
+  limitedSince: number;
 }
 
 /**
@@ -26,8 +27,9 @@
   ) {}
 
   /**
-   * @param quotaLimited the teams whose limit held work back in this round
+   * @param quotaLimited the teams whose limit held work back in this scheduling cycle
    * @param teams what all teams use
+   * @param now milliseconds, monotonic
    */
   observe(
     quotaLimited: QuotaLimitedTasks,
@@ -35,32 +37,41 @@
     now: number,
   ): void {
     for (const [name, team] of teams) {
-      const state = this.states.get(name) ?? { said: false, changedAt: null, heldSince: now };
+      const state = this.states.get(name) ?? {
+        isReportedLimited: false,
+        changedAt: null,
+        limitedSince: now,
+      };
       this.states.set(name, state);
       const tasks = quotaLimited.get(name) ?? 0;
-      if (tasks > 0 === state.said) {
+      if (tasks > 0 === state.isReportedLimited) {
         state.changedAt = null;
         continue;
       }
       state.changedAt ??= now;
       if (now - state.changedAt < this.heartbeatIntervalMs * SETTLED_HEARTBEATS) continue;
-      this.logChange(name, team, tasks, state);
+      this.logChange(name, team, tasks, state, state.changedAt);
     }
   }
 
-  private logChange(name: string, team: TeamView, tasks: number, state: TeamState): void {
-    const changedAt = state.changedAt!;
-    state.said = tasks > 0;
+  private logChange(
+    name: string,
+    team: TeamView,
+    tasks: number,
+    state: TeamState,
+    changedAt: number,
+  ): void {
+    state.isReportedLimited = tasks > 0;
     state.changedAt = null;
     if (tasks > 0) {
-      state.heldSince = changedAt;
+      state.limitedSince = changedAt;
       this.log.info(
-        { team: name, tasks, ...ofLimit(team) },
+        { team: name, tasks, ...limitFields(team) },
         'work waits for the limit of its team',
       );
     } else {
       this.log.info(
-        { team: name, forMs: Math.round(changedAt - state.heldSince) },
+        { team: name, forMs: Math.round(changedAt - state.limitedSince) },
         'no work waits for the limit of its team any more',
       );
     }
@@ -68,7 +79,7 @@
 }
 
 /** What a team uses of each resource that is limited. */
-function ofLimit({ used, limit }: TeamView): Record<string, number> {
+function limitFields({ used, limit }: TeamView): Record<string, number> {
   const fields: Record<string, number> = {};
   if (limit.cpus !== Infinity) Object.assign(fields, { cpus: used.cpus, cpusLimit: limit.cpus });
   if (limit.gpus !== Infinity) Object.assign(fields, { gpus: used.gpus, gpusLimit: limit.gpus });
--- a/src/scheduler/idle-machines.ts
+++ b/src/scheduler/idle-machines.ts
@@ -1,44 +1,51 @@
-/** How many machines of one type found nothing to do, over the last while. */
+/** Idle timeout by type: how many idle machines can be scaled in. Times in milliseconds, monotonic. */
+
+/** How many machines of one type were idle during the last idle timeout. */
 interface History {
-  points: { at: number; count: number }[];
+  samples: { at: number; count: number }[];
+  /** When the history begins. */
   since: number;
 }
 
 /**
- * Tells how many spare machines are beyond need: the fewest that were spare at any moment of a while
- * as long as one is worth keeping. Each machine's own idle time would tell less: where work comes
- * and goes on many machines, every one of them is used now and then though all at once never are.
+ * Tells how many idle machines are surplus: the fewest that were idle at any moment of the last idle
+ * timeout. Each machine's own idle time would tell less: where work comes and goes on many machines,
+ * every one of them is used now and then though all of them at once never are.
  */
 export class IdleMachines {
   private readonly byType = new Map<string, History>();
 
   /**
-   * @param from since when spare machines are counted
-   * @param before whether others led before: what was spare then is not known, and half of the while
-   *   is counted to it. Else each change of leader would keep all idle machines for a while more.
+   * @param from since when idle machines are counted
+   * @param hasPredecessor whether others led before: what was idle then is not known, and half of the
+   *   idle timeout is credited for it. Else each change of leader would keep all idle machines longer.
    */
   constructor(
     private readonly from: number,
-    private readonly before: boolean,
+    private readonly hasPredecessor: boolean,
   ) {}
 
-  /** Notes how many are spare now, and answers how many of them can be given back. */
+  /** Records how many machines of a type are idle now; answers how many can be scaled in. */
   surplus(type: string, count: number, now: number, idleTimeoutMs: number): number {
     let history = this.byType.get(type);
     if (!history) {
-      history = { points: [], since: this.from - (this.before ? idleTimeoutMs / 2 : 0) };
+      history = { samples: [], since: this.from - (this.hasPredecessor ? idleTimeoutMs / 2 : 0) };
       this.byType.set(type, history);
     }
-    const { points } = history;
+    const { samples } = history;
     // Counts only rise along the list: one that a later, smaller one outlives is never the fewest.
-    while (points.length > 0 && points[points.length - 1]!.count >= count) points.pop();
-    points.push({ at: now, count });
-    while (points[0]!.at < now - idleTimeoutMs) points.shift();
-    return now - history.since < idleTimeoutMs ? 0 : points[0]!.count;
+    while ((samples.at(-1)?.count ?? -Infinity) >= count) samples.pop();
+    const current = { at: now, count };
+    samples.push(current);
+    const expired = samples.filter((sample) => sample.at < now - idleTimeoutMs).length;
+    samples.splice(0, expired);
+    const [fewest = current] = samples;
+    return now - history.since < idleTimeoutMs ? 0 : fewest.count;
   }
 
-  /** So many were given back: they are not counted as spare any more. */
+  /** Machines that were scaled in no longer count as idle in the past either. */
   recordReleased(type: string, count: number): void {
-    for (const p of this.byType.get(type)?.points ?? []) p.count = Math.max(0, p.count - count);
+    for (const sample of this.byType.get(type)?.samples ?? [])
+      sample.count = Math.max(0, sample.count - count);
   }
 }
--- a/src/scheduler/job-order.ts
+++ b/src/scheduler/job-order.ts
@@ -1,10 +1,11 @@
+/** The order in which jobs are scheduled, and which of them are within their team's guarantee. */
 import type { Priority } from '../jobs/job.js';
 import type { JobView, TeamCapacity, TeamView } from './scheduling-model.js';
 import { addTasks, CAPACITY_TOLERANCE } from './team-capacity.js';
 
 /**
  * A job is within its team's guarantee if it fits into it together with the team's earlier
- * unfinished jobs. Jobs that wait for others take no part, and are as old as they are ready.
+ * unfinished jobs. Jobs with open dependencies take no part; age counts from when a job was ready.
  */
 export function withinGuarantee(
   jobs: JobView[],
@@ -33,7 +34,7 @@
 }
 
 /**
- * Smaller goes first. A guarantee is worth one and a half steps of priority, so that production
+ * Position in the scheduling order; smaller goes first. A guarantee is worth one and a half steps of priority, so that production
  * work beyond its guarantee still goes before batches within theirs.
  */
 export function rank(priority: Priority, guaranteed: boolean): number {
@@ -45,7 +46,8 @@
  * none left, twice the last. In a rush, what is late already would else go before all that could
  * still be in time, and make that late too; later on its turn comes all the same.
  *
- * @param deadlineMs counts from the submission, however long the job waits for others
+ * @param deadlineMs counts from the submission, however long the job waits for its dependencies
+ * @param submittedAt time of day in milliseconds, as `now` is
  * @param steps multiples of the deadline, smallest first; none: once
  * @param remainingMs expected time until it is done, with all that has to be done before it
  */
@@ -58,11 +60,12 @@
 ): number {
   // Estimates are often wrong by half: only what even half of it cannot make is given up.
   const atBest = now + remainingMs / 2;
-  const times = steps.length > 0 ? steps : [1];
-  const next = times.find((time) => submittedAt + deadlineMs * time >= atBest);
-  return submittedAt + deadlineMs * (next ?? times[times.length - 1]! * 2);
+  const lastStep = steps.at(-1) ?? 1;
+  const next = [...steps, lastStep].find((step) => submittedAt + deadlineMs * step >= atBest);
+  return submittedAt + deadlineMs * (next ?? lastStep * 2);
 }
 
+/** The jobs in the order in which they are scheduled: last-resort retries last, then by `rank`. */
 export function inSchedulingOrder(jobs: JobView[], guaranteed: ReadonlySet<string>): JobView[] {
   const sameClass = (a: JobView, b: JobView): boolean =>
     a.priority === b.priority && a.spec.kind === b.spec.kind;
@@ -78,4 +81,5 @@
   });
 }
 
+/** True if `a` is more important than `b`: smaller numbers are. */
 export const outranks = (a: Priority, b: Priority): boolean => a < b;
--- a/src/scheduler/opportunistic.ts
+++ b/src/scheduler/opportunistic.ts
@@ -1,12 +1,13 @@
-import { fits, subtract, type Resources } from '../fleet/resources.js';
+/** Drains machines that hold nothing but opportunistic work, so that they can be scaled in. */
+import { subtract, type Resources } from '../fleet/resources.js';
 import type { JobSpec } from '../jobs/job.js';
 import type { JobView, MachineView, PreemptionCandidate } from './scheduling-model.js';
-import { isAllowedOn, ZoneRules } from './placement-rules.js';
+import { findMoves } from './task-moves.js';
 
-/** How many machines are cleared at once at most: a search for room takes time. */
+/** Machines drained in one scheduling cycle: each search for targets takes time. */
 const MAX_DRAINED = 8;
 
-/** Which share of a machine is taken. */
+/** The largest share of a machine's resources that is in use. */
 function usedShare(machine: MachineView): number {
   const { capacity } = machine.type;
   const share = (free: number, of: number): number => (of > 0 ? 1 - free / of : 0);
@@ -17,7 +18,7 @@
   );
 }
 
-/** What a task takes of a machine, as the largest of its shares. */
+/** The largest share of a machine's resources that a task takes. */
 function shareOf({ need }: JobSpec, { capacity }: MachineView['type']): number {
   return Math.max(
     need.cpus / capacity.cpus,
@@ -26,106 +27,78 @@
   );
 }
 
-/** True if nothing is on a machine but work of these jobs, or nothing at all. */
+/** True if a machine is empty or holds tasks of these jobs only. */
 export const holdsOnly = (machine: MachineView, jobs: ReadonlySet<string>): boolean =>
   [...machine.tasksOf.keys()].every((job) => jobs.has(job));
 
 /**
- * Of machines that hold nothing but opportunistic work, those that can be cleared: all that is on
- * one finds room on machines that stay, and loses less than the machine would cost until it ends by
- * itself. The emptiest go first. What finds no room stays: it would be stopped and wait, and a
- * machine be rented for it again.
+ * Machines that can be drained: all tasks on one fit on machines that stay, and lose less work than
+ * the machine would cost until they end by themselves. The emptiest go first. Tasks that fit nowhere
+ * stay: they would be stopped and wait, and a machine be provisioned for them again.
  *
- * @param only machines that hold nothing else
- * @param up all machines that are up, with the room that this round leaves
+ * @param idle machines that hold nothing but opportunistic work
+ * @param up all machines that are up, with the capacity that this scheduling cycle leaves
+ * @param candidates the tasks on the machines
+ * @param jobs open jobs by id
+ * @returns ids of machines
  */
 export function drainableMachines(
-  only: MachineView[],
+  idle: MachineView[],
   up: MachineView[],
-  victims: readonly PreemptionCandidate[],
+  candidates: readonly PreemptionCandidate[],
   jobs: ReadonlyMap<string, JobView>,
 ): string[] {
-  const held = new Map<string, PreemptionCandidate[]>(only.map((machine) => [machine.id, []]));
-  for (const candidate of victims) held.get(candidate.machine)?.push(candidate);
-  const free = new Map<MachineView, Resources>();
-  const roomOn = (machine: MachineView): Resources => {
-    let room = free.get(machine);
-    if (!room) free.set(machine, (room = { ...machine.free }));
-    return room;
+  const tasksOn = new Map<string, PreemptionCandidate[]>(idle.map((machine) => [machine.id, []]));
+  for (const candidate of candidates) tasksOn.get(candidate.machine)?.push(candidate);
+  const capacities = new Map<MachineView, Resources>();
+  const freeOn = (machine: MachineView): Resources => {
+    let free = capacities.get(machine);
+    if (!free) capacities.set(machine, (free = { ...machine.free }));
+    return free;
   };
-  const inUse = up.filter((machine) => !held.has(machine.id));
-  const order = only
+  const inUse = up.filter((machine) => !tasksOn.has(machine.id));
+  const order = idle
     .filter((machine) => machine.tasksOf.size > 0)
     .sort((a, b) => usedShare(a) - usedShare(b) || (a.id < b.id ? -1 : 1));
-  const cleared: string[] = [];
+  const drained: string[] = [];
   const receivers = new Set<MachineView>();
   for (const [i, from] of order.entries()) {
-    if (cleared.length === MAX_DRAINED) break;
-    const tasks = held.get(from.id)!;
-    if (receivers.has(from) || !isWorthIt(from, tasks)) continue;
+    if (drained.length === MAX_DRAINED) break;
+    const tasks = tasksOn.get(from.id) ?? [];
+    if (receivers.has(from) || !isWorthDraining(from, tasks)) continue;
     const targets = [...inUse, ...order.slice(i + 1)];
-    const moves = allFit(tasks, targets, roomOn, jobs);
+    const moves = findMoves(tasks, {
+      targets,
+      jobs,
+      freeOn,
+      tasksByZone: (job) => job.tasksByZone,
+      isTarget: (_task, machine, rules) => rules.remaining(machine.zone) > 0,
+    });
     if (!moves) break;
-    cleared.push(from.id);
-    for (const { to, spec } of moves) {
-      subtract(roomOn(to), spec.need);
+    drained.push(from.id);
+    for (const { to, task } of moves) {
+      subtract(freeOn(to), task.spec.need);
       receivers.add(to);
     }
   }
-  return cleared;
+  return drained;
 }
 
 /**
- * What would have to be done again costs less than the machine until the last of it has ended. What
- * was lost once, or is half done and never saved, stays: moved from one spare machine to the next it
- * would be done late or never.
+ * True if the work to be done again costs less than the machine until its last task has ended. What
+ * was lost once, or is half done without checkpoints, stays: moved from one idle machine to the next
+ * it would be done late or never.
  */
-function isWorthIt(machine: MachineView, tasks: PreemptionCandidate[]): boolean {
-  let lost = 0;
+function isWorthDraining(machine: MachineView, tasks: PreemptionCandidate[]): boolean {
+  let lostMs = 0;
   let untilMs = 0;
   for (const candidate of tasks) {
     if (candidate.isStopping || candidate.isGangMember || candidate.stopsWithoutCheckpoint > 0)
       return false;
     if (candidate.spec.checkpointMs === 0 && candidate.lostWorkMs > candidate.remainingMs)
       return false;
-    lost += candidate.lostWorkMs * shareOf(candidate.spec, machine.type);
+    lostMs += candidate.lostWorkMs * shareOf(candidate.spec, machine.type);
     untilMs = Math.max(untilMs, candidate.remainingMs);
   }
-  return lost < untilMs * (1 - usedShare(machine));
-}
-
-interface Move {
-  to: MachineView;
-  spec: JobSpec;
-}
-
-/** Where each of the tasks would go; null if one finds no room. */
-function allFit(
-  tasks: PreemptionCandidate[],
-  targets: MachineView[],
-  roomOn: (machine: MachineView) => Resources,
-  jobs: ReadonlyMap<string, JobView>,
-): Move[] | null {
-  const taken = new Map<MachineView, Resources>();
-  const moves: Move[] = [];
-  for (const { job, spec } of tasks) {
-    const view = jobs.get(job);
-    if (!view) return null;
-    const rules = new ZoneRules(spec, view.tasksByZone);
-    const to = targets.find((machine) => {
-      const room = taken.get(machine) ?? roomOn(machine);
-      return (
-        fits(spec.need, room) &&
-        isAllowedOn(spec, machine.type.name, machine.zone, machine.spot) &&
-        !view.avoidedMachines.has(machine.id) &&
-        rules.remaining(machine.zone) > 0
-      );
-    });
-    if (!to) return null;
-    const room = taken.get(to) ?? { ...roomOn(to) };
-    subtract(room, spec.need);
-    taken.set(to, room);
-    moves.push({ to, spec });
-  }
-  return moves;
+  return lostMs < untilMs * (1 - usedShare(machine));
 }
