--- a/src/scheduler/job-order.ts
+++ b/src/scheduler/job-order.ts
@@ -1,26 +1,27 @@
+/** The order in which jobs are scheduled, and which of them are within their team's guarantee. */
 import type { Priority } from '../jobs/job.js';
-import type { JobView, TeamView } from './scheduling-model.js';
+import type { JobView, TeamCapacity, TeamView } from './scheduling-model.js';
+import { addTasks, CAPACITY_TOLERANCE } from './team-capacity.js';
 
 /**
  * A job is within its team's guarantee if it fits into it together with the team's earlier
- * unfinished jobs. Jobs that wait for others take no part, and are as old as they are ready.
+ * unfinished jobs. Jobs with open dependencies take no part; age counts from when a job was ready.
  */
 export function withinGuarantee(
   jobs: JobView[],
   teams: ReadonlyMap<string, TeamView>,
 ): Set<string> {
   const inside = new Set<string>();
-  const sums = new Map<string, { cpus: number; gpus: number }>();
+  const sums = new Map<string, TeamCapacity>();
   for (const job of [...jobs].sort((a, b) => a.readyAt - b.readyAt)) {
     const team = teams.get(job.spec.team);
     if (!team) continue;
     const sum = sums.get(job.spec.team) ?? { cpus: 0, gpus: 0 };
-    sum.cpus += job.spec.need.cpus * job.unfinishedTasks;
-    sum.gpus += job.spec.need.gpus * job.unfinishedTasks;
+    addTasks(sum, job.spec, job.unfinishedTasks);
     sums.set(job.spec.team, sum);
     // 0 means that nothing of the kind is guaranteed, and nothing is asked of it either.
     const covers = (guarantee: number, used: number): boolean =>
-      guarantee === 0 || used <= guarantee + 1e-6;
+      guarantee === 0 || used <= guarantee + CAPACITY_TOLERANCE;
     const { need } = job.spec;
     // What uses nothing of what is guaranteed has no claim to it.
     const claims =
@@ -33,7 +34,7 @@
 }
 
 /**
- * Smaller goes first. A guarantee is worth one and a half steps of priority, so that production
+ * Position in the scheduling order; smaller goes first. A guarantee is worth one and a half steps of priority, so that production
  * work beyond its guarantee still goes before batches within theirs.
  */
 export function rank(priority: Priority, guaranteed: boolean): number {
@@ -45,7 +46,8 @@
  * none left, twice the last. In a rush, what is late already would else go before all that could
  * still be in time, and make that late too; later on its turn comes all the same.
  *
- * @param deadlineMs counts from the submission, however long the job waits for others
+ * @param deadlineMs counts from the submission, however long the job waits for its dependencies
+ * @param submittedAt time of day in milliseconds, as `now` is
  * @param steps multiples of the deadline, smallest first; none: once
  * @param remainingMs expected time until it is done, with all that has to be done before it
  */
@@ -58,11 +60,12 @@
 ): number {
   // Estimates are often wrong by half: only what even half of it cannot make is given up.
   const atBest = now + remainingMs / 2;
-  const times = steps.length > 0 ? steps : [1];
-  const next = times.find((time) => submittedAt + deadlineMs * time >= atBest);
-  return submittedAt + deadlineMs * (next ?? times[times.length - 1]! * 2);
+  const lastStep = steps.at(-1) ?? 1;
+  const next = [...steps, lastStep].find((step) => submittedAt + deadlineMs * step >= atBest);
+  return submittedAt + deadlineMs * (next ?? lastStep * 2);
 }
 
+/** The jobs in the order in which they are scheduled: last-resort retries last, then by `rank`. */
 export function inSchedulingOrder(jobs: JobView[], guaranteed: ReadonlySet<string>): JobView[] {
   const sameClass = (a: JobView, b: JobView): boolean =>
     a.priority === b.priority && a.spec.kind === b.spec.kind;
@@ -78,4 +81,5 @@
   });
 }
 
+/** True if `a` is more important than `b`: smaller numbers are. */
 export const outranks = (a: Priority, b: Priority): boolean => a < b;
