--- a/src/control/extensions/extension.ts
+++ b/src/control/extensions/extension.ts
@@ -1,6 +1,6 @@
 /**
- * How optional parts plug into the service. A part is switched on by operators; what is off is not
- * loaded, and costs nothing. Parts see the leader only as `ExtensionHost`.
+ * How extensions plug into the service. Operators enable an extension; one that is disabled is not
+ * loaded, and costs nothing. Extensions see the leader only as `ExtensionHost`.
  */
 import type { Runtime } from '@leverhatch/core/duty';
 import type { OperatorRoutes } from '@leverhatch/operators/listener';
@@ -13,68 +13,69 @@
 import type { Store } from '../../state/store.js';
 import type { TaskStopper } from '../reconciliation/task-stopper.js';
 
-/** What each team may have. */
+/** Guarantee and limit of each team, by its name. */
 export type TeamQuotaMap = ReadonlyMap<string, Pick<Team, 'guarantee' | 'limit'>>;
 
-/** What a part sees of the controller that it is switched on in. */
+/** What an extension sees of the controller that has it enabled. */
 export interface ControllerHost {
   store: Store;
   runtime: Runtime;
   settings: Settings;
   /** Whether this controller leads and has read all records. */
   isLeading(): boolean;
-  /** Whether every controller has a part switched on, as the store says now. */
+  /** Whether every controller has an extension enabled, by the member records in the store. */
   haveAllEnabled(feature: string, signal: AbortSignal): Promise<boolean>;
-  /** What teams have or will have, with the shares that were moved. */
+  /** Quotas that teams have or will have, after all accepted quota transfers. */
   promisedQuotas(): Promise<TeamQuotaMap>;
 }
 
-/** What a part sees of the leader in one term. */
+/** What an extension sees of the leader in one term. */
 export interface ExtensionHost {
   readonly runtime: Runtime;
   readonly settings: Settings;
   readonly term: Term;
   readonly jobs: ReadonlyMap<string, Job>;
   readonly taskStopper: Pick<TaskStopper, 'stop' | 'stopAll' | 'checkpointGraceMs'>;
+  /** Monotonic time in milliseconds. */
   now(): number;
   /** Whether the leader has read all records. */
   isReady(): boolean;
   machine(id: string): Machine | undefined;
-  /** Whether a machine may get new work: it was heard lately, among other things. */
+  /** Whether a machine may get new work: its heartbeats are recent, among other things. */
   isSchedulable(machine: string): boolean;
-  /** How many tasks of a job could start now, whatever room there is. */
+  /** How many tasks of a job could start now, regardless of free capacity. */
   startableTasks(job: Job): number;
-  /** Something changed that the next round of decisions should see. */
+  /** Requests a scheduling cycle, after a change that it should see. */
   requestSchedule(): void;
 }
 
-/** A part in one term of the controller that leads. */
+/** An extension in one term of the leader. */
 export interface TermExtension extends StartFence {
-  /** Reads the part's records. Nothing is decided before this has come about. */
+  /** Reads the extension's records. Nothing is scheduled before this has resolved. */
   load(signal: AbortSignal): Promise<void>;
-  /** What the part does until the term ends. */
+  /** Runs the extension's supervised tasks until the term ends. */
   run(signal: AbortSignal): Promise<void>;
-  /** What each team may have now; without it as the settings say. */
+  /** Quotas in force now; without this method those of the settings are. */
   quotas?(): TeamQuotaMap;
-  /** How many tasks of a job may be placed at once; without it all of them. */
+  /** How many tasks of a job may be placed at once; without this method all of them. */
   placementLimit?(job: string): number;
-  /** Whether replicas of a job may be moved merely to empty their machine. */
+  /** Whether consolidation may move replicas of a job; without this method it may. */
   mayMove?(job: string): boolean;
-  /** A round of decisions has ended. */
+  /** Called after each scheduling cycle, with the tasks that a quota kept from starting. */
   afterSchedulingCycle?(quotaLimited: QuotaLimitedTasks): void;
 }
 
-/** A part that is switched on in this controller, leading or not. */
+/** An extension that is enabled in this controller, leading or not. */
 export interface Extension {
-  /** What the controller says of itself that has it. */
+  /** The name under which the member record of the controller lists it. */
   readonly feature: string;
-  /** What operators may ask. */
+  /** Routes below the operators' listener. */
   readonly routes: OperatorRoutes;
-  /** A term of this controller begins. */
+  /** Begins a term of this controller. */
   beginTerm(host: ExtensionHost): TermExtension;
-  /** What teams have or will have, for judging whether a job can ever run; without it as the settings say. */
+  /** Quotas that decide whether a job can ever run; without this method those of the settings do. */
   promisedQuotas?(): Promise<TeamQuotaMap>;
 }
 
-/** Makes a part for one controller. */
+/** Creates an extension for one controller. */
 export type CreateExtension = (host: ControllerHost) => Extension;
--- a/src/control/extensions/record-ports.ts
+++ b/src/control/extensions/record-ports.ts
@@ -1,10 +1,11 @@
+/** Adapts the controller to the ports that keeping an extension's records needs. */
 import type { RecordPorts } from '@leverhatch/core/fenced-records';
 import type { ControllerHost } from './extension.js';
 
-/** How often a leader looks whether something of a part can go on, as a share of a report interval. */
-const STEP_SHARE = 1 / 2;
+/** Interval between the steps of an extension, relative to the heartbeat interval. */
+const STEP_INTERVAL_RATIO = 1 / 2;
 
-/** What keeping the records of an optional part rests on. */
+/** Store, clock, random, log and step interval (in milliseconds) for the records of an extension. */
 export function recordPorts({ store, runtime, settings }: ControllerHost): RecordPorts {
   const { clock, random, log } = runtime;
   return {
@@ -12,6 +13,6 @@
     clock,
     random,
     log,
-    stepIntervalMs: settings.workers.heartbeatIntervalMs * STEP_SHARE,
+    stepIntervalMs: settings.workers.heartbeatIntervalMs * STEP_INTERVAL_RATIO,
   };
 }
--- a/src/control/extensions/rollout-extension.ts
+++ b/src/control/extensions/rollout-extension.ts
@@ -1,3 +1,4 @@
+/** Adapts `packages/rollout` to one controller: ports, operators' API and the rollouts of its terms. */
 import type {
   ProbeSettings,
   ReplicaProbe,
@@ -11,25 +12,24 @@
 import type { Store } from '../../state/store.js';
 import type { ControllerHost, Extension, ExtensionHost, TermExtension } from './extension.js';
 import { recordPorts } from './record-ports.js';
-import { ServiceRollouts } from './service-rollouts.js';
+import { ServiceRollouts, type RolloutPackage } from './service-rollouts.js';
 
-/** The package that rolls versions out, as it is loaded where it is switched on. */
-export type RolloutPackage = typeof import('@leverhatch/rollout');
+export type { RolloutPackage };
 
-/** What a controller is started with where versions are rolled out. */
+/** What a controller with rollouts enabled is started with. */
 export interface RolloutOptions {
   package: RolloutPackage;
   probe: ReplicaProbe;
   probing: ProbeSettings;
 }
 
-/** What operators ask about jobs goes with users' requests. */
-const URGENCY = 1;
+/** Reads for operators have the priority of users' requests. */
+const REQUEST_PRIORITY = 1;
 
-/** Rolling out versions of services, in one controller. */
+/** Stepped rollouts of services, in one controller. */
 export class RolloutExtension implements Extension {
   readonly feature = 'rollout';
-  /** Answers operators. */
+  /** The operators' interface. */
   readonly api: RolloutApi;
   readonly routes: OperatorRoutes;
   private readonly ports: RolloutPorts;
@@ -37,14 +37,15 @@
   private term: ServiceRollouts | null = null;
 
   constructor(
-    private readonly switchedOn: RolloutOptions,
+    private readonly options: RolloutOptions,
     host: ControllerHost,
   ) {
     const { store, runtime } = host;
-    const { package: rollout, probe, probing } = switchedOn;
+    const { package: rollout, probe, probing } = options;
     this.ports = {
       ...recordPorts(host),
-      ...{ probe, probing },
+      probe,
+      probing,
       readJob: (id) => readServiceJob(store, id),
       teamLimit: async (team) => (await host.promisedQuotas()).get(team)?.limit ?? null,
       isEnabledOnAllControllers: (signal) => host.haveAllEnabled(this.feature, signal),
@@ -56,14 +57,14 @@
   }
 
   beginTerm(host: ExtensionHost): TermExtension {
-    this.term = new ServiceRollouts(host, this.switchedOn.package, this.ports);
+    this.term = new ServiceRollouts(host, this.options.package, this.ports);
     return this.term;
   }
 }
 
-/** A job as the store has it; of one that is over only that is left. */
+/** Reads a job from the store; the record of a finished one has no spec any more. */
 async function readServiceJob(store: Store, id: string): Promise<ServiceJob | null> {
-  const entry = await store.get(KEYS.job(id), URGENCY);
+  const entry = await store.get(KEYS.job(id), REQUEST_PRIORITY);
   const record = entry && parseJob(entry.value);
   if (!record) return null;
   const { spec, phase, tasks } = record;
--- a/src/control/extensions/service-rollouts.ts
+++ b/src/control/extensions/service-rollouts.ts
@@ -1,21 +1,25 @@
+/** Connects rollouts to the scheduler for one term: replicas and limits out, withdrawals in. */
 import type { LeaderRollouts, Replica, ScheduledJob, SchedulerPort } from '@leverhatch/rollout';
 import type { Condition } from '@leverhatch/core/store';
-import { startKey } from '../../fleet/machine.js';
+import { startKey, type Machine } from '../../fleet/machine.js';
 import type { Job, Placement } from '../../jobs/tracked-job.js';
 import type { ExtensionHost, TermExtension } from './extension.js';
-import type { RolloutPackage } from './rollout-extension.js';
 import { termPort } from './term-port.js';
 import { withdrawUnsentStarts } from './unsent-starts.js';
 
-/** A machine that was not heard for so many report intervals proves nothing. */
-const HEARD_REPORTS = 3;
+/** The package that rolls versions out, as it is loaded where rollouts are enabled. */
+export type RolloutPackage = typeof import('@leverhatch/rollout');
 
-/** Stages in which a start that this leader made cannot have run. */
+/** A machine without a heartbeat for so many heartbeat intervals proves nothing. */
+const MAX_HEARTBEAT_AGE_INTERVALS = 3;
+
+/** Stages in which a start by this leader cannot have run: its command has not been sent. */
 const UNSENT: ReadonlySet<Placement['stage']> = new Set(['recording', 'recorded']);
 
-/** The scheduler's side of rollouts: what is placed of the jobs, and what becomes of their replicas. */
+/** The scheduler's side of rollouts: what is placed of their jobs, and how replicas are stopped. */
 export class ServiceRollouts implements SchedulerPort, TermExtension {
   readonly rollouts: LeaderRollouts;
+  /** Keys are cached: they never change, and each probe and each cycle asks for them. */
   private readonly keys = new WeakMap<Placement, string>();
 
   constructor(
@@ -34,7 +38,7 @@
     return this.rollouts.run(signal);
   }
 
-  // ---- what the scheduler asks
+  // ---- TermExtension
 
   condition(): Condition {
     return this.rollouts.condition();
@@ -56,7 +60,7 @@
     this.rollouts.withdraw();
   }
 
-  // ---- what rollouts ask
+  // ---- SchedulerPort
 
   job(id: string): ScheduledJob | null {
     const job = this.host.isReady() ? this.host.jobs.get(id) : undefined;
@@ -65,7 +69,10 @@
     return {
       id,
       state: job.isCancellationAnnounced ? 'cancelled' : job.phase,
-      ...{ isService: kind === 'service', team, image, replicas: tasks },
+      isService: kind === 'service',
+      team,
+      image,
+      replicas: tasks,
       resources: { cpus: need.cpus, gpus: need.gpus },
       placed: job.isUnreadable ? tasks : job.placements.size,
       failing: job.failures.isSuspected,
@@ -78,46 +85,46 @@
   }
 
   private replica(job: Job, placement: Placement): Replica {
-    const { task, attempt, machine, agentEpoch: agentEpoch, state, stage, stop } = placement;
+    const { task, attempt, machine, agentEpoch, state, stage, stop } = placement;
     return {
-      ...{ job: job.id, task, attempt, machine, agentEpoch, image: job.spec.image },
+      job: job.id,
+      task,
+      attempt,
+      machine,
+      agentEpoch,
+      image: job.spec.image,
       key: this.keyOf(placement),
       address: this.host.machine(machine)?.address ?? null,
-      running: this.runs(placement),
+      running: this.isConfirmedRunning(placement),
       starting: UNSENT.has(stage) || (stage === 'reported' && state === 'fetching'),
       stopping: stop !== null,
     };
   }
 
-  /** What names a start never changes, and is asked for often. */
   private keyOf(placement: Placement): string {
     const known = this.keys.get(placement);
     if (known !== undefined) return known;
-    const { job, task, attempt, machine, agentEpoch: agentEpoch } = placement;
+    const { job, task, attempt, machine, agentEpoch } = placement;
     const key = `${startKey(job.id, task, attempt)}@${machine}#${agentEpoch}`;
     this.keys.set(placement, key);
     return key;
   }
 
   /**
-   * Its worker has said so lately, to this leader. A worker that knows our token takes no order of a
-   * former leader any more, so no stop that is still on its way from there can end the replica.
+   * Whether its worker has reported lately, to this leader, that it runs. A worker that knows our fencing
+   * token takes no command of a former leader, so no stop still in flight from there can end the replica.
    */
-  private runs({ machine, agentEpoch: agentEpoch, state, stage }: Placement): boolean {
-    const host = this.host.machine(machine);
-    if (
-      !host ||
-      !host.isTokenConfirmed ||
-      host.isReleasing ||
-      host.agentEpoch !== agentEpoch ||
-      host.lastHeartbeatAt === null
-    )
-      return false;
-    if (stage !== 'reported' || state !== 'running') return false;
-    return (
-      this.host.now() - host.lastHeartbeatAt <=
-      this.host.settings.workers.heartbeatIntervalMs * HEARD_REPORTS
-    );
+  private isConfirmedRunning({ machine: id, agentEpoch, state, stage }: Placement): boolean {
+    const machine = this.host.machine(id);
+    if (!machine || stage !== 'reported' || state !== 'running') return false;
+    if (!machine.isTokenConfirmed || machine.isReleasing) return false;
+    return machine.agentEpoch === agentEpoch && this.hasRecentHeartbeat(machine);
+  }
+
+  private hasRecentHeartbeat({ lastHeartbeatAt }: Machine): boolean {
+    if (lastHeartbeatAt === null) return false;
+    const { heartbeatIntervalMs } = this.host.settings.workers;
+    return this.host.now() - lastHeartbeatAt <= heartbeatIntervalMs * MAX_HEARTBEAT_AGE_INTERVALS;
   }
 
   withdraw({ job: id, task, attempt }: Replica): void {
--- a/src/control/extensions/term-port.ts
+++ b/src/control/extensions/term-port.ts
@@ -1,8 +1,9 @@
+/** Adapts the leader's term to the port that the packages of extensions take. */
 import type { TermPort } from '@leverhatch/core/term';
 import { KEYS } from '../../state/keys.js';
 import type { ExtensionHost } from './extension.js';
 
-/** The term of the leader, as the packages of optional parts see it. */
+/** The leader's term as the packages of extensions see it. */
 export function termPort({ term, now }: Pick<ExtensionHost, 'term' | 'now'>): TermPort {
   return {
     id: term.id,
--- a/src/control/extensions/unsent-starts.ts
+++ b/src/control/extensions/unsent-starts.ts
@@ -1,23 +1,25 @@
+/** Withdrawal of starts that no worker has been told of yet. */
 import type { Job } from '../../jobs/tracked-job.js';
 import type { TaskStopper } from '../reconciliation/task-stopper.js';
 
 /**
- * Takes back starts of a job that are planned and not sent, one after the other, while `over` says so.
+ * Withdraws planned, unsent starts of a job one by one, as long as `mayContinue` allows it.
  *
- * @returns how many were taken back; those of a gang go together
+ * @param mayContinue takes the number withdrawn so far
+ * @returns how many were withdrawn; those of a gang go together
  */
 export function withdrawUnsentStarts(
   job: Job,
-  stops: Pick<TaskStopper, 'stop'>,
-  over: (withdrawn: number) => boolean,
+  taskStopper: Pick<TaskStopper, 'stop'>,
+  mayContinue: (withdrawn: number) => boolean,
 ): number {
   const before = job.placements.size;
   const withdrawn = (): number => before - job.placements.size;
   for (const placement of [...job.placements.values()]) {
-    if (!over(withdrawn())) break;
-    // Those of a gang go together, with the first.
+    if (!mayContinue(withdrawn())) break;
+    // Stopping one start of a gang has withdrawn the others of this copy too.
     if (job.placements.get(placement.task) !== placement) continue;
-    if (placement.stage === 'recording') stops.stop(placement, 0);
+    if (placement.stage === 'recording') taskStopper.stop(placement, 0);
   }
   return withdrawn();
 }
