--- a/packages/operators/src/address.ts
+++ b/packages/operators/src/address.ts
@@ -3,11 +3,17 @@
 const ADDRESS = /^(\[[0-9a-fA-F:]+\]|[^:\s/]+):(\d{1,5})$/;
 const MAX_PORT = 65_535;
 
+/** An address that should have been checked when settings were read is none. */
+export class InvalidAddressError extends Error {
+  constructor(readonly address: string) {
+    super(`${address} is not HOST:PORT`);
+  }
+}
+
 /** Host and port of `HOST:PORT` or `[IPv6]:PORT`; null if it is neither. */
 export function splitAddress(address: string): { host: string; port: number } | null {
-  const match = ADDRESS.exec(address);
-  if (!match) return null;
-  const port = Number(match[2]);
-  if (port > MAX_PORT) return null;
-  return { host: match[1]!.replace(/^\[|\]$/g, ''), port };
+  const [, host, digits] = ADDRESS.exec(address) ?? [];
+  const port = Number(digits);
+  if (host === undefined || port > MAX_PORT) return null;
+  return { host: host.replace(/^\[|\]$/g, ''), port };
 }
--- a/packages/operators/src/allow-list.ts
+++ b/packages/operators/src/allow-list.ts
@@ -1,11 +1,24 @@
-/** Which addresses may ask: a list of IP networks, IPv4 and IPv6. */
+/** The allow-list of the operators' listener: IP networks, IPv4 and IPv6. */
 import ipaddr from 'ipaddr.js';
 
-/** A network in the list is wrong. */
-export class InvalidNetworkError extends Error {}
+/** An entry of the list is no network, or the list is empty. */
+export class InvalidNetworkError extends Error {
+  /** @param network the entry; null: there is none */
+  constructor(
+    message: string,
+    readonly network: string | null,
+    options?: ErrorOptions,
+  ) {
+    super(message, options);
+  }
+}
 
+/** An address of the network and the length of its prefix in bits. */
 type Network = [ipaddr.IPv4 | ipaddr.IPv6, number];
 
+/** Bits before the IPv4 address in an IPv4-mapped IPv6 one. */
+const MAPPED_PREFIX_BITS = 96;
+
 /** An allow-list of networks. */
 export class AllowList {
   private readonly networks: Network[];
@@ -13,11 +26,11 @@
   /** @param text networks such as `10.1.0.0/16` or `fd00::/8`, separated by spaces or commas */
   constructor(text: string) {
     const names = text.split(/[\s,]+/).filter((name) => name !== '');
-    if (names.length === 0) throw new InvalidNetworkError('names no network');
+    if (names.length === 0) throw new InvalidNetworkError('names no network', null);
     this.networks = names.map(parseNetwork);
   }
 
-  /** Whether an address, as a socket gives it, is in one of the networks. */
+  /** Whether an address, as a socket gives it, is in one of the networks; undefined never is. */
   allows(address: string | undefined): boolean {
     if (address === undefined || !ipaddr.isValid(address)) return false;
     // An IPv4 peer of a socket that listens on IPv6 comes as a mapped address.
@@ -32,10 +45,11 @@
   try {
     const [network, bits] = ipaddr.parseCIDR(name);
     if (network.kind() === 'ipv6' && (network as ipaddr.IPv6).isIPv4MappedAddress()) {
-      return [(network as ipaddr.IPv6).toIPv4Address(), Math.max(0, bits - 96)];
+      return [(network as ipaddr.IPv6).toIPv4Address(), Math.max(0, bits - MAPPED_PREFIX_BITS)];
     }
     return [network, bits];
-  } catch {
-    throw new InvalidNetworkError(`${name} is not a network such as 10.1.0.0/16 or fd00::/8`);
+  } catch (cause) {
+    const message = `${name} is not a network such as 10.1.0.0/16 or fd00::/8`;
+    throw new InvalidNetworkError(message, name, { cause });
   }
 }
--- a/packages/operators/src/api-answer.ts
+++ b/packages/operators/src/api-answer.ts
@@ -1,72 +1,75 @@
-/** Answers to operators, the same for every part. */
+/** Answers to operators and how they are worked out, the same for every extension. */
 import type { Logger } from '@leverhatch/core/log';
 import { InvalidRequestError } from './request.js';
 
-/** When to come back after a refusal, in seconds. */
-const RETRY_AFTER_S = 2;
+/** After how many seconds to retry when a controller does not serve. */
+const RETRY_AFTER_SECONDS = 2;
 
-/** Two controllers may change one record at the same moment; each tries again this many times. */
+/** Attempts at a transaction that conflicts with those of other controllers. */
 const MAX_ATTEMPTS = 5;
 
 /** An answer to an operator. */
 export interface ApiAnswer {
+  /** HTTP status. */
   status: 200 | 201 | 400 | 404 | 409 | 421 | 422 | 503;
   body: object;
-  /** When to ask again, in seconds. */
+  /** After how many seconds to ask again. */
   retryAfter?: number;
 }
 
-/** A refusal: one line that says why. */
+/** A refusal with one line that says why. */
 export const errorAnswer = (status: ApiAnswer['status'], message: string): ApiAnswer => ({
   status,
   body: { error: message },
-  ...(status === 503 ? { retryAfter: RETRY_AFTER_S } : {}),
+  ...(status === 503 ? { retryAfter: RETRY_AFTER_SECONDS } : {}),
 });
 
-/** Turns what goes wrong while an answer is worked out into one. */
+/** Runs `answer` and turns what it throws into an answer: its own status for a bad request, or else 503. */
 export async function answering(log: Logger, answer: () => Promise<ApiAnswer>): Promise<ApiAnswer> {
   try {
     return await answer();
-  } catch (failure) {
-    if (failure instanceof InvalidRequestError) return errorAnswer(failure.status, failure.message);
-    // Whatever keeps the state service from answering: the repeat finds out what became of it.
-    log.debug({ error: String(failure) }, "operators' request not served");
+  } catch (error) {
+    if (error instanceof InvalidRequestError) return errorAnswer(error.status, error.message);
+    // The store failed, so a write may be ambiguous; requests are idempotent, and a repeat finds out.
+    log.debug({ error: String(error) }, 'operator request failed');
     return errorAnswer(503, 'the state service does not serve');
   }
 }
 
 /**
- * Reads, decides and writes anew as long as another controller has changed the same records in between.
+ * Repeats an attempt while its write conflicts with one of another controller, `MAX_ATTEMPTS` times in all.
  *
- * @param attempt the answer; null: its write was refused because of a change
+ * @param attempt reads, decides and writes; null: its conditions no longer held
  */
 export async function retryingConflicts(
   attempt: () => Promise<ApiAnswer | null>,
 ): Promise<ApiAnswer> {
-  for (let tries = 0; tries < MAX_ATTEMPTS; tries++) {
+  for (let i = 0; i < MAX_ATTEMPTS; i++) {
     const answer = await attempt();
     if (answer) return answer;
   }
   return conflictAnswer();
 }
 
-/** Another controller has changed the same records meanwhile. */
+/** The answer after a conflict: another controller has changed the same records meanwhile. */
 export const conflictAnswer = (): ApiAnswer => errorAnswer(503, 'changed at the same time');
 
-/** Marks the writes of one part in one process, so that each can be told from all others. */
+/** Generates write ids, unique among all processes and extensions. */
 export class WriteIds {
-  private written = 0;
+  private count = 0;
 
   /**
-   * @param processId names the process
-   * @param part tells this part's marks from those of others in the process
+   * @param processId identifies the process
+   * @param extension distinguishes the write ids of one extension from those of others in the process
    */
   constructor(
     private readonly processId: string,
-    private readonly part: string,
+    private readonly extension: string,
   ) {}
 
+  /** The id of the next write. */
   next(): string {
-    return `${this.processId}/${this.part}${++this.written}`;
+    this.count++;
+    return `${this.processId}/${this.extension}${this.count}`;
   }
 }
--- a/packages/operators/src/request.ts
+++ b/packages/operators/src/request.ts
@@ -1,7 +1,7 @@
-/** Checks what operators send, field by field. */
+/** Validates the bodies of operators' requests; errors name the field. */
 import { z } from 'zod/mini';
 
-/** Ids are chosen by who asks; a repeat under the same id is the same request. */
+/** Clients choose ids; requests are idempotent by them. */
 const ID = /^[A-Za-z0-9][A-Za-z0-9._-]{0,63}$/;
 
 /** The schema of an id that operators choose. */
@@ -9,7 +9,7 @@
   .string()
   .check(z.regex(ID, 'must be 1 to 64 letters, digits, dots, dashes or underscores'));
 
-/** Why a request is not taken: one line that names the field. */
+/** A request that is refused; the message is one line that names the field. */
 export class InvalidRequestError extends Error {
   constructor(
     /** 400: malformed. 422: well formed, but it can't be done here. */
@@ -21,12 +21,16 @@
   }
 }
 
-/** Throws `BadRequest` that names the first field which does not fit the schema. */
+/**
+ * Validates a body.
+ *
+ * @throws InvalidRequestError that names the first field which does not fit the schema
+ */
 export function parseBody<T extends z.ZodMiniType>(schema: T, value: unknown): z.output<T> {
   const result = z.safeParse(schema, value);
   if (result.success) return result.data;
   const issue = result.error.issues[0];
-  const unknown = issue?.code === 'unrecognized_keys' ? issue.keys[0] : undefined;
-  const path = [...(issue?.path ?? []), ...(unknown === undefined ? [] : [unknown])];
+  const unknownField = issue?.code === 'unrecognized_keys' ? issue.keys[0] : undefined;
+  const path = [...(issue?.path ?? []), ...(unknownField === undefined ? [] : [unknownField])];
   throw new InvalidRequestError(400, path.join('.') || 'body', issue?.message ?? 'is malformed');
 }
