--- a/packages/rollout/src/api.ts
+++ b/packages/rollout/src/api.ts
@@ -12,7 +12,7 @@
 import { InvalidRequestError } from '@leverhatch/operators/request';
 import { versionMismatchReason } from './eligibility.js';
 import { historyOf, losingJob } from './history.js';
-import { ROLLOUT_KEYS } from './keys.js';
+import { ROLLOUT_KEYS, WRITE_ID } from './keys.js';
 import type { LeaderRollouts } from './leader-rollouts.js';
 import type { RolloutPorts, ServiceJob } from './ports.js';
 import { FRESH_INTERVALS } from './readiness-proofs.js';
@@ -45,7 +45,7 @@
 
 /** Answers operators. */
 export class RolloutApi {
-  private readonly marks: WriteIds;
+  private readonly writeIds: WriteIds;
 
   constructor(
     private readonly ports: RolloutPorts,
@@ -54,7 +54,7 @@
     /** What this controller knows while it leads; null: another one does. */
     private readonly leading: () => LeadingRollouts | null,
   ) {
-    this.marks = new WriteIds(processId, 'o');
+    this.writeIds = new WriteIds(processId, 'o');
   }
 
   /** Stores a request; the same one again gets the state of the first. */
@@ -72,7 +72,7 @@
     if (known) return this.repeated(known, request);
     const refusal = await this.whyRefused(request, repository);
     if (refusal) return refusal;
-    const spec = newSpec(request, this.marks.next(), this.ports.clock.wall());
+    const spec = newSpec(request, this.writeIds.next(), this.ports.clock.wall());
     if (!(await this.store(spec, repository))) return null;
     const { id, from, to } = spec;
     this.ports.log.info({ rollout: id, from, to }, 'rollout accepted');
@@ -86,7 +86,7 @@
       const request = parseRequest(body);
       const refusal = await this.whyRefused(request, await this.read());
       if (refusal) return refusal;
-      const { replicas, resources: resources } = await this.serviceJob(request.from);
+      const { replicas, resources } = await this.serviceJob(request.from);
       const surge = Math.min(request.maxSurge, replicas);
       const room = { cpus: resources.cpus * surge, gpus: resources.gpus * surge };
       return { status: 200, body: { replicas, room, steps: batchesOf(request, replicas) } };
@@ -146,7 +146,10 @@
   /** The head changes with it: starts decided without knowing of this rollout are refused from now on. */
   private async store(spec: SpecRecord, repository: RolloutRepository): Promise<boolean> {
     const key = ROLLOUT_KEYS.spec(spec.id);
-    const manifest: ManifestRecord = { w: spec.w, revision: repository.revision + 1 };
+    const manifest: ManifestRecord = {
+      [WRITE_ID]: spec[WRITE_ID],
+      revision: repository.revision + 1,
+    };
     const { ok } = await this.ports.store.tryCommit(
       [
         { key, version: 0 },
@@ -162,9 +165,9 @@
   }
 
   private repeated(known: Rollout, request: RolloutRequest): ApiAnswer {
-    const { id, spec } = known;
+    const { id } = known;
     if (!isReadable(known)) return errorAnswer(409, `id: the record of ${id} cannot be read`);
-    if (!isSameRequest(request, spec.record!))
+    if (!isSameRequest(request, known.spec.record))
       return errorAnswer(409, `id: ${id} names another rollout`);
     return { status: 200, body: this.shown(known) };
   }
@@ -186,7 +189,7 @@
     if (next.paused === record.paused && next.rollback === record.rollback) {
       return { status: 200, body: this.shown(rollout) };
     }
-    const spec = { ...next, w: this.marks.next() };
+    const spec = { ...next, [WRITE_ID]: this.writeIds.next() };
     const key = ROLLOUT_KEYS.spec(id);
     const put = [{ put: key, value: spec }];
     const outcome = await this.ports.store.tryCommit([{ key, version }], put, REQUEST_PRIORITY);
--- a/packages/rollout/src/ceilings.ts
+++ b/packages/rollout/src/ceilings.ts
@@ -1,20 +1,19 @@
 /** How many replicas of each job may be placed, as it follows from the records of all rollouts. */
 import { isOpen, jobsOf, type Rollout } from './rollout-repository.js';
 
-/** By job; one that is not named has no limit. */
+/** How many replicas may be placed, by job; one that is absent has no limit. */
 export type Ceilings = ReadonlyMap<string, number>;
 
 /** A limit, with null for none, as a number. */
 const asNumber = (ceiling: number | null): number => ceiling ?? Infinity;
 
-/** What is placed of a job, as it stood when the status of its rollout was found to be unreadable. */
+/** Replicas placed of a job when the status of its rollout was found to be unreadable. */
 export type PlacedBefore = (job: string) => number;
 
 /**
- * The ceilings of all jobs that rollouts name. From the moment it is asked for, no replica of the new
- * version may come before the leader has looked at a rollout. The job that lost one that is over stays
- * without replicas, until a later rollout names it. Of a rollout whose status cannot be read both jobs
- * keep what is placed.
+ * The ceilings of all jobs that rollouts name. From the accepted request on, no replica of the new version
+ * may start before the leader has written a status. The losing job of a finished rollout stays without
+ * replicas until a later rollout names it. Where a status cannot be read, both jobs keep what is placed.
  */
 export function ceilingsOf(rollouts: readonly Rollout[], placedBefore: PlacedBefore): Ceilings {
   const ceilings = new Map<string, number>();
@@ -27,12 +26,12 @@
   return ceilings;
 }
 
-/** Whether a rollout that began after `over` had ended names the job: what is so now is its to say. */
-function isNamedLater(job: string, over: Rollout, rollouts: readonly Rollout[]): boolean {
+/** Whether a later rollout names the job, so that the later one decides its ceiling. */
+function isNamedLater(job: string, finished: Rollout, rollouts: readonly Rollout[]): boolean {
   return rollouts.some((rollout) => {
     const phase = rollout.status?.record?.phase;
     if (phase === undefined || phase === 'refused') return false;
-    return rollout.spec.version > over.spec.version && jobsOf(rollout).includes(job);
+    return rollout.spec.version > finished.spec.version && jobsOf(rollout).includes(job);
   });
 }
 
@@ -51,11 +50,11 @@
   return jobsOf(rollout).map((job) => [job, placedBefore(job)]);
 }
 
-/** For each job the smaller ceiling of the two. */
-export function smallerCeilings(a: Ceilings, b: Ceilings): Ceilings {
-  const smaller = new Map(a);
+/** The lower of both ceilings for each job. */
+export function lowerCeilings(a: Ceilings, b: Ceilings): Ceilings {
+  const lower = new Map(a);
   for (const [job, ceiling] of b) {
-    smaller.set(job, Math.min(ceiling, smaller.get(job) ?? Infinity));
+    lower.set(job, Math.min(ceiling, lower.get(job) ?? Infinity));
   }
-  return smaller;
+  return lower;
 }
--- a/packages/rollout/src/command.ts
+++ b/packages/rollout/src/command.ts
@@ -1,4 +1,4 @@
-/** The operators' verbs for rollouts. */
+/** The operators' command for rollouts: its verbs, their options and what they print. */
 import { randomUUID } from 'node:crypto';
 import {
   ask,
@@ -31,7 +31,7 @@
   dryRun?: boolean;
 }
 
-/** `leverhatch rollout ...` */
+/** The verbs of `leverhatch rollout`. */
 export const rolloutCommand: CommandPart = {
   name: 'rollout',
   description: 'stepped rollouts of new versions of services',
@@ -40,13 +40,13 @@
 
 const PERCENT = 100;
 
-/** Percentages such as `10,50,100`, as shares. */
+/** Parses percentages such as `10,50,100` into fractions of 1. */
 function steps(text: string): number[] {
-  const shares = text.split(',').map((word) => Number(word.trim()) / PERCENT);
-  if (text.trim() === '' || shares.some((share) => !Number.isFinite(share))) {
+  const fractions = text.split(',').map((word) => Number(word.trim()) / PERCENT);
+  if (text.trim() === '' || fractions.some((fraction) => !Number.isFinite(fraction))) {
     throw new InvalidArgumentError('must be percentages such as 10,50,100.');
   }
-  return shares;
+  return fractions;
 }
 
 function notNegative(text: string): number {
@@ -55,7 +55,11 @@
   throw new InvalidArgumentError('must not be negative.');
 }
 
-/** Throws `BadInput` for what no controller has to be asked about. */
+/**
+ * The body of a request.
+ *
+ * @throws InvalidInputError for what is wrong whatever controllers know
+ */
 function startBody(options: StartOptions): object {
   const { from, to } = options;
   if (from === to) throw new InvalidInputError('to: must be another job than from');
@@ -90,15 +94,15 @@
 }
 
 const versionText = (
-  seen: ShownVersion | undefined,
+  version: ShownVersion | undefined,
   ceiling: number | null | undefined,
 ): string => {
-  const counts = seen ? `${seen.proven}/${seen.placed}` : '?/?';
+  const counts = version ? `${version.proven}/${version.placed}` : '?/?';
   return `${counts} of ${ceiling ?? '-'}`;
 };
 
 function rolloutsText(rollouts: ShownRollout[]): string {
-  const manifest = ['ROLLOUT', 'FROM', 'TO', 'PHASE', 'STEP', 'OLD', 'NEW', 'CHANGED', 'WAITS FOR'];
+  const header = ['ROLLOUT', 'FROM', 'TO', 'PHASE', 'STEP', 'OLD', 'NEW', 'CHANGED', 'WAITS FOR'];
   const rows = rollouts.map((rollout) => [
     ...[rollout.id, rollout.from, rollout.to, rollout.phase],
     rollout.step === undefined ? '' : `${rollout.step + 1}/${rollout.steps.length}`,
@@ -107,15 +111,15 @@
     timeText(rollout.changedAt ?? null),
     [rollout.reason, rollout.waitsFor].filter(Boolean).join('; '),
   ]);
-  return tableText([manifest, ...rows]);
+  return tableText([header, ...rows]);
 }
 
 function statusText(body: Record<string, unknown>): string {
-  const parts = [
+  const paragraphs = [
     'OLD and NEW are replicas proven / placed of those allowed; ? is known to the leader alone.',
   ];
-  parts.push(rolloutsText(body.rollouts as ShownRollout[]));
-  return [...parts, ...unreadableLines(body)].join('\n\n');
+  paragraphs.push(rolloutsText(body.rollouts as ShownRollout[]));
+  return [...paragraphs, ...unreadableLines(body)].join('\n\n');
 }
 
 interface ShownBatch {
@@ -127,11 +131,11 @@
 
 function planText(body: Record<string, unknown>): string {
   const room = body.room as { cpus: number; gpus: number };
-  const rows = (body.steps as ShownBatch[]).map((b) => [
-    String(b.step + 1),
-    String(b.surge),
-    String(b.from),
-    String(b.to),
+  const rows = (body.steps as ShownBatch[]).map((batch) => [
+    String(batch.step + 1),
+    String(batch.surge),
+    String(batch.from),
+    String(batch.to),
   ]);
   return [
     `${String(body.replicas)} replicas; room needed beside them: ${room.gpus} GPUs, ${room.cpus} CPUs`,
@@ -141,24 +145,24 @@
 
 // ---- the verbs
 
-function addVerbs(command: AddVerb, report: Report): void {
-  addStart(command, report);
-  command('status', 'rollouts under way, and jobs that one left without replicas')
+function addVerbs(add: AddVerb, report: Report): void {
+  addStart(add, report);
+  add('status', 'rollouts under way, and jobs that one left without replicas')
     .argument('[id]')
     .action(async (id: string | undefined, options: CommonOptions) => {
       const answered = await askLeader(options.at, '/rollouts');
       report(options, onlyNamed(answered, id), statusText);
     });
-  command('history', 'rollouts that are over').action(async (options: CommonOptions) => {
+  add('history', 'rollouts that are over').action(async (options: CommonOptions) => {
     const answered = await ask(options.at, 'GET', '/rollouts/history');
     report(options, answered, (body) => rolloutsText(body.rollouts as ShownRollout[]));
   });
-  addOrder(command, report, 'pause', 'holds a rollout where it is');
-  addOrder(command, report, 'resume', 'lets a paused rollout go on');
-  addOrder(command, report, 'rollback', 'brings the old version back; cannot be undone');
+  addCommand(add, report, 'pause', 'holds a rollout where it is');
+  addCommand(add, report, 'resume', 'lets a paused rollout go on');
+  addCommand(add, report, 'rollback', 'brings the old version back; cannot be undone');
 }
 
-/** The answer with one rollout only, where one is named. */
+/** Narrows the answer to one rollout, where one is named. */
 function onlyNamed(
   answered: Awaited<ReturnType<typeof ask>>,
   id: string | undefined,
@@ -170,8 +174,8 @@
   return { status: 404, body: { error: `id: no rollout ${id} is under way` } };
 }
 
-function addStart(command: AddVerb, report: Report): void {
-  command('start', 'starts a rollout; the new job may be submitted before or afterwards')
+function addStart(add: AddVerb, report: Report): void {
+  add('start', 'starts a rollout; the new job may be submitted before or afterwards')
     .requiredOption('--from <job>', 'the service that runs')
     .requiredOption('--to <job>', 'the service that takes its place')
     .option('--steps <percentages>', 'replicas of the new version after each step', steps)
@@ -191,12 +195,12 @@
     });
 }
 
-function addOrder(command: AddVerb, report: Report, order: string, description: string): void {
-  command(order, description)
+function addCommand(add: AddVerb, report: Report, command: string, description: string): void {
+  add(command, description)
     .argument('<id>')
     .action(async (id: string, options: CommonOptions) => {
-      const path = `/rollouts/${encodeURIComponent(id)}/${order}`;
+      const path = `/rollouts/${encodeURIComponent(id)}/${command}`;
       const answered = await ask(options.at, 'POST', path, {});
-      report(options, answered, () => `${id}: ${order} ordered`);
+      report(options, answered, () => `${id}: ${command} ordered`);
     });
 }
--- a/packages/rollout/src/index.ts
+++ b/packages/rollout/src/index.ts
@@ -5,6 +5,7 @@
 export type {
   ProbeSettings,
   Replica,
+  ReplicaProbe,
   RolloutPorts,
   ScheduledJob,
   SchedulerPort,
@@ -15,6 +16,5 @@
   InvalidTemplateError,
   HttpReplicaProbe,
   type ProbeTransport,
-  type ReplicaProbe,
-} from './probe.js';
+} from './http-probe.js';
 export { rolloutRoutes } from './routes.js';
--- a/packages/rollout/src/keys.ts
+++ b/packages/rollout/src/keys.ts
@@ -1,4 +1,9 @@
-/** The names under which rollouts are kept in the state service; a contract between versions. */
+/** Names in the store; a contract between versions. */
+
+/** The field of each stored record that holds the id of the write it came with. */
+export const WRITE_ID = 'w';
+
+/** Keys of the rollout records. */
 export const ROLLOUT_KEYS = {
   all: 'rollouts/',
   manifest: 'rollouts/head',
--- a/packages/rollout/src/leader-rollouts.ts
+++ b/packages/rollout/src/leader-rollouts.ts
@@ -6,9 +6,9 @@
 import { FeatureWatch, FencedRecords } from '@leverhatch/core/fenced-records';
 import type { Change, Condition } from '@leverhatch/core/store';
 import type { TermPort } from '@leverhatch/core/term';
-import { ceilingsOf, smallerCeilings, type Ceilings } from './ceilings.js';
+import { ceilingsOf, lowerCeilings, type Ceilings } from './ceilings.js';
 import { retire } from './history.js';
-import { ROLLOUT_KEYS } from './keys.js';
+import { ROLLOUT_KEYS, WRITE_ID } from './keys.js';
 import { conflictOf, RolloutObserver } from './observer.js';
 import type { RolloutPorts, SchedulerPort } from './ports.js';
 import {
@@ -19,7 +19,7 @@
   type ReadableRollout,
 } from './rollout-repository.js';
 import type { SpecRecord } from './spec.js';
-import type { ManifestRecord, StatusRecord } from './status.js';
+import { boundedCeilings, type ManifestRecord, type StatusRecord } from './status.js';
 import { nextStatus } from './transitions.js';
 import { waitReason } from './wait-reason.js';
 import { chooseWithdrawals } from './withdrawal.js';
@@ -148,7 +148,7 @@
   private recompute(): void {
     const { rollouts } = this.repository;
     const now = ceilingsOf(rollouts, (job) => this.placedWhenFound(job));
-    this.ceilings = smallerCeilings(now, this.nextCeilings ?? now);
+    this.ceilings = lowerCeilings(now, this.nextCeilings ?? now);
     this.rolling = new Set(rollouts.filter(isOpen).flatMap(jobsOf));
     this.withdrawStarts();
   }
@@ -181,15 +181,16 @@
   }
 
   private withdrawOf(spec: SpecRecord, status: StatusRecord): void {
-    const { phase, replicas, ceilings, step } = status;
+    const { phase, replicas, step } = status;
+    const ceilings = boundedCeilings(status);
     if (phase !== 'withdrawing' && phase !== 'rolling-back') return;
     const back = phase === 'rolling-back';
     const placed = this.scheduler.job(back ? spec.to : spec.from)?.placed ?? 0;
-    if (placed <= (back ? 0 : ceilings.from!)) return;
+    if (placed <= (back ? 0 : ceilings.from)) return;
     const from = this.observer.judged(spec.from, spec);
     const to = this.observer.judged(spec.to, spec);
     const [leaving, others] = back ? [to, from] : [from, to];
-    const ceiling = back ? ceilings.to! : ceilings.from!;
+    const ceiling = back ? ceilings.to : ceilings.from;
     for (const replica of chooseWithdrawals(leaving, others, replicas, ceiling, back)) {
       const { job, task, attempt, machine } = replica;
       const fields = { rollout: spec.id, phase, step, task: `${job}/${task}`, attempt, machine };
@@ -210,8 +211,9 @@
     await this.lookUpAwaited(open);
     if (this.isEnabledEverywhere) {
       this.nextRolloutIndex++;
-      for (let i = 0; i < open.length; i++) {
-        const transition = this.transition(open[(this.nextRolloutIndex + i) % open.length]!.id);
+      const first = this.nextRolloutIndex % open.length;
+      for (const { id } of [...open.slice(first), ...open.slice(0, first)]) {
+        const transition = this.transition(id);
         if (transition) return this.write(transition, signal);
       }
     }
@@ -228,9 +230,9 @@
     this.lookedUpAt = now;
     for (const { spec } of open) {
       const { to } = spec.record;
-      if (this.scheduler.job(to) !== null || this.observer.isOver(to)) continue;
+      if (this.scheduler.job(to) !== null || this.observer.isFinished(to)) continue;
       const job = await this.ports.readJob(to);
-      if (job && job.state !== 'open') this.observer.over(to);
+      if (job && job.state !== 'open') this.observer.markFinished(to);
     }
   }
 
@@ -271,7 +273,7 @@
     const then: Change[] = [{ put: ROLLOUT_KEYS.status(id), value: after }];
     if (changesCeilings) {
       when.push(this.condition());
-      then.push({ put: ROLLOUT_KEYS.manifest, value: this.nextManifest(after.w) });
+      then.push({ put: ROLLOUT_KEYS.manifest, value: this.nextManifest(after[WRITE_ID]) });
     }
     const announced = changesCeilings ? (): void => void (this.nextCeilings = null) : null;
     await this.records.write(
@@ -280,13 +282,14 @@
       announced,
     );
     // Also where an earlier copy of the write was carried out, whose answer got lost.
-    if (this.repository.rollout(id)?.status?.record?.w === after.w) this.logTransition(transition);
+    if (this.repository.rollout(id)?.status?.record?.[WRITE_ID] === after[WRITE_ID])
+      this.logTransition(transition);
     this.scheduler.onCeilingsChanged();
     return !this.term.signal.aborted;
   }
 
   private nextManifest(writeId: string): ManifestRecord {
-    return { w: writeId, revision: this.repository.revision + 1 };
+    return { [WRITE_ID]: writeId, revision: this.repository.revision + 1 };
   }
 
   /**
--- a/packages/rollout/src/observer.ts
+++ b/packages/rollout/src/observer.ts
@@ -1,4 +1,4 @@
-/** What the leader sees of the replicas of open rollouts: proofs, and load while a version is judged. */
+/** What the leader observes of open rollouts: proofs of replicas, and load while a version is judged. */
 import type { ProbeAnswer } from './probe.js';
 import { Prober } from './prober.js';
 import { ReadinessProofs } from './readiness-proofs.js';
@@ -9,7 +9,7 @@
 import { LoadWindow } from './verdict.js';
 import type { JudgedReplica } from './withdrawal.js';
 
-/** Another rollout that names one of the jobs, and has begun or came first; null: there is none. */
+/** Another open rollout of one of the jobs that has begun or came first; null: there is none. */
 export function conflictOf(
   rollout: ReadableRollout,
   rollouts: readonly Rollout[],
@@ -18,32 +18,32 @@
   const jobs = jobsOf(rollout);
   for (const other of rollouts) {
     if (other.id === id || !isOpen(other)) continue;
-    // Requests are in the order in which they came; none is refused for a later one.
-    const first = other.status !== null || isBefore(other, spec);
+    // None is refused because of a later request that has not begun.
+    const hasPrecedence = other.status !== null || isBefore(other, spec);
     const job = jobsOf(other).find((name) => jobs.includes(name));
-    if (job && first) return { job, rollout: other.id };
+    if (job && hasPrecedence) return { job, rollout: other.id };
   }
   return null;
 }
 
-/** Of two requests that nobody has changed since, the store's version tells which came first. */
+/** Of two requests that no command has changed since, the version of the spec tells the earlier one. */
 const isBefore = (other: Rollout, spec: ReadableRollout['spec']): boolean =>
   other.spec.version < spec.version;
 
-/** A window of judging; it is forgotten as soon as the rollout is in another phase, also a paused one. */
+/** The window of a step that is judged; it is dropped in every other phase, paused too. */
 interface JudgedStep {
   from: string;
   to: string;
   window: LoadWindow;
 }
 
-/** What one leader has seen in its term. */
+/** What one leader has observed in its term. */
 export class RolloutObserver {
   private readonly proofs: ReadinessProofs;
   private readonly prober: Prober;
   private readonly windows = new Map<string, JudgedStep>();
-  /** Jobs that the leader does not know since they are over. */
-  private readonly jobsOver = new Set<string>();
+  /** Finished jobs that the leader does not know any more. */
+  private readonly finishedJobs = new Set<string>();
 
   constructor(
     private readonly ports: RolloutPorts,
@@ -53,17 +53,22 @@
     const { clock, random, probe, probing } = ports;
     this.proofs = new ReadinessProofs(probing.intervalMs);
     this.prober = new Prober({
-      ...{ clock, random, probe, settings: probing, proofs: this.proofs },
-      replicas: () => this.probed(),
-      answered: (replica, answer) => this.answered(replica, answer),
+      clock,
+      random,
+      probe,
+      settings: probing,
+      proofs: this.proofs,
+      replicas: () => this.probedReplicas(),
+      answered: (replica, answer) => this.onAnswer(replica, answer),
     });
   }
 
+  /** Probes replicas until the term ends. */
   run(signal: AbortSignal): Promise<void> {
     return this.prober.run(signal);
   }
 
-  private probed(): Replica[] {
+  private probedReplicas(): Replica[] {
     const jobs = new Set(this.open().flatMap(jobsOf));
     return [...jobs]
       .flatMap((job) => this.scheduler.replicas(job))
@@ -82,7 +87,7 @@
     }));
   }
 
-  /** It has been probed for the whole bound without being proven once. */
+  /** Whether it has been probed for `readySeconds` without being proven once. */
   private isOverdue(replica: Replica, readySeconds: number): boolean {
     if (replica.stopping || !replica.running) return false;
     const vainMs = this.proofs.probedInVainMs(replica, this.ports.clock.now());
@@ -97,9 +102,9 @@
   private countsAmong(
     spec: SpecRecord,
     old: readonly JudgedReplica[],
-    fresh: readonly JudgedReplica[],
+    successors: readonly JudgedReplica[],
   ): { from: ObservedVersion; to: ObservedVersion } {
-    return { from: this.countsOf(spec.from, old), to: this.countsOf(spec.to, fresh) };
+    return { from: this.countsOf(spec.from, old), to: this.countsOf(spec.to, successors) };
   }
 
   private countsOf(job: string, judged: readonly JudgedReplica[]): ObservedVersion {
@@ -110,50 +115,53 @@
     };
   }
 
+  /** Why the new version will not become ready; null: it still may. */
   private whyNeverReady(spec: SpecRecord, judged: readonly JudgedReplica[]): string | null {
     if (this.scheduler.job(spec.to)?.failing) {
       return `replicas of ${spec.to} fail on every machine`;
     }
-    const late = judged.find(({ replica }) => this.isOverdue(replica, spec.readySeconds));
-    if (!late) return null;
-    const { job, task } = late.replica;
+    const overdue = judged.find(({ replica }) => this.isOverdue(replica, spec.readySeconds));
+    if (!overdue) return null;
+    const { job, task } = overdue.replica;
     return `${job}/${task} was probed for ${spec.readySeconds} s without being proven`;
   }
 
+  /** What the next transition of a rollout is decided from. */
   observe(rollout: ReadableRollout, conflict: Observation['conflict']): Observation {
     const spec = rollout.spec.record;
     const old = this.judged(spec.from, spec);
-    const fresh = this.judged(spec.to, spec);
-    const counts = this.countsAmong(spec, old, fresh);
+    const successors = this.judged(spec.to, spec);
+    const counts = this.countsAmong(spec, old, successors);
     return {
       wall: this.ports.clock.wall(),
       jobs: { from: this.scheduler.job(spec.from), to: this.scheduler.job(spec.to) },
-      isNewJobOver: this.isOver(spec.to),
+      isNewJobOver: this.isFinished(spec.to),
       ...counts,
-      neverReady: this.whyNeverReady(spec, fresh),
+      neverReady: this.whyNeverReady(spec, successors),
       evidence: this.evidence(rollout, counts.to.proven),
       conflict,
     };
   }
 
-  /** A job of which the store holds only that it is over. */
-  over(job: string): void {
-    this.jobsOver.add(job);
+  /** Remembers a job that is over by its record in the store, and unknown to the leader. */
+  markFinished(job: string): void {
+    this.finishedJobs.add(job);
   }
 
-  isOver(job: string): boolean {
-    return this.jobsOver.has(job);
+  /** Whether `markFinished` was called for a job. */
+  isFinished(job: string): boolean {
+    return this.finishedJobs.has(job);
   }
 
   // ---- load
 
   private evidence(rollout: ReadableRollout, proven: number): Observation['evidence'] {
     const window = this.windowOf(rollout);
-    const complete = proven >= (rollout.status?.record.ceilings.to ?? 0);
-    return window?.judge(rollout.spec.record, this.ports.clock.now(), complete) ?? null;
+    const isComplete = proven >= (rollout.status?.record.ceilings.to ?? 0);
+    return window?.judge(rollout.spec.record, this.ports.clock.now(), isComplete) ?? null;
   }
 
-  /** The window of a step that is being judged; it begins when this leader first looks. */
+  /** The window of a step that is judged; it begins when this leader first asks. */
   private windowOf({ id, status }: ReadableRollout): LoadWindow | null {
     if (status?.record.phase !== 'judging') {
       this.windows.delete(id);
@@ -167,12 +175,12 @@
     return window;
   }
 
-  /** All windows begin anew. */
+  /** Starts all windows anew. */
   restartWindows(): void {
     this.windows.clear();
   }
 
-  private answered(replica: Replica, answer: ProbeAnswer): void {
+  private onAnswer(replica: Replica, answer: ProbeAnswer): void {
     const now = this.ports.clock.now();
     for (const { from, to, window } of this.windows.values()) {
       if (replica.job !== from && replica.job !== to) continue;
--- a/packages/rollout/src/ports.ts
+++ b/packages/rollout/src/ports.ts
@@ -1,8 +1,7 @@
-/** What the service passes in: everything outside this package that rollouts need. */
+/** What rollouts need from outside this package, passed in by the service. */
 import type { RecordPorts } from '@leverhatch/core/fenced-records';
-import type { ReplicaProbe } from './probe.js';
 
-/** A job as far as rollouts care. */
+/** A job as rollouts see it. */
 export interface ServiceJob {
   id: string;
   state: 'open' | 'cancelled' | 'done';
@@ -10,6 +9,7 @@
   team: string;
   replicas: number;
   image: string;
+  /** Request of one replica. */
   resources: { cpus: number; gpus: number };
 }
 
@@ -23,15 +23,15 @@
 
 /** One start of one replica. */
 export interface Replica {
-  /** Names this start in this session of its worker. */
+  /** Identifies this start in its agent epoch. */
   key: string;
   job: string;
   task: number;
   attempt: number;
   machine: string;
-  /** The worker's session in which it was started. */
+  /** The agent epoch in which it was started. */
   agentEpoch: number;
-  /** Where its worker takes commands; null: not known. */
+  /** `HOST:PORT` at which its worker takes commands; null: not known. */
   address: string | null;
   image: string;
   /** Its worker has reported lately, to this leader, that it runs, and nothing has told it to stop. */
@@ -47,30 +47,36 @@
   /** Null: no such job, nothing of it is left, or the leader has not read all records yet. */
   job(id: string): ScheduledJob | null;
   replicas(job: string): Replica[];
-  /** Stops a replica; an order of the operator, no preemption. */
+  /** Stops a replica, by an operator's command; this is no preemption. */
   withdraw(replica: Replica): void;
-  /** Takes back starts that were planned and never sent, until a job is within its limit. */
+  /** Withdraws planned, unsent starts until a job is within its limit. */
   withdrawStarts(job: string, limit: number): void;
-  /** Ceilings have changed: a round of decisions should look at them. */
+  /** Ceilings have changed, so a scheduling cycle is due. */
   onCeilingsChanged(): void;
 }
 
+/** Sends probes to replicas. */
+export interface ReplicaProbe {
+  /** The replica's answer, not validated; rejects if nothing comes within `timeoutMs`. */
+  ask(replica: Replica, timeoutMs: number, signal: AbortSignal): Promise<unknown>;
+}
+
 /** How replicas are probed. */
 export interface ProbeSettings {
-  /** Each replica is probed about so often. */
+  /** Interval between probes of one replica, in milliseconds. */
   intervalMs: number;
-  /** All replicas together at most so often. */
+  /** Most probes of all replicas together in a second. */
   perSecond: number;
 }
 
-/** What is the same at every controller, leading or not. */
+/** What every controller has, leading or not. */
 export interface RolloutPorts extends RecordPorts {
   probe: ReplicaProbe;
   probing: ProbeSettings;
-  /** A job as the state service has it; null: it was never accepted. */
+  /** A job by its record in the store; null: it was never accepted. */
   readJob(id: string): Promise<ServiceJob | null>;
-  /** How much a team may use, with the shares that were moved; null: there is no such team. */
+  /** The limit of a team after all accepted quota transfers; null: there is no such team. */
   teamLimit(team: string): Promise<{ cpus: number; gpus: number } | null>;
-  /** Whether every controller has rollouts switched on, as the store says now. */
+  /** Whether every controller has rollouts enabled, by the member records in the store. */
   isEnabledOnAllControllers(signal: AbortSignal): Promise<boolean>;
 }
--- a/packages/rollout/src/prober.ts
+++ b/packages/rollout/src/prober.ts
@@ -2,81 +2,82 @@
 import type { Clock } from '@leverhatch/core/clock';
 import type { Random } from '@leverhatch/core/random';
 import { TokenBucket } from '@leverhatch/core/token-bucket';
-import { answerOf, type ProbeAnswer, type ReplicaProbe } from './probe.js';
-import type { ProbeSettings, Replica } from './ports.js';
+import { answerOf, type ProbeAnswer } from './probe.js';
+import type { ProbeSettings, Replica, ReplicaProbe } from './ports.js';
 import type { ReadinessProofs } from './readiness-proofs.js';
 
-/** A probe is late after this share of the interval. */
-const TIMEOUT_SHARE = 1 / 2;
+/** Timeout of a probe, relative to the probe interval. */
+const TIMEOUT_RATIO = 1 / 2;
 
-/** It is looked so often in an interval which replicas are due. */
-const LOOKS_PER_INTERVAL = 20;
+/** How often in a probe interval replicas that are due are sought. */
+const POLLS_PER_INTERVAL = 20;
 
-/** It is looked up so often in an interval which replicas there are. */
+/** How often in a probe interval the list of replicas is read anew. */
 const REFRESHES_PER_INTERVAL = 4;
 
-/** At most so many seconds' worth of probes are sent at once, and are under way. */
+/** Most probes that are sent at once, and that are in flight, in seconds of the rate. */
 const BURST_SECONDS = 0.5;
 
-/** What the prober rests on. */
+/** Dependencies and callbacks of a prober. */
 export interface ProberOptions {
   clock: Clock;
   random: Random;
   probe: ReplicaProbe;
   settings: ProbeSettings;
   proofs: ReadinessProofs;
-  /** Whom to probe now. */
+  /** The replicas to probe now. */
   replicas(): Replica[];
-  /** A replica has answered. */
+  /** Called with each valid answer in time. */
   answered(replica: Replica, answer: ProbeAnswer): void;
 }
 
 /** A replica and when it is to be probed next. */
-interface Due {
+interface ScheduledProbe {
   replica: Replica;
   at: number;
 }
 
 /** The probes of one term. */
 export class Prober {
-  /** All replicas, the one that is due first at the head. */
-  private queue: Due[] = [];
+  /** All replicas, the one that is due first in front. */
+  private queue: ScheduledProbe[] = [];
   private refreshedAt = -Infinity;
-  private readonly underWay = new Set<string>();
-  /** Empty at first: a new leader's probes are spread like all others. */
+  private readonly inFlight = new Set<string>();
+  /** Without a burst at first: a new leader's probes are spread like all others. */
   private readonly rate: TokenBucket;
 
-  constructor(private readonly parts: ProberOptions) {
-    const { clock, settings } = parts;
+  constructor(private readonly options: ProberOptions) {
+    const { clock, settings } = options;
     const burst = Math.max(1, settings.perSecond * BURST_SECONDS);
     this.rate = new TokenBucket(clock, settings.perSecond, burst, 0);
   }
 
-  /** How often each replica is probed: less often where there are too many for the rate. */
+  /** Interval between probes of one replica, stretched where there are too many for the rate. */
   private get intervalMs(): number {
-    const { intervalMs, perSecond } = this.parts.settings;
+    const { intervalMs, perSecond } = this.options.settings;
     return Math.max(intervalMs, (this.queue.length / perSecond) * 1000);
   }
 
+  /** Probes until `signal` is aborted. */
   async run(signal: AbortSignal): Promise<void> {
-    const { clock, settings } = this.parts;
+    const { clock, settings } = this.options;
     while (!signal.aborted) {
-      this.look(signal);
-      await clock.sleep(settings.intervalMs / LOOKS_PER_INTERVAL, signal);
+      this.sendDue(signal);
+      await clock.sleep(settings.intervalMs / POLLS_PER_INTERVAL, signal);
     }
   }
 
-  private look(signal: AbortSignal): void {
-    const now = this.parts.clock.now();
-    const refreshMs = this.parts.settings.intervalMs / REFRESHES_PER_INTERVAL;
+  private sendDue(signal: AbortSignal): void {
+    const now = this.options.clock.now();
+    const refreshMs = this.options.settings.intervalMs / REFRESHES_PER_INTERVAL;
     if (now - this.refreshedAt >= refreshMs) this.refresh(now);
     this.rate.fill();
     let due = this.queue[0];
-    while (due && due.at <= now && this.rate.tokens >= 1 && this.underWay.size < this.rate.burst) {
+    while (due && due.at <= now && this.rate.tokens >= 1 && this.inFlight.size < this.rate.burst) {
       this.queue.shift();
-      // All intervals are the same, so that nobody is due later than this one.
+      // All have the same interval, so appending keeps the queue sorted.
       this.queue.push({ replica: due.replica, at: now + this.intervalMs });
-      if (!this.underWay.has(due.replica.key)) {
+      if (!this.inFlight.has(due.replica.key)) {
         this.rate.spend(1);
         void this.probe(due.replica, signal);
       }
@@ -84,15 +85,15 @@
     }
   }
 
-  /** Looks up whom to probe. New ones begin at a moment of their own, so that probes are spread. */
+  /** Reads the list of replicas anew. New ones start at random times, so that probes are spread. */
   private refresh(now: number): void {
     this.refreshedAt = now;
-    const { random, proofs } = this.parts;
+    const { random, proofs } = this.options;
     const replicas = new Map(
-      this.parts.replicas().map((replica) => [replica.key, replica] as const),
+      this.options.replicas().map((replica) => [replica.key, replica] as const),
     );
     proofs.keep(replicas);
-    const queue: Due[] = [];
+    const queue: ScheduledProbe[] = [];
     for (const { replica, at } of this.queue) {
       const present = replicas.get(replica.key);
       if (!present) continue;
@@ -107,22 +108,23 @@
   }
 
   private async probe(replica: Replica, signal: AbortSignal): Promise<void> {
-    const { clock, probe, proofs } = this.parts;
-    const timeoutMs = this.parts.settings.intervalMs * TIMEOUT_SHARE;
+    const { clock, probe, proofs } = this.options;
+    const timeoutMs = this.options.settings.intervalMs * TIMEOUT_RATIO;
     const sentAt = clock.now();
-    this.underWay.add(replica.key);
+    this.inFlight.add(replica.key);
     try {
       const answer = answerOf(replica, await probe.ask(replica, timeoutMs, signal));
-      // Also where the answer waited here, since this controller stood still.
-      const late = clock.now() - sentAt > timeoutMs;
-      if (answer && !late) {
+      // An answer in time may still have waited here while this controller was stalled.
+      const isLate = clock.now() - sentAt > timeoutMs;
+      if (answer && !isLate) {
         proofs.answered(replica, sentAt);
-        this.parts.answered(replica, answer);
+        this.options.answered(replica, answer);
       } else proofs.failed(replica, sentAt);
     } catch {
+      // Whatever keeps a replica from answering, it is a failed probe.
       proofs.failed(replica, sentAt);
     } finally {
-      this.underWay.delete(replica.key);
+      this.inFlight.delete(replica.key);
     }
   }
 }
--- a/packages/rollout/src/request.ts
+++ b/packages/rollout/src/request.ts
@@ -1,10 +1,11 @@
-/** What operators send to start a rollout, checked field by field. */
+/** The request that starts a rollout, validated field by field. */
 import { InvalidRequestError, parseBody, requestId } from '@leverhatch/operators/request';
 import { z } from 'zod/mini';
+import { WRITE_ID } from './keys.js';
 import { MAX_STEPS, type SpecRecord } from './spec.js';
 
-/** The percentile that is compared has to have so many samples above it at least. */
-const SAMPLES_ABOVE = 5;
+/** Least samples above the compared percentile. */
+const MIN_SAMPLES_ABOVE = 5;
 
 const JOB = /^\S{1,100}$/;
 const jobId = z.string().check(z.regex(JOB, 'must be the id of a job'));
@@ -29,19 +30,24 @@
   maxErrorIncrease: z._default(z.number().check(z.nonnegative(), z.lt(1)), 0.01),
 });
 
-/** A sound request. */
+/** A valid request, with defaults filled in. */
 export type RolloutRequest = z.infer<typeof body>;
 
-/** Throws `BadRequest` for what can't be a rollout, whatever the jobs are. */
+/**
+ * Validates a request, whatever its jobs are.
+ *
+ * @throws InvalidRequestError
+ */
 export function parseRequest(value: unknown): RolloutRequest {
   const request = parseBody(body, value);
   const { from, to, steps, percentile, minSamples } = request;
   if (from === to) throw new InvalidRequestError(400, 'to', 'must be another job than from');
-  const rising = steps.every((share, i) => share > (steps[i - 1] ?? 0));
-  if (!rising || steps.at(-1) !== 1) throw new InvalidRequestError(400, 'steps', 'must rise to 1');
+  const isRising = steps.every((share, i) => share > (steps[i - 1] ?? 0));
+  if (!isRising || steps.at(-1) !== 1)
+    throw new InvalidRequestError(400, 'steps', 'must rise to 1');
   const above = minSamples * (1 - percentile / 100);
-  if (above < SAMPLES_ABOVE - 1e-9) {
-    const least = Math.ceil(SAMPLES_ABOVE / (1 - percentile / 100) - 1e-9);
+  if (above < MIN_SAMPLES_ABOVE - 1e-9) {
+    const least = Math.ceil(MIN_SAMPLES_ABOVE / (1 - percentile / 100) - 1e-9);
     throw new InvalidRequestError(
       400,
       'minSamples',
@@ -51,18 +57,20 @@
   return request;
 }
 
-/** The record that a request begins with. */
+/** The record of a new request; `wall` is the time of day in milliseconds. */
 export const newSpec = (request: RolloutRequest, writeId: string, wall: number): SpecRecord => ({
   ...request,
-  w: writeId,
+  [WRITE_ID]: writeId,
   paused: false,
   rollback: false,
   requestedAt: Math.round(wall),
 });
 
-/** Whether a request is the repeat of one that was accepted. */
+/** Whether a request repeats an accepted one. */
 export function isSameRequest(request: RolloutRequest, spec: SpecRecord): boolean {
   const { from, to, steps, ...numbers } = request;
   if (from !== spec.from || to !== spec.to || steps.join() !== spec.steps.join()) return false;
-  return (Object.keys(numbers) as (keyof typeof numbers)[]).every((k) => numbers[k] === spec[k]);
+  return (Object.keys(numbers) as (keyof typeof numbers)[]).every(
+    (field) => numbers[field] === spec[field],
+  );
 }
--- a/packages/rollout/src/rollout-repository.ts
+++ b/packages/rollout/src/rollout-repository.ts
@@ -1,4 +1,4 @@
-/** The rollout records of the state service, as they were last read or written. */
+/** The rollout records in the store, as they were last read or written. */
 import type { RecordRepository } from '@leverhatch/core/fenced-records';
 import type { Entry } from '@leverhatch/core/store';
 import { ROLLOUT_KEYS } from './keys.js';
@@ -26,14 +26,14 @@
   status: { record: StatusRecord; version: number } | null;
 }
 
-/** True if all that is stored of it can be read. */
+/** Whether all records of a rollout can be read. */
 export function isReadable(rollout: Rollout): rollout is ReadableRollout {
   return rollout.spec.record !== null && rollout.status?.record !== null;
 }
 
-/** True while the rollout is not over. */
+/** Whether a rollout is under way; one whose status cannot be read counts as such. */
 export const isOpen = ({ status }: Rollout): boolean =>
-  status === null || status.record === null || !isFinal(status.record.phase);
+  !status?.record || !isFinal(status.record.phase);
 
 /** The jobs that a rollout names, as far as that can be read. */
 export function jobsOf({ spec, status }: Rollout): string[] {
@@ -43,19 +43,21 @@
 
 /** All rollout records; the one place that knows which key holds what. */
 export class RolloutRepository implements RecordRepository {
-  /** Version and revision of the head; both 0 before it was first written. */
+  /** Version of the manifest's key and the revision in it; both 0 before it is first written. */
   manifestVersion = 0;
   revision = 0;
   private isManifestReadable = true;
   private readonly specs = new Map<string, Versioned<SpecRecord>>();
   private readonly statuses = new Map<string, Versioned<StatusRecord>>();
 
+  /** The repository of all entries below `ROLLOUT_KEYS.all`. */
   static fromEntries(entries: readonly Entry[]): RolloutRepository {
     const repository = new RolloutRepository();
     for (const entry of entries) repository.apply(entry);
     return repository;
   }
 
+  /** Applies one entry, unless a newer one of its key is known. */
   apply({ key, value, version }: Entry): void {
     if (key === ROLLOUT_KEYS.manifest) this.applyManifest(value, version);
     else if (key.startsWith(ROLLOUT_KEYS.specs)) {
@@ -70,6 +72,7 @@
     }
   }
 
+  /** Forgets the record of a deleted key. */
   remove(key: string): void {
     if (key.startsWith(ROLLOUT_KEYS.specs)) this.specs.delete(key.slice(ROLLOUT_KEYS.specs.length));
     if (key.startsWith(ROLLOUT_KEYS.statuses)) {
@@ -77,7 +80,7 @@
     }
   }
 
-  /** Of a head that cannot be read only the version counts: it still fences what starts work. */
+  /** Of an unreadable manifest only the version counts: it still fences starts. */
   private applyManifest(value: unknown, version: number): void {
     if (version <= this.manifestVersion) return;
     this.manifestVersion = version;
@@ -86,19 +89,21 @@
     if (manifest) this.revision = manifest.revision;
   }
 
-  /** All rollouts, in the order in which the store took them. */
+  /** All rollouts, in the order in which they were requested. */
   get rollouts(): Rollout[] {
     const ids = new Set([...this.specs.keys(), ...this.statuses.keys()]);
     return [...ids]
-      .map((id) => this.rollout(id)!)
-      .sort((a, b) => orderOf(a) - orderOf(b) || (a.id < b.id ? -1 : 1));
+      .map((id) => this.rollout(id))
+      .filter((rollout) => rollout !== null)
+      .sort((a, b) => requestTime(a) - requestTime(b) || (a.id < b.id ? -1 : 1));
   }
 
+  /** One rollout; null if no record of it is stored. */
   rollout(id: string): Rollout | null {
     const spec = this.specs.get(id);
     const status = this.statuses.get(id) ?? null;
     if (!spec && !status) return null;
-    // A status without what was asked for: somebody deleted it. Nothing more can be done with it.
+    // A status whose spec somebody deleted; it stays unreadable.
     return { id, spec: spec ?? { record: null, version: 0 }, status };
   }
 
@@ -113,8 +118,8 @@
   }
 }
 
-/** Requests are written again when they are paused; when they came stays as it was. */
-const orderOf = ({ spec }: Rollout): number => spec.record?.requestedAt ?? 0;
+/** The version of a spec would not do: a pause writes it again. */
+const requestTime = ({ spec }: Rollout): number => spec.record?.requestedAt ?? 0;
 
 function applyNewer<T extends { id: string }>(
   records: Map<string, Versioned<T>>,
--- a/packages/rollout/src/routes.ts
+++ b/packages/rollout/src/routes.ts
@@ -1,9 +1,9 @@
-/** What operators may ask about rollouts, over HTTP. */
+/** The HTTP routes of the operators' interface for rollouts. */
 import { send, type OperatorRoutes } from '@leverhatch/operators/listener';
 import { Router } from 'express';
 import type { RolloutCommand, RolloutApi } from './api.js';
 
-const ORDERS: readonly RolloutCommand[] = ['pause', 'resume', 'rollback'];
+const COMMANDS: readonly RolloutCommand[] = ['pause', 'resume', 'rollback'];
 
 /** The routes below `/rollouts`. */
 export function rolloutRoutes(api: RolloutApi): OperatorRoutes {
@@ -12,9 +12,9 @@
   router.get('/history', async (_request, response) => send(response, await api.history()));
   router.post('/', async (request, response) => send(response, await api.start(request.body)));
   router.post('/plan', async (request, response) => send(response, await api.plan(request.body)));
-  for (const order of ORDERS) {
-    router.post(`/:id/${order}`, async (request, response) => {
-      send(response, await api.order(request.params.id, order));
+  for (const command of COMMANDS) {
+    router.post(`/:id/${command}`, async (request, response) => {
+      send(response, await api.order(request.params.id, command));
     });
   }
   return { path: '/rollouts', router };
--- a/packages/rollout/src/status.ts
+++ b/packages/rollout/src/status.ts
@@ -1,5 +1,6 @@
 /** How far a rollout is: one record for each, written by the leader alone. */
 import { z } from 'zod/mini';
+import { WRITE_ID } from './keys.js';
 
 /**
  * `preparing`: until all old replicas are proven. `surging`: new replicas come. `judging`: both versions
@@ -19,11 +20,13 @@
   'failed',
   'refused',
 ] as const;
+
+/** One phase of a rollout. */
 export type RolloutPhase = (typeof ROLLOUT_PHASES)[number];
 
 const FINAL: ReadonlySet<RolloutPhase> = new Set(['done', 'rolled-back', 'failed', 'refused']);
 
-/** True once nothing about the rollout will change any more. */
+/** Whether no transition leads out of a phase. */
 export const isFinal = (phase: RolloutPhase): boolean => FINAL.has(phase);
 
 const count = z.int().check(z.nonnegative());
@@ -43,8 +46,8 @@
 export type Evidence = z.infer<typeof evidence>;
 
 const statusRecord = z.object({
-  /** Marks who wrote it, so that a leader finds its own write after a lost answer. */
-  w: z.string(),
+  /** Id of the write, by which a leader recognizes its own after an ambiguous result. */
+  [WRITE_ID]: z.string(),
   id: z.string(),
   from: z.string(),
   to: z.string(),
@@ -61,26 +64,37 @@
   reason: z.nullable(z.string()),
   /** What the last verdict rested on. */
   evidence: z.nullable(evidence),
-  /** Time of day of its last change. */
+  /** Time of day of the last transition, in milliseconds. */
   changedAt: z.number().check(z.nonnegative()),
 });
 
 /** How far a rollout is. */
 export type StatusRecord = z.infer<typeof statusRecord>;
 
+/**
+ * Ceilings of a phase that limits both jobs, as every phase does that is not final; only there null means
+ * no limit.
+ */
+export const boundedCeilings = ({
+  ceilings: { from, to },
+}: Pick<StatusRecord, 'ceilings'>): { from: number; to: number } => ({
+  from: from ?? 0,
+  to: to ?? 0,
+});
+
 /** Null if the record cannot be read. */
 export function parseStatus(value: unknown): StatusRecord | null {
   const result = z.safeParse(statusRecord, value);
   return result.success ? result.data : null;
 }
 
-const headRecord = z.object({ w: z.string(), revision: count });
+const manifestRecord = z.object({ [WRITE_ID]: z.string(), revision: count });
 
 /** Changes with every change of a ceiling; transactions that start work are conditioned on it. */
-export type ManifestRecord = z.infer<typeof headRecord>;
+export type ManifestRecord = z.infer<typeof manifestRecord>;
 
 /** Null if the record cannot be read. */
 export function parseManifest(value: unknown): ManifestRecord | null {
-  const result = z.safeParse(headRecord, value);
+  const result = z.safeParse(manifestRecord, value);
   return result.success ? result.data : null;
 }
--- a/packages/rollout/src/transitions.ts
+++ b/packages/rollout/src/transitions.ts
@@ -1,15 +1,16 @@
 /**
- * The life of a rollout as a pure function: what the leader writes next, from what was asked for, how far
- * it is, and what can be seen. Each transition is written together with the head where ceilings change, so
- * that any later leader goes on from where the records stand.
+ * The state machine of a rollout as a pure function: the next status, from the spec, the status and what is
+ * observed. Where ceilings change, the leader writes the manifest in the same transaction, so any later
+ * leader carries on from the records.
  */
 import { stepTarget, type SpecRecord } from './spec.js';
-import type { Evidence, RolloutPhase, StatusRecord } from './status.js';
+import { WRITE_ID } from './keys.js';
+import { boundedCeilings, type Evidence, type RolloutPhase, type StatusRecord } from './status.js';
 import { unfitReason, type ObservedJobs } from './eligibility.js';
 
-/** What can be seen of one of the two jobs. */
+/** Replicas of one of the two jobs. */
 export interface ObservedVersion {
-  /** Replicas that are or may be on machines. */
+  /** Those that are or may be on machines. */
   placed: number;
   proven: number;
   /** Those that cannot have served anybody. */
@@ -18,7 +19,7 @@
 
 /** What a transition is decided from. */
 export interface Observation {
-  /** Time of day. */
+  /** Time of day in milliseconds. */
   wall: number;
   jobs: ObservedJobs;
   /** The new job is over, and nothing is left of it. */
@@ -34,27 +35,36 @@
 }
 
 type Ceilings = StatusRecord['ceilings'];
+type BoundedCeilings = ReturnType<typeof boundedCeilings>;
 
-/** What changes; the mark and the time are added when it is written. */
-type Change = Partial<Omit<StatusRecord, 'w' | 'id' | 'from' | 'to' | 'changedAt'>>;
+/** What a transition changes; write id and time are added to it. */
+type Change = Partial<Omit<StatusRecord, typeof WRITE_ID | 'id' | 'from' | 'to' | 'changedAt'>>;
 
 const NO_CEILINGS: Ceilings = { from: null, to: null };
 
-/** The next status; null: nothing changes now. */
+/** The next status; null: no transition is due. */
 export function nextStatus(
   spec: SpecRecord,
   status: StatusRecord | null,
-  seen: Observation,
+  observed: Observation,
   writeId: string,
 ): StatusRecord | null {
-  const change = status === null ? begin(spec, seen) : next(spec, status, seen);
+  const change = status === null ? begin(spec, observed) : advance(spec, status, observed);
   if (change === null) return null;
   const { id, from, to } = spec;
   const before = status ?? NOT_BEGUN;
-  return { ...before, ...change, id, from, to, w: writeId, changedAt: Math.round(seen.wall) };
+  return {
+    ...before,
+    ...change,
+    id,
+    from,
+    to,
+    [WRITE_ID]: writeId,
+    changedAt: Math.round(observed.wall),
+  };
 }
 
-const NOT_BEGUN: Omit<StatusRecord, 'w' | 'id' | 'from' | 'to' | 'changedAt'> = {
+const NOT_BEGUN: Omit<StatusRecord, typeof WRITE_ID | 'id' | 'from' | 'to' | 'changedAt'> = {
   phase: 'preparing',
   resumes: null,
   replicas: 0,
@@ -68,32 +78,32 @@
 
 // ---- before the first step
 
-function begin(spec: SpecRecord, seen: Observation): Change | null {
+function begin(spec: SpecRecord, observed: Observation): Change | null {
   if (spec.rollback) return rolledBack('taken back before it began');
-  const { conflict } = seen;
+  const { conflict } = observed;
   if (conflict) return refused(`job ${conflict.job} is named by rollout ${conflict.rollout}`);
-  const { from } = seen.jobs;
-  if (from === null || from.state !== 'open') return refused(`from: job ${spec.from} is not open`);
-  const unfit = unfitReason(spec, seen.jobs);
-  if (unfit !== null) return refused(unfit);
+  const { from } = observed.jobs;
+  if (from?.state !== 'open') return refused(`from: job ${spec.from} is not open`);
+  const mismatch = unfitReason(spec, observed.jobs);
+  if (mismatch !== null) return refused(mismatch);
   const { replicas } = from;
   return { phase: 'preparing', replicas, ceilings: { from: replicas, to: 0 } };
 }
 
-function next(spec: SpecRecord, status: StatusRecord, seen: Observation): Change | null {
+function advance(spec: SpecRecord, status: StatusRecord, observed: Observation): Change | null {
   const { phase } = status;
-  const ended = endedByUsers(spec, status, seen);
+  const ended = endedByUsers(spec, status, observed);
   if (ended) return ended;
-  if (phase === 'rolling-back') return rollingBack(spec, status, seen);
-  if (spec.rollback) return startRollback(spec, status, seen, 'ordered by an operator');
+  if (phase === 'rolling-back') return rollingBack(spec, status, observed);
+  if (spec.rollback) return startRollback(spec, status, observed, 'ordered by an operator');
   if (phase === 'paused') {
     return spec.paused ? null : { phase: status.resumes ?? 'surging', resumes: null, reason: null };
   }
   if (spec.paused) return { phase: 'paused', resumes: phase, reason: 'ordered by an operator' };
-  return STEPS[phase]?.(spec, status, seen) ?? null;
+  return STEPS[phase]?.(spec, status, observed) ?? null;
 }
 
-/** What users do to their jobs goes before all else. */
+/** Cancellations by users go before all else. */
 function endedByUsers(
   spec: SpecRecord,
   status: StatusRecord,
@@ -116,47 +126,50 @@
 
 // ---- forward
 
-type Step = (spec: SpecRecord, status: StatusRecord, seen: Observation) => Change | null;
+type Step = (spec: SpecRecord, status: StatusRecord, observed: Observation) => Change | null;
 
 const STEPS: Partial<Record<RolloutPhase, Step>> = {
-  preparing: (spec, status, seen) => {
-    const unfit = unfitReason(spec, seen.jobs);
-    if (unfit !== null) return refused(unfit);
-    if (seen.jobs.to === null || seen.from.proven < status.replicas) return null;
+  preparing: (spec, status, observed) => {
+    const mismatch = unfitReason(spec, observed.jobs);
+    if (mismatch !== null) return refused(mismatch);
+    if (observed.jobs.to === null || observed.from.proven < status.replicas) return null;
     return surge(spec, status, 0, 0);
   },
-  surging: (spec, status, seen) => {
-    const failed = neverReady(spec, status, seen);
+  surging: (spec, status, observed) => {
+    const failed = neverReady(spec, status, observed);
     if (failed) return failed;
-    return seen.to.proven >= status.ceilings.to! ? { phase: 'judging', evidence: null } : null;
+    return observed.to.proven >= boundedCeilings(status).to
+      ? { phase: 'judging', evidence: null }
+      : null;
   },
-  judging: (spec, status, seen) => {
-    const failed = neverReady(spec, status, seen);
+  judging: (spec, status, observed) => {
+    const failed = neverReady(spec, status, observed);
     if (failed) return failed;
-    const { evidence } = seen;
+    const { evidence } = observed;
     if (evidence === null) return null;
     if (evidence.verdict !== 'better-or-same') {
-      const change = startRollback(spec, status, seen, WHY_BACK[evidence.verdict]);
+      const change = startRollback(spec, status, observed, ROLLBACK_REASONS[evidence.verdict]);
       return { ...change, evidence };
     }
     const { replicas, ceilings } = status;
-    const from = replicas - ceilings.to!;
+    const from = replicas - boundedCeilings(status).to;
     return { phase: 'withdrawing', evidence, ceilings: { ...ceilings, from } };
   },
-  withdrawing: (spec, status, seen) => {
-    const failed = neverReady(spec, status, seen);
+  withdrawing: (spec, status, observed) => {
+    const failed = neverReady(spec, status, observed);
     if (failed) return failed;
-    const { replicas, ceilings, step } = status;
-    if (seen.from.placed > ceilings.from!) return null;
-    if (seen.from.proven + seen.to.proven < replicas) return null;
-    const reached = ceilings.to!;
+    const { replicas, step } = status;
+    const ceilings = boundedCeilings(status);
+    if (observed.from.placed > ceilings.from) return null;
+    if (observed.from.proven + observed.to.proven < replicas) return null;
+    const reached = ceilings.to;
     if (reached >= replicas) return { phase: 'done', ceilings: { from: 0, to: null } };
     const isStepReached = reached >= stepTarget(spec, step, replicas);
     return surge(spec, status, isStepReached ? step + 1 : step, reached);
   },
 };
 
-const WHY_BACK = {
+const ROLLBACK_REASONS = {
   worse: 'the new version is worse under load',
   undecided: 'too few requests to compare the versions',
 } as const;
@@ -175,8 +188,10 @@
   return { phase: 'surging', step: next, ceilings: { from: replicas - reached, to: target } };
 }
 
-function neverReady(spec: SpecRecord, status: StatusRecord, seen: Observation): Change | null {
-  return seen.neverReady === null ? null : startRollback(spec, status, seen, seen.neverReady);
+function neverReady(spec: SpecRecord, status: StatusRecord, observed: Observation): Change | null {
+  return observed.neverReady === null
+    ? null
+    : startRollback(spec, status, observed, observed.neverReady);
 }
 
 // ---- back
@@ -192,31 +207,35 @@
 function startRollback(
   spec: SpecRecord,
   status: StatusRecord,
-  seen: Observation,
+  observed: Observation,
   reason: string,
 ): Change {
-  const ceilings = returning(spec, status, seen);
+  const ceilings = rollbackCeilings(spec, status, observed);
   return { phase: 'rolling-back', resumes: null, reason, ceilings };
 }
 
-/** Ceilings on the way back: `to` keeps at most what may serve, `from` gets the room that is left. */
-function returning(spec: SpecRecord, status: StatusRecord, seen: Observation): Ceilings {
+/** Ceilings on the way back: `to` keeps at most what may serve, `from` gets the rest of the surge. */
+function rollbackCeilings(
+  spec: SpecRecord,
+  status: StatusRecord,
+  observed: Observation,
+): BoundedCeilings {
   const { replicas, ceilings } = status;
-  const to = Math.min(ceilings.to ?? 0, seen.to.placed - seen.to.unserved);
-  const allowed = Math.min(replicas, replicas + spec.maxSurge - seen.to.placed);
+  const to = Math.min(ceilings.to ?? 0, observed.to.placed - observed.to.unserved);
+  const allowed = Math.min(replicas, replicas + spec.maxSurge - observed.to.placed);
   return { to, from: Math.max(ceilings.from ?? replicas, allowed) };
 }
 
-function rollingBack(spec: SpecRecord, status: StatusRecord, seen: Observation): Change | null {
+function rollingBack(spec: SpecRecord, status: StatusRecord, observed: Observation): Change | null {
   const { replicas, ceilings, reason } = status;
-  const isBack = seen.to.placed === 0 && seen.from.proven >= replicas;
+  const isBack = observed.to.placed === 0 && observed.from.proven >= replicas;
   if (isBack) return rolledBack(reason);
-  const allowed = returning(spec, status, seen);
+  const allowed = rollbackCeilings(spec, status, observed);
   if (!sameCeilings(allowed, ceilings)) return { ceilings: allowed };
-  const surged = allowed.from! + allowed.to! > replicas;
-  // The old replicas of this batch serve: as many new ones may go.
-  if (surged && seen.from.proven >= allowed.from!) {
-    return { ceilings: { from: allowed.from, to: replicas - allowed.from! } };
+  const isSurging = allowed.from + allowed.to > replicas;
+  // The old replicas of this batch are proven, so as many new ones may go.
+  if (isSurging && observed.from.proven >= allowed.from) {
+    return { ceilings: { from: allowed.from, to: replicas - allowed.from } };
   }
   return null;
 }
--- a/packages/rollout/src/verdict.ts
+++ b/packages/rollout/src/verdict.ts
@@ -1,26 +1,28 @@
-/** Compares the two versions under load, over one and the same window. */
+/** Compares both versions under load, over one and the same window. */
 import { build, type Histogram } from 'hdr-histogram-js';
 import { readLatencies } from './latencies.js';
 import type { ProbeAnswer } from './probe.js';
 import type { SpecRecord } from './spec.js';
 import type { Evidence } from './status.js';
 
-/** So many windows may pass without samples enough, before it is given up. */
-const MOST_WINDOWS = 3;
+/** Windows of counted time without enough samples before the verdict stays `undecided`. */
+const MAX_WINDOWS = 3;
 
-/** The same where new replicas are missing for a part of the time. */
-const MOST_WINDOWS_IN_ALL = 10;
+/** The same of all time, counted or not. */
+const MAX_TOTAL_WINDOWS = 10;
 
-const DIGITS = 2;
+/** Precision of the merged histograms. */
+const SIGNIFICANT_DIGITS = 2;
 
-/** What a verdict is judged by. */
+/** What a verdict is judged by; see `SpecRecord` for units. */
 export type Thresholds = Pick<
   SpecRecord,
   'judgeSeconds' | 'minSamples' | 'percentile' | 'maxLatencyRatio' | 'maxErrorIncrease'
 >;
 
+/** Requests and latencies of one version in one window. */
 class VersionLoad {
-  readonly latencies: Histogram = build({ numberOfSignificantValueDigits: DIGITS });
+  readonly latencies: Histogram = build({ numberOfSignificantValueDigits: SIGNIFICANT_DIGITS });
   requests = 0;
   errors = 0;
 
@@ -40,60 +42,65 @@
   }
 }
 
-/** One window of judging; it lives in the memory of one leader. */
+/** The window in which one step is judged; it lives in the memory of one leader. */
 export class LoadWindow {
   private readonly old = new VersionLoad();
   private readonly new = new VersionLoad();
-  private lookedAt: number;
+  private judgedAt: number;
   private wasComplete = false;
-  /** Time in which all new replicas were proven. */
+  /** Time in which all new replicas were proven, in milliseconds. */
   private countedMs = 0;
 
+  /** @param startedAt monotonic time in milliseconds */
   constructor(private readonly startedAt: number) {
-    this.lookedAt = startedAt;
+    this.judgedAt = startedAt;
   }
 
-  /** Takes in an answer; false if its histogram cannot be read. */
+  /** Adds an answer; false if its histogram cannot be read. */
   add(version: 'old' | 'new', answer: ProbeAnswer): boolean {
     try {
       this[version].add(answer);
       return true;
     } catch {
+      // A replica that sends no histogram does not answer properly: the caller counts a failed probe.
       return false;
     }
   }
 
   /**
-   * What the window shows by now; null: it has not ended. Time in which new replicas are missing does not
-   * count: a version is not to blame for a machine.
+   * The verdict; null: the window has not ended. Time in which new replicas are missing does not count,
+   * since a version is not to blame for a machine.
    *
-   * @param complete whether all new replicas of the step are proven now
+   * @param now monotonic time in milliseconds
+   * @param isComplete whether all new replicas of the step are proven now
    */
-  judge(thresholds: Thresholds, now: number, complete: boolean): Evidence | null {
-    if (complete && this.wasComplete) this.countedMs += now - this.lookedAt;
-    this.lookedAt = now;
-    this.wasComplete = complete;
+  judge(thresholds: Thresholds, now: number, isComplete: boolean): Evidence | null {
+    if (isComplete && this.wasComplete) this.countedMs += now - this.judgedAt;
+    this.judgedAt = now;
+    this.wasComplete = isComplete;
     const windowMs = thresholds.judgeSeconds * 1000;
-    if (now - this.startedAt >= windowMs * MOST_WINDOWS_IN_ALL) {
+    if (now - this.startedAt >= windowMs * MAX_TOTAL_WINDOWS) {
       return this.evidence(thresholds, this.verdict(thresholds));
     }
     if (this.countedMs < windowMs) return null;
     const verdict = this.verdict(thresholds);
-    if (verdict === 'undecided' && this.countedMs < windowMs * MOST_WINDOWS) return null;
+    if (verdict === 'undecided' && this.countedMs < windowMs * MAX_WINDOWS) return null;
     return this.evidence(thresholds, verdict);
   }
 
   private verdict(thresholds: Thresholds): Evidence['verdict'] {
-    const enough = Math.min(this.old.samples, this.new.samples) >= thresholds.minSamples;
-    if (!enough) return 'undecided';
-    const slower = this.latencyRatio(thresholds)! > thresholds.maxLatencyRatio;
-    return slower || this.errorIncrease > thresholds.maxErrorIncrease ? 'worse' : 'better-or-same';
+    const samples = Math.min(this.old.samples, this.new.samples);
+    if (samples < thresholds.minSamples) return 'undecided';
+    const isSlower = (this.latencyRatio(thresholds) ?? 0) > thresholds.maxLatencyRatio;
+    return isSlower || this.errorIncrease > thresholds.maxErrorIncrease
+      ? 'worse'
+      : 'better-or-same';
   }
 
   private latencyRatio({ percentile }: Thresholds): number | null {
     if (this.old.latencies.totalCount === 0 || this.new.latencies.totalCount === 0) return null;
-    const before = this.old.latencies.getValueAtPercentile(percentile);
-    return this.new.latencies.getValueAtPercentile(percentile) / Math.max(1, before);
+    const oldLatency = this.old.latencies.getValueAtPercentile(percentile);
+    return this.new.latencies.getValueAtPercentile(percentile) / Math.max(1, oldLatency);
   }
 
   private get errorIncrease(): number {
@@ -102,13 +109,13 @@
 
   private evidence(thresholds: Thresholds, verdict: Evidence['verdict']): Evidence {
     const ratio = this.latencyRatio(thresholds);
-    const sampled = this.old.requests > 0 && this.new.requests > 0;
+    const isSampled = this.old.requests > 0 && this.new.requests > 0;
     return {
       verdict,
       oldRequests: this.old.requests,
       newRequests: this.new.requests,
       latencyRatio: ratio === null ? null : rounded(ratio),
-      errorIncrease: sampled ? rounded(this.errorIncrease) : null,
+      errorIncrease: isSampled ? rounded(this.errorIncrease) : null,
     };
   }
 }
--- a/packages/rollout/src/wait-reason.ts
+++ b/packages/rollout/src/wait-reason.ts
@@ -1,47 +1,71 @@
 /** What an open rollout waits for, in words for operators. */
 import type { SpecRecord } from './spec.js';
-import type { StatusRecord } from './status.js';
-import type { Observation } from './transitions.js';
+import { boundedCeilings, type StatusRecord } from './status.js';
+import type { Observation, ObservedVersion } from './transitions.js';
 
-/** Null: it goes on with its next step. */
+/** One line, as in "waits for ..."; null: the rollout waits for nothing. */
 export function waitReason(
   spec: SpecRecord,
   status: StatusRecord | null,
-  seen: Observation,
+  observed: Observation,
 ): string | null {
   if (status === null) return 'the leader';
-  const { replicas, ceilings } = status;
-  const { from, to } = spec;
   switch (status.phase) {
     case 'preparing':
-      if (seen.jobs.to === null) return `job ${to} to be submitted`;
-      return replicasOf(from, replicas, seen.from);
+      return preparationWait(spec, status, observed);
     case 'surging':
-      return replicasOf(to, ceilings.to!, seen.to);
+      return missingReplicas(spec.to, boundedCeilings(status).to, observed.to);
     case 'judging':
       return 'the verdict under load';
-    case 'withdrawing': {
-      const missing = replicas - seen.from.proven - seen.to.proven;
-      if (missing > 0) return `${missing} more proven replicas, before anything is withdrawn`;
-      const left = seen.from.placed - ceilings.from!;
-      return left > 0 ? `${left} replicas of ${from} to be gone` : null;
-    }
+    case 'withdrawing':
+      return withdrawalWait(spec, status, observed);
     case 'rolling-back':
-      return (
-        replicasOf(from, ceilings.from!, seen.from) ??
-        `${seen.to.placed} replicas of ${to} to be gone`
-      );
+      return rollbackWait(spec, status, observed);
     case 'paused':
       return 'an operator to resume it or to roll it back';
-    default:
+    case 'done':
+    case 'rolled-back':
+    case 'failed':
+    case 'refused':
       return null;
   }
 }
 
-/** Null: all of them are proven. */
-function replicasOf(job: string, wanted: number, seen: Observation['from']): string | null {
-  const unplaced = wanted - seen.placed;
+function preparationWait(
+  { from, to }: SpecRecord,
+  { replicas }: StatusRecord,
+  observed: Observation,
+): string | null {
+  if (observed.jobs.to === null) return `job ${to} to be submitted`;
+  return missingReplicas(from, replicas, observed.from);
+}
+
+function rollbackWait(
+  { from, to }: SpecRecord,
+  status: StatusRecord,
+  observed: Observation,
+): string {
+  return (
+    missingReplicas(from, boundedCeilings(status).from, observed.from) ??
+    `${observed.to.placed} replicas of ${to} to be gone`
+  );
+}
+
+function withdrawalWait(
+  { from }: SpecRecord,
+  status: StatusRecord,
+  observed: Observation,
+): string | null {
+  const missing = status.replicas - observed.from.proven - observed.to.proven;
+  if (missing > 0) return `${missing} more proven replicas, before anything is withdrawn`;
+  const leaving = observed.from.placed - boundedCeilings(status).from;
+  return leaving > 0 ? `${leaving} replicas of ${from} to be gone` : null;
+}
+
+/** What replicas of a job are waited for; null: all of them are proven. */
+function missingReplicas(job: string, wanted: number, observed: ObservedVersion): string | null {
+  const unplaced = wanted - observed.placed;
   if (unplaced > 0) return `room for ${unplaced} more replicas of ${job}`;
-  const unproven = wanted - seen.proven;
+  const unproven = wanted - observed.proven;
   return unproven > 0 ? `${unproven} replicas of ${job} to be proven` : null;
 }
--- a/packages/rollout/test/proofs.test.ts
+++ b/packages/rollout/test/proofs.test.ts
@@ -9,11 +9,10 @@
 import type { Replica } from '@leverhatch/rollout/ports';
 import {
   AddressTemplate,
-  answerOf,
-  InvalidTemplateError,
   HttpReplicaProbe,
-  type ProbeAnswer,
-} from '@leverhatch/rollout/probe';
+  InvalidTemplateError,
+} from '@leverhatch/rollout/http-probe';
+import { answerOf, type ProbeAnswer } from '@leverhatch/rollout/probe';
 import { Prober } from '@leverhatch/rollout/prober';
 import { ReadinessProofs } from '@leverhatch/rollout/readiness-proofs';
 import type { Rollout } from '@leverhatch/rollout/rollout-repository';
