--- a/src/election/zone-delegate.ts
+++ b/src/election/zone-delegate.ts
@@ -1,3 +1,4 @@
+/** Zone delegates: a follower's right to answer workers of its zone, and the leader's view of it. */
 import { RequestPriority } from '@leverhatch/core/store';
 import { z } from 'zod/mini';
 import { MAX_CLOCK_DRIFT } from '@leverhatch/core/clock';
@@ -7,18 +8,23 @@
 
 const zoneDelegateValue = z.object({ member: z.string(), token: z.number() });
 
-/** How long one write of the zone delegate key is good for, as a share of the leader lease. */
+/** The field of a stored record that holds its write id. */
+const WRITE_ID_FIELD = 'w';
+
+/** How long one write of the zone delegate key is valid, as a share of the leader lease. */
 const DELEGATION_RATIO = 0.5;
 
+/** How long one write of the zone delegate key is valid, in milliseconds. */
 export const zoneDelegationMs = (leaderLeaseMs: number): number => leaderLeaseMs * DELEGATION_RATIO;
 
 /**
  * A follower's right to keep alive the workers of its own zone that cannot reach the leader. It
  * rests on a key of that zone, written anew for every stretch of time and only while the leader
- * key is the one whose token the workers know. The leader reads these keys before it takes a
- * silent machine for gone.
+ * key is the one whose fencing token the workers know. The leader reads these keys before it takes
+ * an unresponsive machine for gone.
  */
 export class ZoneDelegate {
+  /** Monotonic, in milliseconds. */
   private expiresAt = -Infinity;
   private fencingToken = 0;
   private version: number | null = null;
@@ -32,14 +38,14 @@
     private readonly delegationMs: number,
   ) {}
 
-  /** Resolves to true if workers that know `token` may be answered now. */
+  /** Resolves to true if workers that know this fencing token may be answered now. */
   async holds(fencingToken: number): Promise<boolean> {
     const now = this.runtime.clock.now();
-    const left = this.fencingToken === fencingToken ? this.expiresAt - now : 0;
-    if (left < this.delegationMs / 2) {
+    const leftMs = this.fencingToken === fencingToken ? this.expiresAt - now : 0;
+    if (leftMs < this.delegationMs / 2) {
       this.writing ??= this.write(fencingToken).finally(() => (this.writing = null));
-      // A right that still holds is prolonged in the background.
-      if (left <= 0) await this.writing;
+      // A delegation that is still valid is extended in the background.
+      if (leftMs <= 0) await this.writing;
     }
     return this.fencingToken === fencingToken && this.runtime.clock.now() < this.expiresAt;
   }
@@ -50,7 +56,7 @@
     try {
       this.version ??= (await this.store.get(key, RequestPriority.Critical))?.version ?? 0;
       const sentAt = clock.now();
-      const value = { w: random.unique(), member: this.member, token: fencingToken };
+      const value = { [WRITE_ID_FIELD]: random.unique(), member: this.member, token: fencingToken };
       const outcome = await this.store.tryCommit(
         [
           { key: KEYS.leader, version: fencingToken },
@@ -67,9 +73,9 @@
       this.fencingToken = fencingToken;
       this.expiresAt = sentAt + this.delegationMs * (1 - MAX_CLOCK_DRIFT);
     } catch (error) {
-      // Whether it was written is read again before the next try; nothing is answered on a guess.
+      // Ambiguous: the version is read again before the next try, and no worker is answered on a guess.
       this.version = null;
-      log.debug({ error: String(error) }, 'zone delegate key not written');
+      log.debug({ fencingToken, error: String(error) }, 'zone delegate key not written');
     }
   }
 }
@@ -77,8 +83,9 @@
 /** The leader's view of the zone delegates: until when one may have answered a zone's workers. */
 export class ZoneDelegateWatch {
   private readonly versions = new Map<string, number>();
+  /** By zone; monotonic, in milliseconds. */
   private readonly expiries = new Map<string, number>();
-  /** When the last complete refresh began. */
+  /** When the last complete refresh began; monotonic, in milliseconds. */
   confirmedAsOf = -Infinity;
   private refreshing = false;
 
@@ -94,6 +101,7 @@
     return Math.max(-Infinity, ...this.expiries.values());
   }
 
+  /** Reads all zone delegate keys; does nothing while another refresh is under way. */
   async refresh(signal: AbortSignal): Promise<void> {
     if (this.refreshing) return;
     this.refreshing = true;
--- a/test/expired-leader-lease.test.ts
+++ b/test/expired-leader-lease.test.ts
@@ -72,7 +72,7 @@
   await afterOutage(fleet, true);
 });
 
-test('a controller that ended in the outage vouches for nothing, and the work ends with its leases', async () => {
+test('a controller that ended in the outage attests nothing, and the work ends with its leases', async () => {
   const fleet = await runningFleet();
   const { w: cluster } = fleet;
   const ended = others(cluster, cluster.leader)[0]!;
@@ -85,7 +85,7 @@
   await afterOutage(fleet, false);
 });
 
-test('a lapsed leader is not kept where another has led since, but the other is', async () => {
+test('a leader with an expired lease is not reinstated where another has led since, but the other is', async () => {
   const fleet = await runningFleet();
   const { w: cluster, job } = fleet;
   const { leader } = cluster;
@@ -100,7 +100,7 @@
   await afterOutage(fleet, true);
 });
 
-test('a lapsed leader that hears of no later term takes nothing up while another remembers one', async () => {
+test('a leader with an expired lease that hears of no later term is not reinstated while another remembers one', async () => {
   const { w: cluster, job } = await runningFleet();
   const { leader } = cluster;
   const cutOff = cluster.nodes[leader]!;
@@ -116,14 +116,14 @@
   cluster.restart(next);
   await cluster.pass(SHORT_OUTAGE_S);
   assert.equal(cluster.running(job), 0);
-  assert.ok(!cluster.logged.some((line) => line.message === 'lapsed right taken up again'));
+  assert.ok(!cluster.logged.some((line) => line.message === 'leadership reinstated by vote'));
   cutOff.fate = () => 'serve';
   cluster.store.restore();
   await cluster.until(() => cluster.running(job) === 4, 60, 'replicas run again');
   await cluster.close();
 });
 
-test('controllers that are not known to read vouches are not asked for them', async () => {
+test('controllers that are not known to read reinstatement frames are sent none', async () => {
   const fleet = await runningFleet((_method, path, body) =>
     path === '/txn' && JSON.stringify(body).includes('"write":"members/') ? 'refuse' : 'serve',
   );
@@ -133,7 +133,7 @@
   await afterOutage(fleet, false);
 });
 
-test('vouches are frames of a later version', () => {
+test('reinstatement votes are frames of a later version', () => {
   assert.equal(
     encode({
       kind: 'reinstatementRequest',
--- a/test/membership.test.ts
+++ b/test/membership.test.ts
@@ -52,7 +52,7 @@
   assert.equal(
     first.membership.allRead(RECORD_FORMATS.rangedRuns),
     false,
-    'silence proves nothing',
+    'a missing record proves nothing',
   );
   assert.equal(first.membership.readsFrames('berth-1', CANCELLATIONS_VERSION), true);
   assert.equal(first.membership.readsFrames('berth-2', CANCELLATIONS_VERSION), false);
--- a/test/peer.test.ts
+++ b/test/peer.test.ts
@@ -88,7 +88,7 @@
   await simulatedCluster.close();
 });
 
-test('in an outage a leader without the pledge of every other loses its workers, not its safety', async () => {
+test('in an outage a leader without the vote of every other loses its workers, not its safety', async () => {
   const simulatedCluster = new SimulatedCluster(TWO);
   await simulatedCluster.start();
   const job = await simulatedCluster.submit({ pieces: 2, runMs: 60_000 });
@@ -129,7 +129,7 @@
   simulatedCluster.store.down = true;
   await simulatedCluster.pass(2);
   simulatedCluster.crash(1 - old);
-  // Briefly: while it is away it gives no pledge, and the cover of the outage ends with the last one.
+  // Briefly: while it is away it gives no vote, and the lease extension ends with the last one.
   await simulatedCluster.pass(0.5);
   simulatedCluster.restart(1 - old);
   await simulatedCluster.pass(15);
@@ -179,14 +179,14 @@
   simulatedCluster.nodes[cut]!.open = false;
   simulatedCluster.nodes[other]!.fate = () => 'refuse';
   simulatedCluster.crash(first);
-  await simulatedCluster.until(() => simulatedCluster.leader === cut, 10, 'it takes office');
+  await simulatedCluster.until(() => simulatedCluster.leader === cut, 10, 'it leads');
   simulatedCluster.nodes[other]!.fate = () => 'serve';
-  await simulatedCluster.until(() => simulatedCluster.leader === other, 12, 'it gives office up');
+  await simulatedCluster.until(() => simulatedCluster.leader === other, 12, 'it resigns');
   await simulatedCluster.until(() => simulatedCluster.running(job) === 2, 20, 'replicas run again');
   await simulatedCluster.close();
 });
 
-test('of those left when a leader ends, the one that was restarted last takes office', async () => {
+test('of those left when a leader ends, the one that was restarted last leads', async () => {
   for (const young of [0, 1, 2]) {
     const simulatedCluster = new SimulatedCluster(TWO, 3);
     await simulatedCluster.start();
@@ -204,7 +204,7 @@
   }
 });
 
-test('without connections between controllers answers stay right and office stays where it is', async () => {
+test('without connections between controllers answers stay right and the leader stays', async () => {
   const simulatedCluster = new SimulatedCluster(TWO, 3);
   await simulatedCluster.start();
   const { leader } = simulatedCluster;
--- a/test/successor-policy.test.ts
+++ b/test/successor-policy.test.ts
@@ -32,7 +32,7 @@
   };
 }
 
-/** Who is silent speaks again before the story ends. */
+/** Unresponsive controllers respond again before the scenario ends. */
 async function end(cluster: SimulatedCluster): Promise<void> {
   await cluster.pass(SILENT_MS / 1000);
   await cluster.close();
@@ -47,10 +47,10 @@
   return cluster.leader;
 }
 
-// A worker gives each silent controller 5 s: two in a row on its way cost it its lease. Who follows a
-// silent leader has to be one behind which a controller speaks.
+// A worker gives each unresponsive controller 5 s: two in a row on its failover cost it its lease. Who
+// follows an unresponsive leader has to be one with a responsive backup.
 for (const first of [0, 1]) {
-  test(`controller ${first} and the leader after it fall silent, and no worker loses its lease`, async () => {
+  test(`controller ${first} and the leader after it become unresponsive, and no worker loses its lease`, async () => {
     const { w: cluster, lost } = await withService(first);
     if (cluster.leader !== first) {
       cluster.freeze(cluster.leader, LEASE_S * 500);
@@ -71,8 +71,8 @@
 
 // The leader that is left had given up before its workers could be there, and turned them away for a
 // second round. If it hears no other controller it may also be cut off from all: then it gives up
-// sooner, but is back in office when they come.
-test('workers that have to pass two silent controllers are answered by the third as they come', async () => {
+// sooner, but leads again when they come.
+test('workers that have to pass two unresponsive controllers are answered by the third as they come', async () => {
   const { w: cluster, service, lost } = await withService(1);
   const first = cluster.leader;
   const [next, third] = [(first + 1) % 3, (first + 2) % 3];
@@ -89,10 +89,10 @@
   await end(cluster);
 });
 
-// While a follower was silent the leader stayed where its workers would have met two silent ones in a row.
-test('a leader before a silent controller hands over, and its end then costs no lease', async () => {
+// While a follower was unresponsive the leader stayed where its workers would have met two such in a row.
+test('a leader before an unresponsive controller hands over, and its end then costs no lease', async () => {
   const { w: cluster, service, lost } = await withService(1);
-  // The next after it is not alone in its zone: silent, but not behind a cut.
+  // The next after it is not alone in its zone: unresponsive, but not behind a partition.
   const first = 2;
   await passOffice(cluster, first);
   const [next, third] = [(first + 1) % 3, (first + 2) % 3];
@@ -127,7 +127,7 @@
 }
 
 // The workers of the far zone wait 5 s for the leader behind the cut and 5 s for another one there.
-test('a controller whose next one is in its own zone leaves office to others, as a cut between zones would cost leases', () => {
+test('a controller whose next one is in its own zone leaves leadership to others, as a cut between zones would cost leases', () => {
   assert.deepEqual(
     [0, 1, 2].map((self) => standsBack(self, 3, 10_000)),
     [false, false, true],
--- a/test/zone-delegate.test.ts
+++ b/test/zone-delegate.test.ts
@@ -52,7 +52,7 @@
   lost.dead = true;
   simulatedCluster.cloud.hosts.delete(lost.id);
   await simulatedCluster.pass(10);
-  // Both the kept machine and the dead one are silent to the leader: neither is taken for gone.
+  // Both the kept machine and the dead one are unresponsive to the leader: neither is taken for gone.
   assert.equal(simulatedCluster.starts.length, 4);
   simulatedCluster.split(false);
   await simulatedCluster.until(
@@ -64,7 +64,7 @@
   await simulatedCluster.close();
 });
 
-test('a zone goes on when the leader ends during the cut and another takes office behind it', async () => {
+test('a zone goes on when the leader ends during the cut and another leads behind it', async () => {
   const simulatedCluster = new SimulatedCluster(FOUR, 3);
   await simulatedCluster.start();
   // The leader to end is in zone a, where another controller stays.
