--- a/src/peer/cancellation-query.ts
+++ b/src/peer/cancellation-query.ts
@@ -1,21 +1,24 @@
-import { Subscription } from 'rxjs';
+/** Asks the other controllers what they told users of cancellations while the store brings no news. */
+import type { Subscription } from 'rxjs';
 import type { CancellationLog } from '../jobs/cancellation-log.js';
 import { MAX_CLOCK_DRIFT } from '@leverhatch/core/clock';
 import type { Runtime } from '@leverhatch/core/duty';
 import type { PeerMessage } from './frames.js';
 import type { PeerTransport } from './peer-transport.js';
 
-/** The jobs that any controller has told users to be cancelled, without a gap up to `asOf`. */
+/** The jobs that any controller has told users to be cancelled, without a gap up to `asOf` (monotonic, in milliseconds). */
 export interface KnownCancellations {
   asOf: number;
   cancelled: Set<string>;
 }
 
+/** The answers to one query. */
 interface Collection {
   missing: Set<string>;
   cancelled: Set<string>;
-  refused: boolean;
-  done(): void;
+  isRefused: boolean;
+  /** No further answer can change the outcome. */
+  close(): void;
 }
 
 /**
@@ -37,6 +40,7 @@
     private readonly supportsQuery: (peer: string) => boolean,
   ) {}
 
+  /** Answers the others and takes in their answers until unsubscribed. */
   listen(): Subscription {
     return this.peerTransport.messages.subscribe(({ from, message }) =>
       this.onMessage(from, message),
@@ -57,17 +61,20 @@
     const collection: Collection = {
       missing: new Set(peers),
       cancelled: new Set(),
-      refused: false,
-      done: () => answered.abort(),
+      isRefused: false,
+      close: () => answered.abort(),
     };
     this.collections.set(requestId, collection);
-    for (const peer of peers)
-      this.peerTransport.send(peer, { kind: 'cancellationsRequest', requestId, sinceMs });
-    if (peers.length > 0) await clock.sleep(withinMs, answered.signal);
-    this.collections.delete(requestId);
+    try {
+      for (const peer of peers)
+        this.peerTransport.send(peer, { kind: 'cancellationsRequest', requestId, sinceMs });
+      if (peers.length > 0) await clock.sleep(withinMs, answered.signal);
+    } finally {
+      this.collections.delete(requestId);
+    }
     const own = this.log.since(from);
-    if (collection.refused || collection.missing.size > 0 || own === null) return null;
-    // One that stood still meanwhile cannot tell when its request was read.
+    if (collection.isRefused || collection.missing.size > 0 || own === null) return null;
+    // If this process stalled meanwhile, it cannot tell when its request was read.
     if (clock.now() - asOf > withinMs) return null;
     for (const id of own) collection.cancelled.add(id);
     return { asOf, cancelled: collection.cancelled };
@@ -93,11 +100,11 @@
   private recordResponse(from: string, requestId: number, cancelled: string[] | null): void {
     const collection = this.collections.get(requestId);
     if (!collection) return;
-    if (cancelled === null) collection.refused = true;
+    if (cancelled === null) collection.isRefused = true;
     else {
       collection.missing.delete(from);
       for (const id of cancelled) collection.cancelled.add(id);
     }
-    if (collection.refused || collection.missing.size === 0) collection.done();
+    if (collection.isRefused || collection.missing.size === 0) collection.close();
   }
 }
--- a/src/peer/peer-transport.ts
+++ b/src/peer/peer-transport.ts
@@ -1,44 +1,51 @@
+/** Connections between controllers. */
 import { connect, createServer, type Socket } from 'node:net';
 import { Subject, type Observable } from 'rxjs';
 import { supervise, type Runtime } from '@leverhatch/core/duty';
 import type { Settings } from '../settings/deploy.js';
 import { Decoder, encode, type PeerMessage } from './frames.js';
 
+/** Sends messages to the other controllers and receives theirs. Times are monotonic, in milliseconds. */
 export interface PeerTransport {
-  /** What other controllers say, with the speaker's name. */
+  /** Messages of other controllers, with the sender's name. */
   readonly messages: Observable<{ from: string; message: PeerMessage }>;
   /** Sends to one controller if it is connected; nothing is kept for later. */
   send(to: string, message: PeerMessage): void;
+  /** The names of the other controllers. */
   readonly peers: string[];
   /** When a peer's process began, by our clock; null if it has not been heard. */
   startedAt(peer: string): number | null;
   /**
-   * When a peer last said anything, in milliseconds of our clock; the start of our process if it
-   * never did. Null if its connection has been closed since: its process ended, or will be back.
+   * When a peer last sent anything, by our clock; the start of our process if it never did. Null if
+   * its connection has been closed since: its process ended, or will be back.
    */
   lastHeardAt(peer: string): number | null;
 }
 
-/** A peer that takes this much less than it is sent is cut off: it would grow our memory. */
+/** With more unsent bytes a connection is closed: its peer reads too slowly, and memory would grow. */
 const MAX_BUFFERED_BYTES = 512 * 1024;
 
-/** A peer's connection, the one that replaces it, and a stranger's. */
+/** A peer's connection, the one that replaces it, and one of somebody else. */
 const CONNECTIONS_PER_PEER = 3;
 
+/** For how many retry intervals a connection may take to open. */
+const CONNECT_TIMEOUT_RETRIES = 4;
+
 /**
- * One connection to each other controller, for what we say; what they say comes on theirs. All of
- * it is advice or is asked for again, so a lost connection costs a retry and nothing else.
+ * One connection to each other controller, for what we send; what they send comes on theirs. All of
+ * it is a hint or is requested again, so a lost connection costs a retry and nothing else.
  */
 export class TcpPeerTransport implements PeerTransport {
   readonly messages = new Subject<{ from: string; message: PeerMessage }>();
   readonly peers: string[];
-  private readonly out = new Map<string, Socket>();
-  /** The connection on which each peer speaks; null: the peer has closed it. */
+  /** The open connections on which we send. */
+  private readonly outgoing = new Map<string, Socket>();
+  /** The connection on which each peer sends; null: the peer has closed it. */
   private readonly incoming = new Map<string, Socket | null>();
-  /** What a message looks like on the wire: most go to every peer. */
+  /** Encoded once, since most messages go to every peer. */
   private readonly encoded = new WeakMap<PeerMessage, Buffer>();
-  private readonly starts = new Map<string, number>();
-  private readonly lastHeard = new Map<string, number>();
+  private readonly startTimes = new Map<string, number>();
+  private readonly heardTimes = new Map<string, number>();
 
   constructor(
     private readonly settings: Settings,
@@ -48,6 +55,7 @@
     this.peers = settings.peers.map((peer) => peer.member);
   }
 
+  /** Accepts and opens connections until the signal aborts. */
   async run(signal: AbortSignal): Promise<void> {
     await Promise.all([
       supervise(this.runtime, 'peer listener', signal, this.retryMs, (signal) =>
@@ -55,115 +63,135 @@
       ),
       ...this.settings.peers.map((peer) =>
         supervise(this.runtime, `peer ${peer.member}`, signal, this.retryMs, (signal) =>
-          this.speakTo(peer.member, peer.address, signal),
+          this.connectTo(peer.member, peer.address, signal),
         ),
       ),
     ]);
   }
 
   send(to: string, message: PeerMessage): void {
-    const socket = this.out.get(to);
+    const socket = this.outgoing.get(to);
     if (!socket) return;
     if (socket.writableLength > MAX_BUFFERED_BYTES) {
       socket.destroy();
       return;
     }
-    let bytes = this.encoded.get(message);
-    if (!bytes) this.encoded.set(message, (bytes = encode(message)));
-    socket.write(bytes);
+    socket.write(this.encodeOnce(message));
+  }
+
+  private encodeOnce(message: PeerMessage): Buffer {
+    const known = this.encoded.get(message);
+    if (known) return known;
+    const bytes = encode(message);
+    this.encoded.set(message, bytes);
+    return bytes;
   }
 
   startedAt(peer: string): number | null {
-    return this.starts.get(peer) ?? null;
+    return this.startTimes.get(peer) ?? null;
   }
 
   lastHeardAt(peer: string): number | null {
     if (this.incoming.get(peer) === null) return null;
-    return this.lastHeard.get(peer) ?? this.runtime.startedAt;
+    return this.heardTimes.get(peer) ?? this.runtime.startedAt;
   }
 
   private accept(signal: AbortSignal): Promise<void> {
-    const [host, port] = split(this.settings.peerAddress);
-    const server = createServer((socket) => this.listenTo(socket, signal));
+    const [host, port] = parseAddress(this.settings.peerAddress);
+    const server = createServer((socket) => this.receiveFrom(socket, signal));
     server.maxConnections = this.peers.length * CONNECTIONS_PER_PEER;
     return new Promise((resolve, reject) => {
-      server.once('error', reject);
-      server.once('close', resolve);
-      signal.addEventListener('abort', () => server.close(), { once: true });
+      const stop = (): void => void server.close();
+      server.once('error', (error) => {
+        // After any other error than one of `listen` the server still accepts, and abort must close it.
+        if (!server.listening) signal.removeEventListener('abort', stop);
+        reject(error);
+      });
+      server.once('close', () => {
+        signal.removeEventListener('abort', stop);
+        resolve();
+      });
+      signal.addEventListener('abort', stop, { once: true });
       server.listen(port, host);
     });
   }
 
-  private listenTo(socket: Socket, signal: AbortSignal): void {
+  private receiveFrom(socket: Socket, signal: AbortSignal): void {
     const decoder = new Decoder();
     let from: string | null = null;
-    let silent = false;
+    let hasTimedOut = false;
     const end = (): void => void socket.destroy();
     signal.addEventListener('abort', end, { once: true });
     socket.on('close', () => {
       signal.removeEventListener('abort', end);
-      // One that we closed for its silence has not said that it ends: it stays silent.
-      if (from !== null && this.incoming.get(from) === socket && !silent)
+      // A peer whose connection we closed on timeout has not ended: it stays unresponsive.
+      if (from !== null && this.incoming.get(from) === socket && !hasTimedOut)
         this.incoming.set(from, null);
     });
     socket.on('error', end);
-    // Every controller says something in each report interval.
+    // Every controller sends something in each heartbeat interval.
     socket.setTimeout(this.settings.workers.leaseMs, () => {
-      silent = true;
+      hasTimedOut = true;
       end();
     });
     socket.on('data', (chunk: Buffer) => {
-      if (from !== null) this.lastHeard.set(from, this.runtime.clock.now());
+      if (from !== null) this.heardTimes.set(from, this.runtime.clock.now());
       try {
         for (const message of decoder.push(chunk)) {
           if (message.kind === 'hello') {
             if (!this.peers.includes(message.member)) return end();
             from = message.member;
-            this.replaceIncoming(from, socket);
-            this.lastHeard.set(from, this.runtime.clock.now());
-            this.starts.set(from, this.runtime.clock.now() - message.ageMs);
+            this.recordHello(from, message.ageMs, socket);
           } else if (from !== null) this.messages.next({ from, message });
         }
       } catch (error) {
-        this.runtime.log.warn({ from, error: String(error) }, 'broken frame, connection closed');
+        this.runtime.log.warn(
+          { peer: from, error: String(error) },
+          'peer connection closed: broken frame',
+        );
         end();
       }
     });
   }
 
-  /** Behind a cut the connection before may stay open on our side. */
-  private replaceIncoming(from: string, socket: Socket): void {
-    const before = this.incoming.get(from);
-    if (before !== socket) before?.destroy();
+  private recordHello(from: string, ageMs: number, socket: Socket): void {
+    const previous = this.incoming.get(from);
+    // In a partition the previous connection may stay open on our side.
+    if (previous !== socket) previous?.destroy();
     this.incoming.set(from, socket);
+    const now = this.runtime.clock.now();
+    this.heardTimes.set(from, now);
+    this.startTimes.set(from, now - ageMs);
   }
 
-  private speakTo(member: string, address: string, signal: AbortSignal): Promise<void> {
-    const [host, port] = split(address);
+  private connectTo(member: string, address: string, signal: AbortSignal): Promise<void> {
+    const [host, port] = parseAddress(address);
     return new Promise((resolve) => {
       const socket = connect({ host, port, noDelay: true });
       const end = (): void => void socket.destroy();
       signal.addEventListener('abort', end, { once: true });
-      socket.setTimeout(this.retryMs * 4, end);
+      socket.setTimeout(this.retryMs * CONNECT_TIMEOUT_RETRIES, end);
       socket.on('connect', () => {
         socket.setTimeout(0);
         const { clock, startedAt } = this.runtime;
         const ageMs = Math.max(0, Math.round(clock.now() - startedAt));
         socket.write(encode({ kind: 'hello', member: this.settings.member, ageMs }));
-        this.out.set(member, socket);
+        this.outgoing.set(member, socket);
       });
       socket.on('error', end);
+      // Nothing is expected here, but unread data would keep the end of the connection from being seen.
       socket.on('data', () => undefined);
       socket.on('close', () => {
         signal.removeEventListener('abort', end);
-        if (this.out.get(member) === socket) this.out.delete(member);
+        if (this.outgoing.get(member) === socket) this.outgoing.delete(member);
         resolve();
       });
     });
   }
 }
 
-function split(address: string): [string, number] {
+/** Host and port of an address in the settings. */
+function parseAddress(address: string): [string, number] {
   const colon = address.lastIndexOf(':');
   return [address.slice(0, colon), Number(address.slice(colon + 1))];
 }
