--- a/src/control/partition/cancellation-view.ts
+++ b/src/control/partition/cancellation-view.ts
@@ -1,3 +1,4 @@
+/** How current the leader's knowledge of cancellations is. Times are monotonic, in milliseconds. */
 import { MAX_CLOCK_DRIFT } from '@leverhatch/core/clock';
 import type { Settings } from '../../settings/deploy.js';
 
@@ -8,7 +9,7 @@
  * How old knowledge of users' cancellations may be when a worker's lease is renewed. A task whose
  * cancellation is missing from it ends with its worker's lease at the latest, one lease after the
  * renewal, and has to be gone `cancel_s` after its user was told. Where `cancel_s` is not longer than
- * the lease no bound on renewals can keep that for a machine that hangs; there the floor holds.
+ * the lease no bound on renewals can ensure that for a machine that hangs; `floorMs` applies there.
  */
 export function cancellationViewLimitMs(workers: Settings['workers'], floorMs: number): number {
   const limit =
@@ -27,6 +28,7 @@
 
   constructor(private readonly limitMs: number) {}
 
+  /** Up to when it is complete. */
   get completeAsOf(): number {
     return this.asOf;
   }
@@ -36,6 +38,7 @@
     this.asOf = Math.max(this.asOf, sentAt);
   }
 
+  /** How long ago it was complete. */
   ageMs(now: number): number {
     return now - this.asOf;
   }
--- a/src/control/partition/partitioned-workers.ts
+++ b/src/control/partition/partitioned-workers.ts
@@ -1,3 +1,4 @@
+/** How a zone delegate answers workers that are partitioned from the leader. */
 import type { ZoneDelegate } from '../../election/zone-delegate.js';
 import type { HeartbeatOutcome } from '../../http/heartbeat-reader.js';
 import type { JobPhase } from '../../jobs/job.js';
@@ -5,27 +6,28 @@
 import type { WorkerCommand, WorkerHeartbeat } from '../../wire/worker-heartbeat.js';
 import { dropOldest } from '../../runtime/drop-oldest.js';
 
+/** Bounds on what a zone delegate knows of jobs. */
 export interface PartitionOptions {
-  /** How often a job is asked about again. */
+  /** How often the store is asked again about a job. */
   refreshMs: number;
   /** How old the knowledge of a job may be when the lease of a worker with its tasks is renewed. */
   viewMs: number;
-  /** How long an answer is kept back for what the store says; workers wait 4 s. */
+  /** How long an answer is held back until the store has answered; workers wait 4 s. */
   waitMs: number;
-  /** Of so many jobs it is remembered whether they are cancelled; the store is asked about the others. */
+  /** For so many jobs it is remembered whether they are cancelled; the store is asked about the others. */
   maxJobs: number;
 }
 
 /**
- * Keeps alive workers of our own zone that are partitioned from the leader, with the zone delegate's right
- * and no orders but to stop what its user has cancelled. A lease is renewed only while the store
- * told recently enough, of every job on that worker, whether it is cancelled.
+ * Keeps alive workers of our own zone that are partitioned from the leader, with the zone
+ * delegate's right and no commands but to stop what its user has cancelled. A lease is renewed only
+ * while the store has told recently enough, of every job on that worker, whether it is cancelled.
  */
 export class PartitionedWorkers {
-  /** When the question was sent that showed a job not to be cancelled. */
+  /** When the request was sent whose answer showed a job not to be cancelled; monotonic, in milliseconds. */
   private readonly uncancelledAsOf = new Map<string, number>();
   private readonly cancelled = new Set<string>();
-  private readonly asking = new Map<string, Promise<void>>();
+  private readonly pendingReads = new Map<string, Promise<void>>();
 
   constructor(
     private readonly zoneDelegate: ZoneDelegate,
@@ -34,12 +36,13 @@
     private readonly limits: PartitionOptions,
   ) {}
 
-  /** The leader is within reach again: these workers go back to it. */
+  /** The leader is reachable again: these workers go back to it. */
   clear(): void {
     this.uncancelledAsOf.clear();
     this.cancelled.clear();
   }
 
+  /** The answer to a heartbeat: commands while the zone delegate's right holds, otherwise a redirect. */
   async receiveHeartbeat(
     heartbeat: WorkerHeartbeat,
     fencingToken: number,
@@ -48,11 +51,11 @@
     const jobs = new Set(
       heartbeat.tasks.filter((status) => status.state !== 'exited').map((status) => status.job),
     );
-    const learned = Promise.all([...jobs].map((job) => this.refresh(job)));
-    const waited = new AbortController();
+    const refreshed = Promise.all([...jobs].map((job) => this.refresh(job)));
+    const answered = new AbortController();
     if (!this.knowsAll(jobs)) {
-      await Promise.race([learned, this.clock.sleep(this.limits.waitMs, waited.signal)]);
-      waited.abort();
+      await Promise.race([refreshed, this.clock.sleep(this.limits.waitMs, answered.signal)]);
+      answered.abort();
     }
     const mayAnswer = await this.zoneDelegate.holds(fencingToken);
     if (!mayAnswer || !this.knowsAll(jobs)) return { kind: 'redirect', leader };
@@ -83,20 +86,21 @@
     const askedAt = this.clock.now();
     const known = this.uncancelledAsOf.get(job) ?? -Infinity;
     if (askedAt - known < this.limits.refreshMs) return Promise.resolve();
-    let answer = this.asking.get(job);
-    if (!answer) {
-      answer = this.phaseOf(job)
+    let pendingRead = this.pendingReads.get(job);
+    if (!pendingRead) {
+      pendingRead = this.phaseOf(job)
         .then((phase) => {
           if (phase === 'cancelled') this.cancelled.add(job);
           else this.uncancelledAsOf.set(job, askedAt);
-          // Nothing is answered on what is dropped: it is asked for again first.
+          // No worker is answered from what is dropped: the store is asked again first.
           dropOldest(this.uncancelledAsOf, this.limits.maxJobs);
           dropOldest(this.cancelled, this.limits.maxJobs);
         })
+        // While the job is unknown its worker gets no answer, and its next heartbeat tries again.
         .catch(() => undefined)
-        .finally(() => this.asking.delete(job));
-      this.asking.set(job, answer);
+        .finally(() => this.pendingReads.delete(job));
+      this.pendingReads.set(job, pendingRead);
     }
-    return answer;
+    return pendingRead;
   }
 }
--- a/src/election/successor-policy.ts
+++ b/src/election/successor-policy.ts
@@ -62,7 +62,7 @@
     return this.peerTransport.lastHeardAt(member) !== null && !this.isUnresponsive(member);
   }
 
-  /** How long a worker takes at most to pass so many unresponsive controllers, from its last answered heartbeat. */
+  /** How long a worker takes at most, from its last answered heartbeat, to pass so many unresponsive controllers. */
   private failoverMs(unresponsiveCount: number): number {
     return (
       this.options.heartbeatIntervalMs * MAX_HEARTBEAT_JITTER +
--- a/src/membership/membership.ts
+++ b/src/membership/membership.ts
@@ -1,3 +1,4 @@
+/** Which record formats, frames and features the controllers of this cluster understand. */
 import { RequestPriority } from '@leverhatch/core/store';
 import { z } from 'zod/mini';
 import { FRAME_VERSIONS } from '../peer/frames.js';
@@ -26,6 +27,7 @@
   features?: readonly string[];
 }
 
+/** What this program understands. */
 export const OWN_FORMATS: Formats = {
   recordFormat: Math.max(...Object.values(RECORD_FORMATS)),
   frameVersions: FRAME_VERSIONS,
@@ -50,6 +52,7 @@
   startedAt: number;
 }
 
+/** The controllers that there are. */
 export interface MembershipNames {
   self: string;
   peers: string[];
@@ -59,11 +62,11 @@
 
 /**
  * Which formats every controller understands. Each writes a record of itself when it starts. A
- * version from before these records writes none, and nothing is guessed from silence: a controller
- * without a record is taken for one that knows the first format alone. A format may be written once
- * every controller has a record that names it or a later one; from then on it stays so, since
- * records are never deleted. Each format is judged by itself: what all knew before an upgrade began
- * they know throughout, whatever newer format the upgrade brings.
+ * version from before these records writes none, and nothing is concluded from a missing one: a
+ * controller without a record is taken for one that knows the first format alone. A format may be
+ * written once every controller has a record that names it or a later one; from then on it stays so,
+ * since records are never deleted. Each format is judged by itself: what all knew before an upgrade
+ * began they know throughout, whatever newer format the upgrade brings.
  */
 export class Membership {
   private readonly members = new Map<string, MemberRecord>();
@@ -89,7 +92,7 @@
     return this.members.get(peer)?.frameVersions.includes(version) ?? false;
   }
 
-  /** True once all others understand whatever this program does: no record brings any news then. */
+  /** True once all others understand whatever this program does: no record can change anything then. */
   private get isComplete(): boolean {
     const { recordFormat, frameVersions } = this.own;
     return (
@@ -100,9 +103,11 @@
     );
   }
 
+  /** Writes our own record, then reads those of the others until all are up to date. */
   async run(signal: AbortSignal): Promise<void> {
     await this.writeOwnRecord(signal);
     while (!signal.aborted && !this.isComplete) {
+      // While the store does not serve, no new format is written; the next refresh tries again.
       await this.refresh(signal).catch(() => undefined);
       if (!this.isComplete) await this.runtime.clock.sleep(this.refreshMs, signal);
     }
@@ -121,8 +126,8 @@
       ...(this.own.features ? { features: this.own.features } : {}),
     };
     const key = KEYS.member(record.name);
-    // Conditioned on what it replaces: a copy without an answer may be carried out after a later
-    // program of this controller has written its own record.
+    // Conditioned on what it replaces: an ambiguous write may be applied after a later program of this
+    // controller has written its own record.
     let version = 0;
     let waitMs = this.refreshMs / 4;
     while (!signal.aborted) {
@@ -181,7 +186,7 @@
     const members = [...this.members.keys()];
     this.runtime.log.info(
       { members, recordFormat: this.commonFormat },
-      'all controllers read a format',
+      'record format read by all controllers',
     );
     const { rangedRuns } = RECORD_FORMATS;
     // The announced limits can come at any moment from now on.
@@ -194,7 +199,7 @@
     const current = [...this.members.values()].filter(
       (member) => member.recordFormat >= recordFormat,
     );
-    const names = new Set(current.map((m) => m.name));
+    const names = new Set(current.map((member) => member.name));
     return names.size >= size && [self, ...peers].every((name) => names.has(name));
   }
 }
