--- a/packages/core/src/clock.ts
+++ b/packages/core/src/clock.ts
@@ -1,13 +1,16 @@
-/** Time as the rest of the program sees it; tests bring their own. */
+/** The port to time: a monotonic clock, the time of day, and sleeping. */
+
+/** Time as the rest of the program sees it; tests pass in a simulated one. */
 export interface Clock {
-  /** Steady time in milliseconds. */
+  /** Monotonic time in milliseconds; its origin is arbitrary. */
   now(): number;
-  /** Time of day in milliseconds, within the bound that the settings give. */
+  /** Time of day in milliseconds since the Unix epoch, accurate to the clock error of the settings. */
   wall(): number;
-  /** Resolves after `ms`, or as soon as `signal` is aborted. */
+  /** Resolves after `ms` milliseconds, or as soon as `signal` is aborted; it never rejects. */
   sleep(ms: number, signal?: AbortSignal): Promise<void>;
 }
 
+/** The clock of this process. */
 export const systemClock: Clock = {
   now: () => performance.now(),
   wall: () => Date.now(),
@@ -24,5 +27,8 @@
     }),
 };
 
-/** Steady clocks drift apart by up to 0.05 % each way; bounds on others' clocks add this twice. */
+/**
+ * By which fraction two monotonic clocks may drift apart: each is off by up to 0.05 %. Bounds on the clocks
+ * of other nodes add it twice.
+ */
 export const MAX_CLOCK_DRIFT = 0.001;
--- a/packages/core/src/duty.ts
+++ b/packages/core/src/duty.ts
@@ -1,18 +1,23 @@
+/** Supervised tasks: long-lived routines that are restarted when they fail. */
 import type { Logger } from './log.js';
 import type { Clock } from './clock.js';
 import { jitter, type Random } from './random.js';
 
+/** What every routine of a process is passed: time, chance and the log. */
 export interface Runtime {
   clock: Clock;
   random: Random;
   log: Logger;
-  /** When this process began, on `clock`; what an earlier one promised is counted from here. */
+  /** When this process started, on `clock` in milliseconds; promises of an earlier process count from here. */
   startedAt: number;
 }
 
 /**
- * Runs a long-lived duty until `signal` is aborted. A duty that throws is a bug or a lost
- * partner: it is logged and started again after a wait.
+ * Runs a supervised task until `signal` is aborted. One that throws has met a bug or lost its peer: the
+ * failure is logged and the task is restarted after a wait.
+ *
+ * @param name names the task in the log
+ * @param restartMs the wait before a restart in milliseconds, spread by `jitter`
  */
 export async function supervise(
   runtime: Omit<Runtime, 'startedAt'>,
@@ -26,15 +31,18 @@
       await body(signal);
     } catch (error) {
       if (signal.aborted) return;
-      runtime.log.warn({ duty: name, error: String(error) }, 'duty failed');
+      runtime.log.warn(
+        { supervisedTask: name, error: String(error) },
+        'supervised task failed, restarting',
+      );
     }
     if (!signal.aborted) await runtime.clock.sleep(jitter(restartMs, runtime.random), signal);
   }
 }
 
 /**
- * For a duty that has nothing left to do: resolves once `signal` is aborted, at once if it was. A
- * listener alone never hears of an end that came before it.
+ * For a supervised task that has nothing left to do: resolves once `signal` is aborted, immediately if it
+ * already is. A listener alone would miss an abort that came before it.
  */
 export function untilAborted(signal: AbortSignal): Promise<void> {
   if (signal.aborted) return Promise.resolve();
--- a/packages/core/src/fenced-records.ts
+++ b/packages/core/src/fenced-records.ts
@@ -1,7 +1,7 @@
 /**
- * The records of one part that the leader of a term keeps in memory, follows and changes. One of them is
- * the head: it changes with everything that starts of work rest on, and transactions that start work are
- * conditioned on its version.
+ * The records of one extension, which the leader of a term keeps in memory, watches and changes. One of them
+ * is the manifest: it changes with everything that the start of work depends on, and transactions that start
+ * work are conditioned on its version.
  */
 import type { Clock } from './clock.js';
 import { supervise } from './duty.js';
@@ -18,71 +18,78 @@
 } from './store.js';
 import type { TermPort } from './term.js';
 
-/** For so many steps one request waits for changes. */
+export { FeatureWatch } from './feature-watch.js';
+
+/** How long one watch request waits for changes, in step intervals. */
 const WATCH_STEPS = 4;
 
-/** The records as they were last read or written. */
+/** The records in memory, as they were last read or written. */
 export interface RecordRepository {
-  /** The version of the head; 0 before it was first written. */
+  /** The version of the manifest; 0 before it was first written. */
   readonly manifestVersion: number;
-  /** Takes in one entry, unless a newer one of the same key is known. */
+  /** Applies one entry, unless a newer one of the same key is known. */
   apply(entry: Entry): void;
+  /** Drops the record of a key that was deleted. */
   remove(key: string): void;
   /** Keys whose records cannot be read. */
   unreadableKeys(): Iterable<string>;
 }
 
-/** What keeping records needs of the service. */
+/** What keeping records needs of the controller. */
 export interface RecordPorts {
   store: StorePort;
   clock: Clock;
   random: Random;
   log: Logger;
-  /** How often a leader looks whether something can go on. */
+  /** How long a leader waits before it looks for the next step, in milliseconds. */
   stepIntervalMs: number;
 }
 
-/** Where the records of a part are, and what happens when they change. */
-export interface RecordLayout<Book extends RecordRepository> {
-  /** Names the part in logs. */
+/** Where the records of an extension are stored, and what happens when they change. */
+export interface RecordLayout<Repository extends RecordRepository> {
+  /** Names the extension in log lines and write ids. */
   name: string;
   /** What the keys of all records begin with. */
   prefix: string;
+  /** The key of the manifest. */
   manifestKey: string;
-  read(entries: readonly Entry[]): Book;
-  /** What the log says of a record that cannot be read. */
+  /** The records that these entries hold. */
+  read(entries: readonly Entry[]): Repository;
+  /** The log message for a record that cannot be read. */
   unreadableMessage: string;
-  /** The records are others than before. */
+  /** The records in memory have changed. */
   onChange(): void;
 }
 
-/** One transaction of the leader; that the leader leads is a condition of each. */
+/** One transaction of the leader; the condition that it still leads is added to each. */
 export interface RecordWrite {
   conditions: Condition[];
   changes: Change[];
   priority: RequestPriority;
 }
 
-/** The records of one part in one term. */
-export class FencedRecords<Book extends RecordRepository> {
-  repository: Book;
+/** The records of one extension in one term. */
+export class FencedRecords<Repository extends RecordRepository> {
+  /** The records, as they were last read or written. */
+  repository: Repository;
   private watchedRevision = 0;
-  /** A change of the head is being written. */
+  /** A change of the manifest is being written. */
   private isManifestWriteInFlight = false;
-  private readonly waiters: (() => void)[] = [];
-  private writes = 0;
+  /** Called when the outcome of that write is known. */
+  private readonly manifestWaiters: (() => void)[] = [];
+  private writeCount = 0;
   /** Unreadable records that have been logged. */
   private readonly loggedUnreadableKeys = new Set<string>();
 
   constructor(
     private readonly ports: RecordPorts,
     private readonly term: TermPort,
-    private readonly layout: RecordLayout<Book>,
+    private readonly layout: RecordLayout<Repository>,
   ) {
     this.repository = layout.read([]);
   }
 
-  /** Reads all records. Nothing may be decided before this has come about once in the term. */
+  /** Reads all records. Nothing may be decided before this has succeeded once in the term. */
   async load(signal: AbortSignal): Promise<void> {
     const { items, revision } = await this.ports.store.range(this.layout.prefix, signal);
     this.repository = this.layout.read(items);
@@ -99,35 +106,42 @@
     }
   }
 
-  /** What every transaction that starts work is conditioned on. */
+  /** The condition of every transaction that starts work. */
   condition(): Condition {
     return { key: this.layout.manifestKey, version: this.repository.manifestVersion };
   }
 
   /**
-   * A transaction that starts work was refused because the head has changed. Resolves once the one that
-   * the store has is known.
+   * A transaction that starts work was refused because the manifest has changed. Resolves once the
+   * manifest in the store is known.
    */
   async conditionFailed(failed: Condition): Promise<void> {
     await this.manifestWriteSettled();
     if (this.repository.manifestVersion === failed.version) await this.reload(this.term.signal);
   }
 
-  /** Resolves once it is known what became of the change of the head that is being written. */
+  /** Resolves once the outcome of the manifest write under way is known. */
   private manifestWriteSettled(): Promise<void> {
     if (!this.isManifestWriteInFlight) return Promise.resolve();
-    return new Promise((resolve) => this.waiters.push(resolve));
+    return new Promise((resolve) => this.manifestWaiters.push(resolve));
   }
 
-  /** Follows the records and takes steps, until `signal` is aborted; `step` answers whether it did anything. */
+  /**
+   * Watches the records and takes steps until `signal` is aborted. `step` resolves to whether it did
+   * anything; if not, the next one waits for the step interval.
+   */
   async run(signal: AbortSignal, step: (signal: AbortSignal) => Promise<boolean>): Promise<void> {
     const { ports, layout } = this;
     await Promise.all([
-      supervise(ports, `follow ${layout.name}`, signal, ports.stepIntervalMs, (signal) =>
-        this.watchRecords(signal),
+      supervise(ports, `watch ${layout.name} records`, signal, ports.stepIntervalMs, (taskSignal) =>
+        this.watchRecords(taskSignal),
       ),
-      supervise(ports, `move ${layout.name}`, signal, ports.stepIntervalMs, (signal) =>
-        this.stepForever(signal, step),
+      supervise(
+        ports,
+        `advance ${layout.name} records`,
+        signal,
+        ports.stepIntervalMs,
+        (taskSignal) => this.stepForever(taskSignal, step),
       ),
     ]);
   }
@@ -136,34 +150,37 @@
     signal: AbortSignal,
     step: (signal: AbortSignal) => Promise<boolean>,
   ): Promise<void> {
-    const { clock, random, stepIntervalMs: stepIntervalMs } = this.ports;
+    const { clock, random, stepIntervalMs } = this.ports;
     while (!signal.aborted) {
-      const moved = await step(signal);
-      if (!moved) await clock.sleep(jitter(stepIntervalMs, random), signal);
+      const progressed = await step(signal);
+      if (!progressed) await clock.sleep(jitter(stepIntervalMs, random), signal);
     }
   }
 
   private async watchRecords(signal: AbortSignal): Promise<void> {
-    const { store, stepIntervalMs: stepIntervalMs, clock, random } = this.ports;
+    const { store, stepIntervalMs, clock, random } = this.ports;
     const { prefix } = this.layout;
     while (!signal.aborted) {
       try {
-        const news = await store.watch(
+        const batch = await store.watch(
           prefix,
           this.watchedRevision,
           stepIntervalMs * WATCH_STEPS,
           signal,
         );
-        for (const event of news.events) this.applyEvent(event);
-        this.watchedRevision = news.revision;
-        if (news.events.length > 0) this.changed();
+        for (const event of batch.events) this.applyEvent(event);
+        this.watchedRevision = batch.revision;
+        if (batch.events.length > 0) this.changed();
       } catch (error) {
         if (signal.aborted) return;
         if (error instanceof RevisionCompactedError) {
-          // Once no write of ours is under way that it could miss.
+          // The reload must not miss a manifest write of this leader that is under way.
           await this.manifestWriteSettled();
           await this.reload(signal);
-        } else await clock.sleep(jitter(stepIntervalMs, random), signal);
+        } else {
+          // The store is unavailable: the watch continues from the same revision.
+          await clock.sleep(jitter(stepIntervalMs, random), signal);
+        }
       }
     }
   }
@@ -173,26 +190,26 @@
     else this.repository.apply(event);
   }
 
-  /** A mark for the records of one write, by which it is known again. */
+  /** The id of the next write, by which its records are recognized after an ambiguous result. */
   nextWriteId(): string {
-    return `${this.term.id}/${this.layout.name}${++this.writes}`;
+    return `${this.term.id}/${this.layout.name}${++this.writeCount}`;
   }
 
   /**
-   * Writes, until the store gives a definite answer. False if the store holds something else than was
-   * known; what it holds is known then, and whether it is this very write, of which an earlier copy got
-   * no answer.
+   * Writes, repeating until the store gives a definite answer. False if a condition failed; the records
+   * were then read again, so that they also show whether an earlier attempt of this write, one without an
+   * answer, was applied.
    *
-   * @param onManifestSettled for a change of the head: called when it is known what became of it
+   * @param onManifestSettled for a change of the manifest: called when its outcome is known
    */
   async write(
-    { conditions: when, changes: changes, priority: priority }: RecordWrite,
+    { conditions: required, changes, priority }: RecordWrite,
     signal: AbortSignal,
     onManifestSettled: (() => void) | null = null,
   ): Promise<boolean> {
     this.isManifestWriteInFlight = onManifestSettled !== null;
     try {
-      const conditions = [this.term.leaderCondition(), ...when];
+      const conditions = [this.term.leaderCondition(), ...required];
       const outcome = await this.ports.store.commit(conditions, changes, priority, signal);
       if (!outcome.ok) {
         await this.onConflict(outcome.failed, signal);
@@ -204,7 +221,7 @@
       this.isManifestWriteInFlight = false;
       onManifestSettled?.();
       this.changed();
-      for (const waiter of this.waiters.splice(0)) waiter();
+      for (const waiter of this.manifestWaiters.splice(0)) waiter();
     }
   }
 
@@ -219,41 +236,15 @@
   }
 
   private async reload(signal: AbortSignal): Promise<void> {
-    const { clock, random, stepIntervalMs: stepIntervalMs } = this.ports;
+    const { clock, random, stepIntervalMs } = this.ports;
     for (;;) {
       signal.throwIfAborted();
       try {
         return await this.load(signal);
       } catch {
+        // The store is unavailable or busy; only an abort, checked above, ends the attempts.
         await clock.sleep(jitter(stepIntervalMs, random), signal);
       }
     }
   }
 }
-
-/** How often, in steps, the records of all controllers are looked up. */
-const STEPS_PER_LOOKUP = 10;
-
-/** Whether every controller has a part switched on, as it was last looked up. */
-export class FeatureWatch {
-  private known = false;
-  private looks = 0;
-
-  constructor(
-    private readonly feature: string,
-    private readonly log: Logger,
-    private readonly look: (signal: AbortSignal) => Promise<boolean>,
-  ) {}
-
-  /** Controllers may come that do not have it, so the answer is not remembered for long. */
-  async isEnabledEverywhere(signal: AbortSignal): Promise<boolean> {
-    if (this.looks++ % STEPS_PER_LOOKUP !== 0 && this.known) return true;
-    const before = this.known;
-    this.known = await this.look(signal);
-    if (this.known === before) return this.known;
-    const { feature } = this;
-    if (this.known) this.log.info({ feature }, 'every controller has the part switched on');
-    else this.log.warn({ feature }, 'a controller does not have the part switched on');
-    return this.known;
-  }
-}
--- a/packages/core/src/store.ts
+++ b/packages/core/src/store.ts
@@ -1,52 +1,54 @@
 /**
- * The state service as parts of the controller use it. The service's own client implements this port;
- * tests bring one in memory.
+ * The port to the store, a consensus-backed key-value store, as extensions use it. The controller's client
+ * implements it; tests pass in one in memory.
  */
 
-/** One key and what it holds. */
+/** One key and its value. */
 export interface Entry {
   key: string;
   value: unknown;
-  /** The revision of its last change. */
+  /** The store's revision at its last change. */
   version: number;
 }
 
-/** What a transaction requires of a key. */
+/** What a compare-and-swap transaction requires of a key. */
 export interface Condition {
   key: string;
-  /** 0: the key must not exist. */
+  /** The version that the key must have; 0: the key must not exist. */
   version: number;
 }
 
 /** What a transaction does to a key. */
 export type Change = { put: string; value: object; lease?: number } | { delete: string };
 
-/** One change that a watch tells of. */
+/** One change that a watch reports. */
 export type StoreEvent =
   { key: string; value: unknown; version: number } | { key: string; gone: true };
 
-/** How soon a request is wanted: a lower value is served first, and nobody waits for `Background`. */
+/** The order in which requests are served, lower values first; nobody waits for `Background`. */
 export const RequestPriority = { Critical: 0, High: 1, Normal: 2, Background: 3 } as const;
+/** One of the priorities above. */
 export type RequestPriority = (typeof RequestPriority)[keyof typeof RequestPriority];
 
 /**
- * `doubtful`: an earlier copy of the same transaction got no answer. It may have been applied, or may
- * be applied later if its conditions hold again then.
+ * The outcome of a transaction that was repeated until the store answered; `failed` lists the keys whose
+ * conditions did not hold. `ambiguous`: an earlier attempt of the same transaction got no answer. It may have
+ * been applied, or may still be applied if its conditions hold again.
  */
 export type CommitResult = ({ ok: true; revision: number } | { ok: false; failed: string[] }) & {
   ambiguous: boolean;
 };
 
-/** A watch cannot go on from where it was: the keys have to be read again. */
+/** The revision that a watch continues from was compacted: the keys have to be read again. */
 export class RevisionCompactedError extends Error {}
 
-/** What parts beside the scheduler need of the state service. */
+/** What extensions need of the store. */
 export interface StorePort {
-  /** All entries below `prefix`, and the revision from which to follow them. */
+  /** All entries below `prefix`, and the revision from which to watch them. */
   range(prefix: string, signal?: AbortSignal): Promise<{ items: Entry[]; revision: number }>;
   /** One entry; null if there is none. */
   get(key: string, priority: RequestPriority, signal?: AbortSignal): Promise<Entry | null>;
-  /** One try. Rejects if the store did not execute it, or if that cannot be told. */
+  /** One attempt. Rejects if the store did not execute it, and if the result is ambiguous. */
   tryCommit(
     conditions: Condition[],
     changes: Change[],
@@ -60,7 +62,10 @@
     priority: RequestPriority,
     signal: AbortSignal,
   ): Promise<CommitResult>;
-  /** Waits for changes below `prefix`; rejects with `HistoryLost` if some were missed. */
+  /**
+   * Waits up to `waitMs` milliseconds for changes below `prefix` after revision `after`. Rejects with
+   * `RevisionCompactedError` if some of them can no longer be read.
+   */
   watch(
     prefix: string,
     after: number,
--- a/packages/core/src/term.ts
+++ b/packages/core/src/term.ts
@@ -1,14 +1,16 @@
+/** The port to a leader's term. */
 import type { Condition } from './store.js';
 
-/** A term of office, as far as the writes of a part need it. */
+/** The time of one controller as leader, as far as the writes of an extension need it. */
 export interface TermPort {
-  /** Marks this term's writes. */
+  /** The prefix of this term's write ids. */
   id: string;
+  /** Aborted when the term ends. */
   signal: AbortSignal;
   /** What every write of the leader is conditioned on. */
   leaderCondition(): Condition;
-  /** Whether the right to lead holds now by the store's lease. */
+  /** Whether the leader lease holds now. */
   holdsLease(): boolean;
-  /** Somebody else leads. */
+  /** Ends the term: another controller leads. */
   end(): void;
 }
--- a/packages/core/src/token-bucket.ts
+++ b/packages/core/src/token-bucket.ts
@@ -1,50 +1,59 @@
+/** Rate limiting. */
 import type { Clock } from './clock.js';
 
-/** Tokens that come at a steady rate, up to a number that may be spent at once. */
+/** A token bucket: filled at a steady rate, up to the burst that may be spent at once. */
 export class TokenBucket {
   private filledAt: number;
 
-  /** @param tokens how many there are at first; a full bucket without it */
+  /**
+   * @param perSecond tokens added a second
+   * @param capacity the burst, in tokens
+   * @param available tokens at first; a full bucket if omitted
+   */
   constructor(
     private readonly clock: Clock,
     private perSecond: number,
-    private most: number,
-    private held = most,
+    private capacity: number,
+    private available = capacity,
   ) {
     this.filledAt = clock.now();
   }
 
-  /** How many may be spent at once. */
+  /** How many tokens may be spent at once. */
   get burst(): number {
-    return this.most;
+    return this.capacity;
   }
 
-  /** How many there were at the last look, less what was spent since. */
+  /** The tokens at the last `fill`, less those spent since. */
   get tokens(): number {
-    return this.held;
+    return this.available;
   }
 
-  /** Takes in what has come since the last look, and answers how many tokens there are. */
+  /** Adds the tokens due since the last call, and returns how many there are. */
   fill(): number {
     const now = this.clock.now();
-    this.held = Math.min(this.most, this.held + ((now - this.filledAt) / 1000) * this.perSecond);
+    this.available = Math.min(
+      this.capacity,
+      this.available + ((now - this.filledAt) / 1000) * this.perSecond,
+    );
     this.filledAt = now;
-    return this.held;
+    return this.available;
   }
 
+  /** Takes tokens out; the number left may become negative. */
   spend(tokens: number): void {
-    this.held -= tokens;
+    this.available -= tokens;
   }
 
-  /** Another rate from now on. */
+  /** Changes the rate (tokens a second) and the burst (tokens) from now on. */
   setRate(perSecond: number, burst: number): void {
     this.fill();
     this.perSecond = perSecond;
-    this.most = burst;
-    this.held = Math.min(this.held, burst);
+    this.capacity = burst;
+    this.available = Math.min(this.available, burst);
   }
 
-  /** How long so many tokens take to come, in milliseconds. */
+  /** How many milliseconds it takes to add so many tokens. */
   msFor(tokens: number): number {
     return (tokens / this.perSecond) * 1000;
   }
