--- a/src/control/extensions/quota-transfer-extension.ts
+++ b/src/control/extensions/quota-transfer-extension.ts
@@ -1,4 +1,5 @@
-import type { Policy, QuotaTransferApi, QuotaTransferPorts } from '@leverhatch/shares';
+/** The extension of quota transfers in one controller. */
+import type { QuotaTransferApi, QuotaTransferPorts } from '@leverhatch/shares';
 import type { OperatorRoutes } from '@leverhatch/operators/listener';
 import type {
   ControllerHost,
@@ -8,30 +9,25 @@
   TermExtension,
 } from './extension.js';
 import { recordPorts } from './record-ports.js';
+import type { QuotaTransferOptions } from './quota-transfer-options.js';
 import { TeamQuotas } from './team-quotas.js';
 
-/** The package that moves shares, as it is loaded where it is switched on. */
-export type QuotaTransferPackage = typeof import('@leverhatch/shares');
+export type { QuotaTransferOptions, QuotaTransferPackage } from './quota-transfer-options.js';
 
-/** What a controller is started with where shares are moved. */
-export interface QuotaTransferOptions {
-  package: QuotaTransferPackage;
-  /** The operators' policy; null: there is none. */
-  policy: Policy | null;
-}
-
-/** Moving shares between teams, in one controller. */
+/** Quota transfers between teams, in one controller. */
 export class QuotaTransferExtension implements Extension {
+  /** The name in the controllers' records of what they have enabled. */
   readonly feature = 'shares';
-  /** Answers operators. */
+  /** Answers operators' requests. */
   readonly api: QuotaTransferApi;
+  /** Its HTTP interface. */
   readonly routes: OperatorRoutes;
   private readonly ports: QuotaTransferPorts;
-  /** The shares of the newest term of this controller. */
-  private term: TeamQuotas | null = null;
+  /** The newest term of this controller; it may have ended. */
+  private currentTerm: TeamQuotas | null = null;
 
   constructor(
-    private readonly switchedOn: QuotaTransferOptions,
+    private readonly options: QuotaTransferOptions,
     host: ControllerHost,
   ) {
     const { store, runtime, settings } = host;
@@ -42,22 +38,23 @@
       maxTransactionChanges: () => store.limits.effective().txnOps,
       isEnabledOnAllControllers: (signal) => host.haveAllEnabled(this.feature, signal),
     };
-    const { package: shares } = switchedOn;
-    this.api = new shares.QuotaTransferApi(this.ports, runtime.random.unique(), () => {
-      const { term } = this;
+    const { package: quotaTransfers } = options;
+    this.api = new quotaTransfers.QuotaTransferApi(this.ports, runtime.random.unique(), () => {
+      const { currentTerm: term } = this;
       if (!term || !host.isLeading()) return null;
       return { quotas: term.leaderQuotas, scheduler: term, policyFailure: term.policyFailure };
     });
-    this.routes = shares.quotaTransferRoutes(this.api);
+    this.routes = quotaTransfers.quotaTransferRoutes(this.api);
   }
 
+  /** Starts quota transfers in a new term of this controller. */
   beginTerm(host: ExtensionHost): TermExtension {
-    const { package: shares, policy } = this.switchedOn;
-    const parts = { package: shares, policy, ports: this.ports, api: this.api };
-    this.term = new TeamQuotas(host, parts);
-    return this.term;
+    const { ports, api } = this;
+    this.currentTerm = new TeamQuotas(host, { ...this.options, ports, api });
+    return this.currentTerm;
   }
 
+  /** The quota that each team will have once the transfers under way are drained. */
   promisedQuotas(): Promise<TeamQuotaMap> {
     return this.api.promisedQuotas();
   }
--- a/src/control/extensions/team-quotas.ts
+++ b/src/control/extensions/team-quotas.ts
@@ -1,3 +1,4 @@
+/** The extension of quota transfers in one term, and what it needs of the scheduler. */
 import type {
   Amounts,
   TeamDemand,
@@ -14,19 +15,28 @@
 import type { Job, Placement } from '../../jobs/tracked-job.js';
 import type { QuotaLimitedTasks } from '../../scheduler/scheduling-model.js';
 import type { ExtensionHost, TermExtension } from './extension.js';
-import type { QuotaTransferOptions } from './quota-transfer-extension.js';
+import type { QuotaTransferOptions } from './quota-transfer-options.js';
 import { lostWorkMs } from '../scheduling/snapshot.js';
 import { teamUsage } from '../scheduling/team-usage.js';
 import { termPort } from './term-port.js';
 import { withdrawUnsentStarts } from './unsent-starts.js';
 
-/** What moving shares has beside the term. */
-interface TeamSharesParts extends QuotaTransferOptions {
+/** A team's usage may exceed its limit by this much, since sums of decimals are inexact. */
+const USAGE_TOLERANCE = 1e-6;
+
+/** What lives as long as the controller. */
+interface TeamQuotasContext extends QuotaTransferOptions {
   ports: QuotaTransferPorts;
   api: QuotaTransferApi;
 }
 
-function candidate(placement: Placement, now: number): DrainCandidate {
+/** Adds the requests of so many tasks to `sum`; a negative count subtracts them. */
+function addTasks(sum: Amounts, need: Amounts, count: number): void {
+  sum.cpus += need.cpus * count;
+  sum.gpus += need.gpus * count;
+}
+
+function drainCandidateOf(placement: Placement, now: number): DrainCandidate {
   const { job, task } = placement;
   const { cpus, gpus } = job.spec.need;
   return {
@@ -39,24 +49,27 @@
   };
 }
 
-/** The scheduler's side of moving shares: what the teams use, want and would have to stop. */
+/** The scheduler's side of quota transfers: what the teams use, what they wait for, and what they may have to stop. */
 export class TeamQuotas implements SchedulerPort, TermExtension {
   readonly leaderQuotas: LeaderQuotas;
   private readonly policy: PolicyRunner | null;
 
   constructor(
     private readonly host: ExtensionHost,
-    { package: shares, ports, policy, api }: TeamSharesParts,
+    { package: quotaTransfers, ports, policy, api }: TeamQuotasContext,
   ) {
-    this.leaderQuotas = new shares.LeaderQuotas(ports, termPort(host), this);
+    this.leaderQuotas = new quotaTransfers.LeaderQuotas(ports, termPort(host), this);
     this.policy =
-      policy && new shares.PolicyRunner(policy, ports, this.leaderQuotas, this, api, host.term.id);
+      policy &&
+      new quotaTransfers.PolicyRunner(policy, ports, this.leaderQuotas, this, api, host.term.id);
   }
 
+  /** Reads the records, before anything is scheduled in the term. */
   load(signal: AbortSignal): Promise<void> {
     return this.leaderQuotas.load(signal);
   }
 
+  /** Advances transfers and evaluates the policy until `signal` is aborted. */
   async run(signal: AbortSignal): Promise<void> {
     await Promise.all([this.leaderQuotas.run(signal), this.runPolicy(signal)]);
   }
@@ -67,56 +80,59 @@
     const { runtime, settings } = this.host;
     await supervise(
       runtime,
-      'share policy',
+      'quota policy',
       signal,
       settings.workers.heartbeatIntervalMs,
-      (signal) => policy.run(signal),
+      (taskSignal) => policy.run(taskSignal),
     );
   }
 
+  /** Why the policy's last evaluation failed; null: it succeeded, or there is no policy. */
   get policyFailure(): string | null {
     return this.policy?.failure ?? null;
   }
 
-  // ---- what the scheduler asks
+  // ---- called by the scheduler
 
-  /** What each team may have now. */
+  /** The quota of each team now. */
   quotas(): ReadonlyMap<string, TeamQuota> {
     return this.leaderQuotas.quotas();
   }
 
+  /** The condition of every transaction that starts work. */
   condition(): Condition {
     return this.leaderQuotas.condition();
   }
 
+  /** Resolves once the quotas in the store are known, after a transaction was refused for this condition. */
   conditionFailed(condition: Condition): Promise<void> {
     return this.leaderQuotas.conditionFailed(condition);
   }
 
-  /** Stops what keeps a share from a team that has a claim to it and waits for it alone. */
+  /** Preempts tasks of donors for teams that are below their guarantee and held back by their limit alone. */
   afterSchedulingCycle(quotaLimited: QuotaLimitedTasks): void {
     if (quotaLimited.size === 0) return;
     const stops = this.leaderQuotas.tasksToPreempt(
       this.demands(quotaLimited),
       this.used(),
       (team) => this.stoppableNow(team),
-      (team) => this.stopping(team),
+      (team) => this.stoppingResources(team),
     );
-    for (const { job, task } of stops) this.stop(job, task);
+    for (const { job, task } of stops) this.stopTask(job, task);
   }
 
-  private stop(id: string, task: number): void {
+  private stopTask(id: string, task: number): void {
     const job = this.host.jobs.get(id);
     const placement = job?.placements.get(task);
     if (!job || !placement || placement.stop) return;
-    const { taskStopper: taskStopper } = this.host;
-    const grace = taskStopper.checkpointGraceMs(job);
-    this.host.runtime.log.debug({ task: `${id}/${task}` }, 'stopped to move a share');
-    if (job.gang) taskStopper.stopAll(job, grace);
-    else taskStopper.stop(placement, grace);
+    const { taskStopper } = this.host;
+    const graceMs = taskStopper.checkpointGraceMs(job);
+    this.host.runtime.log.debug({ task: `${id}/${task}` }, 'task preempted for a quota transfer');
+    if (job.gang) taskStopper.stopAll(job, graceMs);
+    else taskStopper.stop(placement, graceMs);
   }
 
-  /** What waits of the teams whose limit alone holds work back. */
+  /** The waiting work of the teams that their limit alone holds back. */
   private demands(quotaLimited: QuotaLimitedTasks): Map<string, TeamDemand> {
     const demands = new Map<string, TeamDemand>();
     for (const [team, amounts] of this.waiting()) {
@@ -125,12 +141,14 @@
     return demands;
   }
 
-  // ---- what moving shares asks
+  // ---- called by quota transfers
 
+  /** Recorded occupancy by team. */
   used(): ReadonlyMap<string, Amounts> {
     return teamUsage(this.host.jobs.values());
   }
 
+  /** The requests of each team's tasks that could start and have not. */
   waiting(): Map<string, Amounts> {
     const waiting = new Map<string, Amounts>();
     for (const job of this.host.jobs.values()) {
@@ -138,40 +156,39 @@
       if (job.phase !== 'open' || job.readyAt === null) continue;
       const startable = this.host.startableTasks(job);
       const sum = waiting.get(team) ?? { cpus: 0, gpus: 0 };
-      sum.cpus += need.cpus * startable;
-      sum.gpus += need.gpus * startable;
+      addTasks(sum, need, startable);
       waiting.set(team, sum);
     }
     return waiting;
   }
 
-  /** What may be stopped of a team, whatever is known of its machines. */
+  /** The tasks of a team that may be preempted, whether or not their machines respond. */
   candidates(team: string): DrainCandidate[] {
     const now = this.host.now();
-    return this.drainable(team).map((placement) => candidate(placement, now));
+    return this.drainable(team).map((placement) => drainCandidateOf(placement, now));
   }
 
   /**
-   * The candidates on machines that are heard, gangs only whole. Room that others leave cannot be used
-   * yet or even seen by the round of decisions, which would stop as much again on machines that are heard.
+   * The candidates on responsive machines, gangs only if all of their machines are. Capacity that other tasks
+   * leave can neither be used nor be seen by the scheduling cycle, which would preempt as much again.
    */
   private stoppableNow(team: string): DrainCandidate[] {
     const now = this.host.now();
     if (this.mayBeStopping(team, now)) return [];
     const drainable = this.drainable(team);
-    const isHeard = ({ machine }: Placement): boolean => this.host.isSchedulable(machine);
-    const unheardGangs = new Set<Job>();
+    const isResponsive = ({ machine }: Placement): boolean => this.host.isSchedulable(machine);
+    const unresponsiveGangs = new Set<Job>();
     for (const placement of drainable) {
-      if (placement.job.gang && !isHeard(placement)) unheardGangs.add(placement.job);
+      if (placement.job.gang && !isResponsive(placement)) unresponsiveGangs.add(placement.job);
     }
     return drainable
-      .filter((placement) => isHeard(placement) && !unheardGangs.has(placement.job))
-      .map((placement) => candidate(placement, now));
+      .filter((placement) => isResponsive(placement) && !unresponsiveGangs.has(placement.job))
+      .map((placement) => drainCandidateOf(placement, now));
   }
 
   /**
-   * Whether a former leader may have told tasks to stop of which this one has not heard: that is known
-   * from reports alone. No machine that will still report with its tasks does so after a lease.
+   * Whether a former leader may have sent stops that this one does not know of: only heartbeats tell. A
+   * machine that has not sent one within a worker lease will not report its tasks any more.
    */
   private mayBeStopping(team: string, now: number): boolean {
     const { term, settings } = this.host;
@@ -182,18 +199,17 @@
     return false;
   }
 
-  /** Replicas of services are not stopped: what they answer can't be made up for. */
+  /** A team's tasks that may be preempted; never replicas of services, whose requests would be lost. */
   private drainable(team: string): Placement[] {
     const isDrainable = ({ job, stop }: Placement): boolean => job.spec.kind !== 'service' && !stop;
     return [...this.placementsOf(team)].filter(isDrainable);
   }
 
-  private stopping(team: string): Amounts {
+  /** What the team's stopping tasks will free. */
+  private stoppingResources(team: string): Amounts {
     const sum = { cpus: 0, gpus: 0 };
     for (const { job, stop } of this.placementsOf(team)) {
-      if (!stop) continue;
-      sum.cpus += job.spec.need.cpus;
-      sum.gpus += job.spec.need.gpus;
+      if (stop) addTasks(sum, job.spec.need, 1);
     }
     return sum;
   }
@@ -204,32 +220,34 @@
     }
   }
 
+  /** Withdraws starts that are planned and not yet sent, until the teams are within these limits. */
   withdrawStarts(limits: ReadonlyMap<string, TeamQuota>): void {
     const used = this.used();
     for (const [team, { limit }] of limits) {
-      const over = (): boolean => {
-        const now = used.get(team);
-        return now !== undefined && (now.cpus > limit.cpus + 1e-6 || now.gpus > limit.gpus + 1e-6);
-      };
+      const teamUsed = used.get(team);
+      if (!teamUsed) continue;
+      const isOverLimit = (): boolean =>
+        teamUsed.cpus > limit.cpus + USAGE_TOLERANCE ||
+        teamUsed.gpus > limit.gpus + USAGE_TOLERANCE;
       for (const job of this.host.jobs.values()) {
-        if (!over()) break;
-        if (job.spec.team === team) this.withdrawStartsOf(job, used.get(team)!, over);
+        if (!isOverLimit()) break;
+        if (job.spec.team === team) this.withdrawStartsOf(job, teamUsed, isOverLimit);
       }
     }
   }
 
-  private withdrawStartsOf(job: Job, used: Amounts, over: () => boolean): void {
-    const { cpus, gpus } = job.spec.need;
+  /** Withdraws the starts of one job, and subtracts them from `used`. */
+  private withdrawStartsOf(job: Job, used: Amounts, isOverLimit: () => boolean): void {
     let counted = 0;
-    const isOver = (withdrawn: number): boolean => {
-      used.cpus -= cpus * (withdrawn - counted);
-      used.gpus -= gpus * (withdrawn - counted);
+    const isStillOver = (withdrawn: number): boolean => {
+      addTasks(used, job.spec.need, counted - withdrawn);
       counted = withdrawn;
-      return over();
+      return isOverLimit();
     };
-    isOver(withdrawUnsentStarts(job, this.host.taskStopper, isOver));
+    isStillOver(withdrawUnsentStarts(job, this.host.taskStopper, isStillOver));
   }
 
+  /** Requests a scheduling cycle. */
   onQuotasChanged(): void {
     this.host.requestSchedule();
   }
