--- a/test/fakes/quota-checker.ts
+++ b/test/fakes/quota-checker.ts
@@ -5,7 +5,7 @@
 import { askUntilServed, extensionOf, observed } from './operators.js';
 import type { SimulatedCluster } from './simulated-cluster.js';
 
-/** The machines of most stories of shares: 64 GPUs in two zones. */
+/** The machines of most tests of quota transfers: 64 GPUs in two zones. */
 export const EIGHT = [...machines('aaaa'), ...machines('bbbb')];
 
 interface Amounts {
@@ -13,8 +13,8 @@
   gpus: number;
 }
 
-/** Of a record of a move, what the checker reads. */
-interface SeenMove {
+/** What the checker reads of a transfer's record. */
+interface SeenTransfer {
   from: string;
   to: string;
   limit: Amounts;
@@ -22,16 +22,16 @@
   phase: string;
 }
 
-/** Phases in which what is passed on counts for the receiver. */
+/** Phases in which what was passed on counts for the receiver. */
 const HELD = ['draining', 'lent', 'done', 'returning'];
 
 /**
- * Judges shares by what the workers of a story run: no team may use more than the limit of the
- * settings, less what the store says it has passed on, plus what was passed to it. It shares no code
- * with the package, and sets the limits by which the rule `quota` is judged at every step.
+ * Checks quotas by what the workers run: no team may use more than the limit of the settings, less what the
+ * store says it has passed on, plus what was passed to it. It has no code in common with the package, and sets
+ * the limits by which the rule `quota` is checked at every step.
  */
 export class QuotaChecker {
-  /** The changes of the table that the store has seen. */
+  /** How often the manifest was written. */
   changes = 0;
 
   constructor(private readonly world: SimulatedCluster) {
@@ -49,18 +49,18 @@
     for (const [name, { limit }] of this.world.teams) limits.set(name, { ...limit });
     for (const [key, { value }] of this.world.store.keys) {
       if (!key.startsWith('shares/moves/')) continue;
-      const move = value as SeenMove;
-      if (!HELD.includes(move.phase)) continue;
+      const transfer = value as SeenTransfer;
+      if (!HELD.includes(transfer.phase)) continue;
       for (const resource of ['cpus', 'gpus'] as const) {
-        limits.get(move.from)![resource] -= move.passed[resource];
-        limits.get(move.to)![resource] += move.passed[resource];
+        limits.get(transfer.from)![resource] -= transfer.passed[resource];
+        limits.get(transfer.to)![resource] += transfer.passed[resource];
       }
     }
     for (const [name, limit] of limits) this.world.teamLimits.set(name, limit);
   }
 }
 
-/** Switches moving shares on at all controllers that start from now on. */
+/** Enables quota transfers at all controllers that start from now on. */
 export function withQuotaTransfers(
   world: SimulatedCluster,
   policy: shares.Policy | null = null,
@@ -74,7 +74,7 @@
   return new QuotaChecker(world);
 }
 
-/** How operators ask one controller about shares; undefined: it is down, or has them switched off. */
+/** The operators' interface of one controller; undefined: it is down, or has quota transfers disabled. */
 export function quotaTransferApi(
   world: SimulatedCluster,
   node: number,
@@ -83,7 +83,7 @@
   return api && observed(world, node, api);
 }
 
-/** Asks one controller about shares, and again while it does not serve. */
+/** Asks one controller, and again while it does not serve. */
 export function askQuotaTransfers(
   world: SimulatedCluster,
   node: number,
@@ -95,6 +95,6 @@
   });
 }
 
-/** The phase that the record of a move says. */
+/** The phase in a transfer's record. */
 export const transferPhase = (world: SimulatedCluster, id: string): string | undefined =>
-  (world.store.get(`shares/moves/${id}`) as SeenMove | undefined)?.phase;
+  (world.store.get(`shares/moves/${id}`) as SeenTransfer | undefined)?.phase;
--- a/test/quota-transfer-guards.test.ts
+++ b/test/quota-transfer-guards.test.ts
@@ -118,10 +118,10 @@
   await cluster.close();
 });
 
-/** One leader's shares alone, with a request in the store. */
+/** The quota transfers of one leader without a cluster, with a request in the store. */
 async function alone(
   leaderVersion: number,
-  part: Partial<QuotaTransferPorts & SchedulerPort> = {},
+  overrides: Partial<QuotaTransferPorts & SchedulerPort> = {},
 ) {
   const clock = new FakeClock();
   const fakeStore = new FakeStore(clock);
@@ -134,13 +134,13 @@
     1000,
   );
   const end = new AbortController();
-  const shares = new LeaderQuotas(
+  const leaderQuotas = new LeaderQuotas(
     {
       ...{ store, clock, log, random: runtime.random, base: settings().teams, clockErrorMs: 100 },
       stepIntervalMs: 500,
       maxTransactionChanges: () => 20,
       isEnabledOnAllControllers: async () => true,
-      ...part,
+      ...overrides,
     },
     {
       id: 'term',
@@ -155,7 +155,7 @@
       withdrawStarts: () => undefined,
       onQuotasChanged: () => undefined,
       candidates: () => [],
-      ...part,
+      ...overrides,
     },
   );
   fakeStore.write('leader', { member: 'another' });
@@ -167,15 +167,15 @@
     ...{ guarantee: { cpus: 0, gpus: 0 }, limit: { cpus: 0, gpus: 8 } },
   };
   fakeStore.write('shares/moves/m1', record);
-  const loaded = shares.load(end.signal);
+  const loaded = leaderQuotas.load(end.signal);
   await clock.advance(100);
   await loaded;
-  return { clock, fakeStore, shares, end, record };
+  return { clock, fakeStore, leaderQuotas, end, record };
 }
 
 test('who leads no more changes nothing, and learns of it', async () => {
-  const { clock, fakeStore, shares, end, record } = await alone(1);
-  void shares.run(end.signal);
+  const { clock, fakeStore, leaderQuotas, end, record } = await alone(1);
+  void leaderQuotas.run(end.signal);
   await clock.advance(3000);
   assert.ok(end.signal.aborted, 'its term is over');
   assert.deepEqual(fakeStore.get('shares/moves/m1'), record);
@@ -183,14 +183,14 @@
 
 test('a cancellation that is heard of while the controllers are looked up is not lost', async () => {
   let lookUp = async (): Promise<void> => undefined;
-  const { clock, fakeStore, shares, end, record } = await alone(2, {
+  const { clock, fakeStore, leaderQuotas, end, record } = await alone(2, {
     isEnabledOnAllControllers: () => lookUp().then(() => true),
   });
   lookUp = async () => {
     fakeStore.write('shares/moves/m1', { ...record, cancelRequested: true });
     await clock.sleep(1000);
   };
-  void shares.run(end.signal);
+  void leaderQuotas.run(end.signal);
   await clock.advance(5000);
   assert.equal((fakeStore.get('shares/moves/m1') as { phase: string }).phase, 'cancelled');
   end.abort();
@@ -198,14 +198,14 @@
 
 test('starts whose table has changed are judged by the new one before they are tried again', async () => {
   const judgedBy: number[] = [];
-  const { clock, fakeStore, shares, end, record } = await alone(2, {
+  const { clock, fakeStore, leaderQuotas, end, record } = await alone(2, {
     withdrawStarts: (teams) => judgedBy.push(teams.get('speech')!.limit.gpus),
   });
-  const failed = shares.condition();
+  const failed = leaderQuotas.condition();
   const begun = { ...record, phase: 'draining', order: 1 };
   fakeStore.write('shares/moves/m1', begun);
   fakeStore.write('shares/head', { w: 'w', revision: 1 });
-  const known = shares.conditionFailed(failed);
+  const known = leaderQuotas.conditionFailed(failed);
   await clock.advance(100);
   await known;
   assert.deepEqual(judgedBy, [56]);
--- a/test/quota-transfer-unheard-machines.test.ts
+++ b/test/quota-transfer-unheard-machines.test.ts
@@ -15,7 +15,7 @@
 const SERVICE_TASKS = 16;
 const MORE_REPLICAS = 8;
 
-/** Machines that are not heard for a part of their lease. */
+/** Machines that are unresponsive for a fraction of their lease. */
 const SILENT = 5;
 
 /** Gives the team of the service a limit that its first replicas use up. */
@@ -29,7 +29,7 @@
 };
 
 interface Story {
-  w: SimulatedCluster;
+  cluster: SimulatedCluster;
   tuning: string;
 }
 
@@ -62,10 +62,10 @@
   await cluster.until(() => cluster.running(tuning) === TUNING_TASKS, 20, 'every machine is full');
   // By now all tasks lose as much as between two checkpoints: the first ones would be stopped.
   await cluster.pass(12);
-  return { w: cluster, tuning };
+  return { cluster, tuning };
 }
 
-function silence({ w: cluster, tuning }: Story): void {
+function silence({ cluster, tuning }: Story): void {
   cluster.faults.mute(cluster.holding(tuning).slice(0, SILENT));
 }
 
@@ -81,7 +81,7 @@
   return pieces.filter(({ job, phase }) => job === wanted && phase === 'running').length;
 }
 
-/** More replicas, beyond the limit of their team until the move has given it more. */
+/** More replicas, beyond the limit of their team until the transfer has raised it. */
 async function askForMore(cluster: SimulatedCluster): Promise<string> {
   const replicas = await cluster.submit(
     { shape: 'service', pieces: MORE_REPLICAS, runMs: 0 },
@@ -92,7 +92,7 @@
 }
 
 /** The replicas get what they need and no more: no task of the run is stopped to start again. */
-async function enoughIsStopped({ w: cluster, tuning }: Story, replicas: string): Promise<void> {
+async function enoughIsStopped({ cluster, tuning }: Story, replicas: string): Promise<void> {
   await cluster.until(() => cluster.running(replicas) === MORE_REPLICAS, 60, 'the replicas run');
   await cluster.pass(5);
   const starts = cluster.starts.filter((start) => start.startsWith(tuning));
@@ -103,9 +103,9 @@
   await cluster.close();
 }
 
-/** The replicas take the place of tasks on machines that are heard. */
+/** The replicas replace tasks on responsive machines. */
 async function silentOnesGoOn(story: Story): Promise<void> {
-  const { w: cluster, tuning } = story;
+  const { cluster, tuning } = story;
   const silent = cluster.holding(tuning).slice(0, SILENT);
   const before = runningOn(silent, tuning);
   const replicas = await askForMore(cluster);
@@ -126,7 +126,7 @@
 test(`${SILENT} of ${TWELVE.length} machines are silent for seconds: a drain takes none of their tasks`, async () => {
   const story = await begin();
   silence(story);
-  await story.w.pass(4);
+  await story.cluster.pass(4);
   await silentOnesGoOn(story);
 });
 
@@ -134,7 +134,7 @@
 // is written nowhere else.
 test(`the leader ends in the middle of a drain on ${TWELVE.length} machines: the next one stops no more`, async () => {
   const story = await begin();
-  const { w: cluster, tuning } = story;
+  const { cluster, tuning } = story;
   const replicas = await askForMore(cluster);
   await cluster.until(() => cluster.running(tuning) < TUNING_TASKS, 20, 'tasks are stopped');
   const stopped = cluster.holding(tuning).filter(({ pieces }) => pieces.some(isBeingStopped));
--- a/test/quota-transfers.test.ts
+++ b/test/quota-transfers.test.ts
@@ -22,7 +22,7 @@
 };
 
 interface Story {
-  w: SimulatedCluster;
+  cluster: SimulatedCluster;
   checker: QuotaChecker;
 }
 
@@ -35,7 +35,7 @@
   simulatedCluster.cloud.capacity = machines.length;
   const checker = withQuotaTransfers(simulatedCluster);
   await simulatedCluster.start();
-  return { w: simulatedCluster, checker };
+  return { cluster: simulatedCluster, checker };
 }
 
 const submit = (cluster: SimulatedCluster, body: object, node = 0): Promise<ApiAnswer> =>
@@ -50,7 +50,7 @@
   cluster.until(() => transferPhase(cluster, id) === phase, seconds, `${id} is ${phase}`);
 
 test('a share is moved while jobs run: the donor drains by itself and nothing that fits is stopped', async () => {
-  const { w: cluster } = await begin();
+  const { cluster } = await begin();
   const tuning = await cluster.submit({ pieces: 56, crew: 'speech', runMs: 30_000 });
   await cluster.until(() => cluster.running(tuning) === 56, 20, 'the tuning run has its machines');
   assert.equal((await submit(cluster, MOVE, 1)).status, 201);
@@ -67,7 +67,7 @@
 });
 
 test('replicas of the receiver start within a minute on machines that a tuning run holds', async () => {
-  const { w: cluster } = await begin();
+  const { cluster } = await begin();
   const tuning = await cluster.submit({ pieces: 64, crew: 'speech', runMs: 600_000 });
   await cluster.until(() => cluster.running(tuning) === 64, 20, 'the tuning run has every machine');
   await submit(cluster, { ...MOVE, guarantee: { gpus: 16 }, limit: { gpus: 16 } });
@@ -79,7 +79,7 @@
 });
 
 test('what the receiver waits for at its limit is drained, and no more; the youngest work goes', async () => {
-  const { w: cluster } = await begin(0, TWELVE);
+  const { cluster } = await begin(0, TWELVE);
   await submit(cluster, {
     ...MOVE,
     id: 'm0',
@@ -115,7 +115,7 @@
 });
 
 test('a repeat gets the same answer at any controller, another move under its id is refused', async () => {
-  const { w: cluster } = await begin();
+  const { cluster } = await begin();
   assert.equal((await submit(cluster, MOVE, 0)).status, 201);
   assert.equal((await submit(cluster, MOVE, 2)).status, 200);
   assert.equal((await submit(cluster, { ...MOVE, limit: { gpus: 9 } }, 1)).status, 409);
@@ -131,7 +131,7 @@
 });
 
 test('a move, its cancellation and its opposite in one second at three controllers', async () => {
-  const { w: cluster } = await begin();
+  const { cluster } = await begin();
   const work = await cluster.submit({ pieces: 64, crew: 'speech', runMs: 20_000 });
   await cluster.until(() => cluster.running(work) === 64, 20, 'runs');
   const opposite = { ...MOVE, id: 'm2', from: 'vision', to: 'speech', limit: { gpus: 8 } };
@@ -146,7 +146,7 @@
 });
 
 test('a loan goes back although the leader ends at that very moment', async () => {
-  const { w: cluster } = await begin();
+  const { cluster } = await begin();
   await submit(cluster, { ...MOVE, forSeconds: 40 });
   await phaseIs(cluster, 'm1', 'lent');
   const until = (cluster.store.get('shares/moves/m1') as { until: number }).until;
@@ -157,7 +157,7 @@
 });
 
 test('while machines are cut off their work still counts, the receiver waits and operators see for what', async () => {
-  const { w: cluster } = await begin();
+  const { cluster } = await begin();
   const work = await cluster.submit({ pieces: 64, crew: 'speech', runMs: 15_000 });
   await cluster.until(() => cluster.running(work) === 64, 20, 'runs');
   for (const worker of [...cluster.workers.values()].slice(0, 4)) worker.hung = true;
@@ -172,7 +172,7 @@
 });
 
 test('users cancel what is being drained', async () => {
-  const { w: cluster } = await begin();
+  const { cluster } = await begin();
   const work = await cluster.submit({ pieces: 64, crew: 'speech', runMs: 600_000 });
   await cluster.until(() => cluster.running(work) === 64, 20, 'runs');
   await submit(cluster, MOVE);
@@ -184,7 +184,7 @@
 });
 
 test('every team is at its limit and has work waiting: nothing is stopped, the share moves as work ends', async () => {
-  const { w: cluster } = await begin(0, TWELVE);
+  const { cluster } = await begin(0, TWELVE);
   const lending = await cluster.submit({ pieces: 80, crew: 'speech', runMs: 20_000 });
   const asking = await cluster.submit({ pieces: 60, runMs: 20_000 });
   await cluster.until(
@@ -202,7 +202,7 @@
 });
 
 test('a zone is cut off while its delegate serves: what runs there counts until it is heard of', async () => {
-  const { w: cluster } = await begin();
+  const { cluster } = await begin();
   const work = await cluster.submit({ pieces: 64, crew: 'speech', runMs: 15_000 });
   await cluster.until(() => cluster.running(work) === 64, 20, 'runs');
   cluster.split(true);
@@ -234,7 +234,7 @@
 });
 
 test('a record that cannot be read stops moves and not scheduling, and is shown with its key', async () => {
-  const { w: cluster } = await begin();
+  const { cluster } = await begin();
   cluster.store.write('shares/moves/broken', { nonsense: true });
   await submit(cluster, MOVE);
   const job = await cluster.submit({ pieces: 4, runMs: 3000 });
@@ -249,7 +249,7 @@
 });
 
 test('the store is out for longer than cancel_s in the middle of a drain', async () => {
-  const { w: cluster } = await begin();
+  const { cluster } = await begin();
   const work = await cluster.submit({ pieces: 64, crew: 'speech', runMs: 20_000 });
   await cluster.until(() => cluster.running(work) === 64, 20, 'runs');
   await submit(cluster, MOVE);
@@ -263,7 +263,7 @@
 });
 
 test('five hundred moves queue and all are carried out, in the order in which they came', async () => {
-  const { w: cluster, checker } = await begin();
+  const { cluster, checker } = await begin();
   for (let i = 0; i < 500; i++) {
     const [from, to] = i % 2 ? ['speech', 'vision'] : ['vision', 'speech'];
     const record = { id: `m${i}`, from, to, limit: { gpus: 1 } };
@@ -314,7 +314,7 @@
 for (const [name, fail] of Object.entries(FAILURES)) {
   for (const [step, what] of STEPS.entries()) {
     test(`a loan survives when it is being ${what} and ${name}`, async () => {
-      const { w: cluster } = await begin(step);
+      const { cluster } = await begin(step);
       const work = await cluster.submit({ pieces: 56, crew: 'speech', runMs: 12_000 });
       const rest = await cluster.submit({ pieces: 40, crew: 'vision', runMs: 6000 });
       await cluster.until(() => cluster.running(work) > 40, 20, 'runs');
