--- a/src/control/controller.ts
+++ b/src/control/controller.ts
@@ -115,8 +115,8 @@
     const { leader } = this;
     if (!leader) return null;
     return {
-      isRecovered: leader.jobRecords.isRecovered,
-      jobCount: leader.jobs.size,
+      isRecovered: leader.parts.jobRecords.isRecovered,
+      jobCount: leader.parts.jobs.size,
       progressOf: (id) => leader.progressOf(id),
     };
   }
--- a/test/large-fleet.test.ts
+++ b/test/large-fleet.test.ts
@@ -1,5 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
+import type { LeaderParts } from '../src/control/leader-parts.js';
 import { Term } from '../src/election/term.js';
 import { MachineProvisioner } from '../src/fleet/machine-provisioner.js';
 import { JobApi } from '../src/jobs/job-api.js';
@@ -118,15 +119,15 @@
   await simulatedCluster.start();
   const [old] = [...simulatedCluster.cloud.hosts.values()];
   const { leader } = simulatedCluster.nodes[simulatedCluster.leader]!.controller as unknown as {
-    leader: { provisioner: MachineProvisioner; fleet: { machines: Map<string, unknown> } };
+    leader: { parts: Pick<LeaderParts, 'provisioner' | 'fleet'> };
   };
-  leader.provisioner.release(old!.ref);
+  leader.parts.provisioner.release(old!.ref);
   await simulatedCluster.pass(1);
   assert.equal(simulatedCluster.cloud.hosts.size, 0);
   // The list is as old as before the return.
   simulatedCluster.cloud.hosts.set(old!.ref, old!);
   await simulatedCluster.pass(7);
-  assert.equal(leader.fleet.machines.has(old!.ref), false);
+  assert.equal(leader.parts.fleet.machines.has(old!.ref), false);
   simulatedCluster.cloud.hosts.delete(old!.ref);
   await simulatedCluster.close();
 });
--- a/test/resource-bounds.test.ts
+++ b/test/resource-bounds.test.ts
@@ -102,7 +102,7 @@
 
 /** What a leader remembers of jobs that are over. */
 interface Reading {
-  dependencies: { endedJobs: Map<string, unknown> };
+  parts: { dependencies: { endedJobs: Map<string, unknown> } };
 }
 
 test('a leader reads tens of thousands of jobs that are over page by page, and remembers a bounded part', async () => {
@@ -118,7 +118,7 @@
   for (const node of simulatedCluster.nodes) {
     node.fate = () => {
       const { leader } = node.controller as unknown as { leader: Reading | null };
-      mostRemembered = Math.max(mostRemembered, leader?.dependencies.endedJobs.size ?? 0);
+      mostRemembered = Math.max(mostRemembered, leader?.parts.dependencies.endedJobs.size ?? 0);
       return 'serve';
     };
   }
--- a/test/waiting.test.ts
+++ b/test/waiting.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import type { Leader } from '../src/control/leader.js';
+import type { LeaderParts } from '../src/control/leader-parts.js';
 import { withinGuarantee } from '../src/scheduler/job-order.js';
 import type { Job } from '../src/jobs/tracked-job.js';
 import { SimulatedCluster } from './fakes/simulated-cluster.js';
@@ -10,8 +10,10 @@
 const startsOf = (cluster: SimulatedCluster, ref: string): number =>
   cluster.starts.filter((name) => name.startsWith(`${ref}/`)).length;
 
-function leaderOf(cluster: SimulatedCluster): Leader {
-  return (cluster.nodes[cluster.leader]!.controller as unknown as { leader: Leader }).leader;
+function leaderOf(cluster: SimulatedCluster): LeaderParts {
+  return (
+    cluster.nodes[cluster.leader]!.controller as unknown as { leader: { parts: LeaderParts } }
+  ).leader.parts;
 }
 
 /** What the leader holds of a job. */
