--- a/src/jobs/cancellation-log.ts
+++ b/src/jobs/cancellation-log.ts
@@ -5,7 +5,8 @@
 /**
  * Which cancellations this process has announced to any user. An entry is made before the answer
  * leaves, so whoever asks for the entries since some moment gets every cancellation that a user can
- * have learned here since then. Nothing survives the process: what an earlier one announced is unknown.
+ * have learned here since then. Nothing survives the process: what an earlier one announced is
+ * unknown.
  */
 export class CancellationLog {
   /** When the cancellation of each job was first announced (monotonic, ms), oldest first. */
@@ -31,7 +32,10 @@
     return true;
   }
 
-  /** Every job whose cancellation was announced at or after `from`; null if the entries since then may be incomplete. */
+  /**
+   * Every job whose cancellation was announced at or after `from`; null if the entries since then
+   * may be incomplete.
+   */
   since(from: number): string[] | null {
     this.dropExpired();
     if (from < this.completeFrom) return null;
--- a/src/jobs/dependencies.ts
+++ b/src/jobs/dependencies.ts
@@ -11,10 +11,10 @@
  * are written in chunks before the job's record, which then names how many there are.
  *
  * The key of a chunk carries a hash (`mark`) of the whole list. So an acceptance that was cut off
- * half-way leaves only chunks that a repeat, at any controller, would write with the same content: it
- * uses what is there. Another list for the same job has another mark, and the two cannot mix. Chunks are removed
- * only once the job is stored as over. So whoever adds the job's record on condition that there is
- * none yet knows that the chunks seen or written before are all there.
+ * half-way leaves only chunks that a repeat, at any controller, would write with the same content:
+ * it uses what is there. Another list for the same job has another mark, and the two cannot mix.
+ * Chunks are removed only once the job is stored as over. So whoever adds the job's record on
+ * condition that there is none yet knows that the chunks seen or written before are all there.
  */
 export interface StoredDependencies {
   /** What the job's record says; undefined: it waits for nothing. */
@@ -38,7 +38,9 @@
 /** Fraction of the value limit that a chunk fills; the store may count more bytes than we do. */
 const CHUNK_FILL_RATIO = 0.8;
 
-/** What all changes of one transaction may hold together: the limit is 64 KiB with its conditions. */
+/**
+ * What all changes of one transaction may hold together: the limit is 64 KiB with its conditions.
+ */
 const MAX_TRANSACTION_BYTES = 48 * 1024;
 
 /** Quotes and a comma. */
--- a/src/jobs/failure-history.ts
+++ b/src/jobs/failure-history.ts
@@ -1,9 +1,13 @@
 /** Failure attribution: whether the failures of a job are its own fault or its machines'. */
 
-/** The pause after a failure begins with two heartbeat intervals and is doubled at most this often. */
+/**
+ * The pause after a failure begins with two heartbeat intervals and is doubled at most this often.
+ */
 const MAX_PAUSE_DOUBLINGS = 4;
 
-/** A machine on which a task failed is avoided for as many heartbeat intervals as the longest pause. */
+/**
+ * A machine on which a task failed is avoided for as many heartbeat intervals as the longest pause.
+ */
 const AVOIDANCE_INTERVALS = 2 ** MAX_PAUSE_DOUBLINGS;
 
 /** On this many machines a job has to fail before the fault is looked for in the job. */
@@ -13,14 +17,15 @@
 const MAX_BLAMED_MACHINES = 3;
 
 /**
- * Where a suspected job finds no free room for so many heartbeat intervals after its pause, it counts as
- * others do for one attempt, which may wait for gang admission and scale out: it may have met faulty machines only.
+ * Where a suspected job finds no free room for so many heartbeat intervals after its pause, it
+ * counts as others do for one attempt, which may wait for gang admission and scale out: it may have
+ * met faulty machines only.
  */
 const IDLE_INTERVALS = 48;
 
 /**
- * A task runs well once it has run for so many times as long as any that failed, and so many heartbeat
- * intervals more: starts and exits are known no better than that.
+ * A task runs well once it has run for so many times as long as any that failed, and so many
+ * heartbeat intervals more: starts and exits are known no better than that.
  */
 const PROOF_RUNS = 2;
 const PROOF_INTERVALS = 2;
@@ -42,12 +47,12 @@
 export type FailureAttribution = 'sound' | 'open' | 'none';
 
 /**
- * What the failures of one job's tasks show: is it the machines, or a mistake in the job, which then
- * fails everywhere?
+ * What the failures of one job's tasks show: is it the machines, or a mistake in the job, which
+ * then fails everywhere?
  *
- * It lives in the leader's memory alone, so it costs no writes. A new leader knows nothing of it, and
- * tries a job with a mistake as a whole again before it is suspected: once, or twice if all of its
- * tasks were on one machine, for each change of leader. No pause outlives its leader either.
+ * It lives in the leader's memory alone, so it costs no writes. A new leader knows nothing of it,
+ * and tries a job with a mistake as a whole again before it is suspected: once, or twice if all of
+ * its tasks were on one machine, for each change of leader. No pause outlives its leader either.
  */
 export class FailureHistory {
   /** No task is placed before this monotonic time (ms). */
--- a/src/jobs/gang-phase.ts
+++ b/src/jobs/gang-phase.ts
@@ -17,7 +17,9 @@
 export interface GangState {
   phase: 'queued' | GangRecord['phase'];
   holdsGate: boolean;
-  /** Time (ms) that counts against the admission timeout, and when it was last counted (monotonic). */
+  /**
+   * Time (ms) that counts against the admission timeout, and when it was last counted (monotonic).
+   */
   countedMs: number;
   countedAt: number;
   /** Monotonic time until which a suspended gang stays inadmissible. */
@@ -38,7 +40,7 @@
 }
 
 /** The gang holds the gate until it is ready; its timeout counts from `now` (monotonic, ms). */
-export function admitGang(gang: GangState, now: number): void {
+export function markGangAdmitted(gang: GangState, now: number): void {
   gang.phase = 'admitted';
   gang.holdsGate = true;
   gang.countedMs = 0;
@@ -46,28 +48,31 @@
 }
 
 /** All of its machines are there. An admitted gang has used up `bootMs` of its timeout at most. */
-export function placeGang(gang: GangState, now: number, bootMs: number): void {
+export function markGangPlaced(gang: GangState, now: number, bootMs: number): void {
   gang.countedMs = gang.phase === 'admitted' ? Math.min(gang.countedMs, bootMs) : 0;
   gang.countedAt = now;
   gang.phase = 'placed';
 }
 
 /** All of its tasks run. */
-export function startGang(gang: GangState): void {
+export function markGangStarted(gang: GangState): void {
   gang.phase = 'started';
   gang.holdsGate = false;
   gang.suspensions = 0;
 }
 
 /** It is past its timeout, and inadmissible until `until` (monotonic, ms). */
-export function suspendGang(gang: GangState, until: number): void {
+export function markGangSuspended(gang: GangState, until: number): void {
   gang.phase = 'suspended';
   gang.holdsGate = false;
   gang.suspendedUntil = until;
   gang.suspensions++;
 }
 
-/** Back to the queue: what was recorded before holds no more. */
+/**
+ * Back to the queue: after the loss of a member, after a suspension, or where a record is
+ * superseded.
+ */
 export function requeueGang(gang: GangState): void {
   gang.phase = 'queued';
   gang.holdsGate = false;
@@ -87,7 +92,9 @@
   gang.countedAt = now;
 }
 
-/** What the store keeps of it; null while it is queued. `wallOf`: time of day of a monotonic time. */
+/**
+ * What the store keeps of it; null while it is queued. `wallOf`: time of day of a monotonic time.
+ */
 export function toGangRecord(
   gang: GangState,
   wallOf: (monotonic: number) => number,
--- a/src/jobs/job-acceptance.ts
+++ b/src/jobs/job-acceptance.ts
@@ -27,9 +27,9 @@
   | { kind: 'unknown dependency'; id: string };
 
 /**
- * Puts new jobs into the store. The job's own record comes last and on condition that there is none:
- * until it is there the job is not accepted, whatever else has been written, and two controllers that
- * accept the same job at once end in one.
+ * Puts new jobs into the store. The job's own record comes last and on condition that there is
+ * none: until it is there the job is not accepted, whatever else has been written, and two
+ * controllers that accept the same job at once end in one.
  */
 export class JobAcceptance {
   constructor(
@@ -112,9 +112,9 @@
   }
 
   /**
-   * Writes those of the chunks that are not there yet; those present have the right content. False if
-   * the job has been accepted meanwhile: a copy that comes late would bring back chunks that were
-   * removed with the job's end, and nothing would ever remove them again.
+   * Writes those of the chunks that are not there yet; those present have the right content. False
+   * if the job has been accepted meanwhile: a copy that comes late would bring back chunks that
+   * were removed with the job's end, and nothing would ever remove them again.
    */
   private async addChunks(
     id: string,
--- a/src/jobs/job-api.ts
+++ b/src/jobs/job-api.ts
@@ -52,21 +52,23 @@
 }
 
 /**
- * How many jobs may be open for each MB of memory: the leader keeps some 3 KB of each. Beyond it users
- * are sent away until some are over.
+ * How many jobs may be open for each MB of memory: the leader keeps some 3 KB of each. Beyond it
+ * users are sent away until some are over.
  */
 export const OPEN_JOBS_PER_MB = 60;
 
 /** Fraction of a submission's timeout for which it may queue for the store's rate. */
 const MAX_QUEUED_RATIO = 0.25;
 
-/** The same for a cancellation: it is sent away only where it could not be confirmed in its time. */
+/**
+ * The same for a cancellation: it is sent away only where it could not be confirmed in its time.
+ */
 const MAX_CANCEL_QUEUED_RATIO = 0.75;
 
 /**
- * Answers users, on every controller. Nothing is accepted, cancelled or announced before the store
- * has it, and every answer that may still change rests on a version check that began after the query
- * came, see `JobStateCache`.
+ * Answers users, on every controller. Nothing is accepted, cancelled or announced before the
+ * store has it, and every answer that may still change rests on a version check that began after
+ * the query came, see `JobStateCache`.
  */
 export class JobApi {
   private readonly stateCache: JobStateCache;
@@ -175,8 +177,8 @@
   /**
    * What to call a job that was just accepted. One that waits for others may be cancelled with them
    * already, and what is cached of those may be old: another controller may have announced long ago
-   * that one of them is cancelled, and from then on its dependents must not be called pending. Where the
-   * store does not serve the submission is sent again, and answered as known.
+   * that one of them is cancelled, and from then on its dependents must not be called pending.
+   * Where the store does not serve the submission is sent again, and answered as known.
    */
   private async stateOfNew(
     { id, dependencies }: wire.Submission,
--- a/src/jobs/job-reader.ts
+++ b/src/jobs/job-reader.ts
@@ -14,7 +14,7 @@
 /** How records are read. */
 export interface ReadOptions {
   signal?: AbortSignal;
-  /** On whose behalf the store is asked; the most urgent work unless given. */
+  /** Request class towards the store; `RequestPriority.Critical` unless given. */
   requestClass?: RequestClass;
   /** Called with every other record on the pages, which are as large as possible then. */
   onOtherEntry?: (entry: Entry) => void;
--- a/src/jobs/job-record-writer.ts
+++ b/src/jobs/job-record-writer.ts
@@ -111,9 +111,10 @@
   }
 
   /**
-   * Exits of tasks can wait a little: until they are recorded their workers go on reporting them, and
-   * a successor learns them from there. So the exits of a large array share a few writes, and while
-   * writes queue they wait longer: a write that is under way would hold up the job's next starts.
+   * Exits of tasks can wait a little: until they are recorded their workers go on reporting them,
+   * and a successor learns them from there. So the exits of a large array share a few writes, and
+   * while writes queue they wait longer: a write that is under way would hold up the job's next
+   * starts.
    */
   flushExits(job: Job): void {
     if (job.phase !== 'open') return this.flush(job);
@@ -221,7 +222,9 @@
     if (job.isArchived) this.events.archived(job);
   }
 
-  /** Ranged records where all controllers read them and records must shrink, or one was rejected. */
+  /**
+   * Ranged records where all controllers read them and records must shrink, or one was rejected.
+   */
   private chooseLayout(job: Job): void {
     if (job.layout.kind === 'ranged' || job.phase !== 'open') return;
     if (!this.layoutPolicy.rangesReadable()) return;
--- a/src/jobs/job-state-cache.ts
+++ b/src/jobs/job-state-cache.ts
@@ -18,8 +18,8 @@
 import { VersionChecker, type ReadState, type CacheReader } from './version-checker.js';
 
 /**
- * How many jobs a controller caches for each MB of its memory, at some 200 bytes each; beyond it the
- * ones cached longest ago are evicted.
+ * How many jobs a controller caches for each MB of its memory, at some 200 bytes each; beyond it
+ * the ones cached longest ago are evicted.
  */
 const CACHED_JOBS_PER_MB = 50;
 
@@ -31,16 +31,17 @@
 
 /**
  * The states of jobs, on every controller. A state that may still change rests on a version
- * check, or on a read, that began after the query came. One check serves all queries that wait for it.
+ * check, or on a read, that began after the query came. One check serves all queries that wait for
+ * it.
  *
- * A job is cancelled if its record says so or if a job that it needs, directly or through others, is
- * stored as cancelled. So a cancellation holds for all that need the job as soon as it is stored, at
- * every controller, with nothing else to be written. The answer `open` rests on records checked in
- * several transactions, at different moments after the query came. That is sound since a job that
- * is over never opens again: what is open at a later moment was open when the query came, so at
- * that moment all of them were. What a job needs is fixed when it is accepted, and below a job that is done
- * all are done. The answer `cancelled` is final, since a job with a cancelled one before it can never
- * be done: it starts only when all of those are.
+ * A job is cancelled if its record says so or if a job that it needs, directly or through others,
+ * is stored as cancelled. So a cancellation holds for all that need the job as soon as it is
+ * stored, at every controller, with nothing else to be written. The answer `open` rests on records
+ * checked in several transactions, at different moments after the query came. That is sound since a
+ * job that is over never opens again: what is open at a later moment was open when the query came,
+ * so at that moment all of them were. What a job needs is fixed when it is accepted, and below a
+ * job that is done all are done. The answer `cancelled` is final, since a job with a cancelled one
+ * before it can never be done: it starts only when all of those are.
  */
 export class JobStateCache {
   private readonly cache = new Map<string, JobState>();
@@ -113,7 +114,8 @@
       const entry = entries.get(id);
       if (!entry) return id;
     }
-    // Their states will be asked for soon, with the job that names them.
+    // Their states will be queried soon, with the job that names them. One that cannot be read now
+    // is no reason to reject the submission: its own query shows it.
     if (entries.size <= this.checker.maxConditions) {
       await Promise.all(
         [...entries].map(([id, entry]) => this.putEntry(id, entry).catch(() => null)),
@@ -169,10 +171,12 @@
   private markCancelled(id: string): JobState {
     const job = this.cache.get(id);
     if (!job) throw new UncachedJobError(id);
-    return this.put(id, { ...job, phase: 'cancelled', dependencies: [] });
+    return this.put(id, withdrawn(job));
   }
 
-  /** The state of an open job that needs others: all open ones before it are version-checked too. */
+  /**
+   * The state of an open job that needs others: all open ones before it are version-checked too.
+   */
   private async withAncestors(
     checker: VersionChecker,
     id: string,
@@ -330,6 +334,6 @@
 }
 
 const asError = (reason: unknown): Error =>
-  reason instanceof Error ? reason : new Error(String(reason));
+  reason instanceof Error ? reason : new Error(String(reason), { cause: reason });
 
 const withdrawn = (job: JobState): JobState => ({ ...job, phase: 'cancelled', dependencies: [] });
--- a/src/jobs/job-transaction.ts
+++ b/src/jobs/job-transaction.ts
@@ -36,7 +36,10 @@
   leftovers: StoredSection[];
   /** It changes nothing: records are moved to another layout. */
   background: boolean;
-  /** What its starts rest on beside the leader key; empty: it has none, or they rest on nothing else. */
+  /**
+   * What its starts rest on beside the leader key; empty: it has none, or they rest on nothing
+   * else.
+   */
   startConditions: Condition[];
 }
 
@@ -163,18 +166,19 @@
   private recordsToWrite(job: Job, writeId: string, valueBytes: number): SectionRecord[] {
     const { layout } = job;
     const { clock } = this.runtime;
-    const wall = (steady: number): number => Math.round(clock.wall() + steady - clock.now());
+    const wallOf = (monotonic: number): number =>
+      Math.round(clock.wall() + monotonic - clock.now());
     const isDue = (section: Section): boolean =>
       section.dirty || (job.isRewriting && section.inherited);
     const records: SectionRecord[] = [];
     // `split` adds the later half behind the present section: it is reached in turn.
     for (const section of layout.sections) {
       if (!isDue(section)) continue;
-      let record = job.toRecord(section, writeId, wall);
+      let record = job.toRecord(section, writeId, wallOf);
       while (layout.kind === 'ranged' && section.to - section.from > 1) {
         if (jsonBytes(record) <= valueBytes) break;
         layout.split(section);
-        record = job.toRecord(section, writeId, wall);
+        record = job.toRecord(section, writeId, wallOf);
       }
       records.push({ section, record });
     }
--- a/src/jobs/job.ts
+++ b/src/jobs/job.ts
@@ -13,7 +13,10 @@
   Low,
 }
 
-/** What a user asked for, in the terms of the glossary; durations in milliseconds, memory and images in GB. */
+/**
+ * What a user asked for, in the terms of the glossary; durations in milliseconds, memory and images
+ * in GB.
+ */
 export interface JobSpec {
   jobClass: string;
   team: string;
--- a/src/jobs/leftover-records.ts
+++ b/src/jobs/leftover-records.ts
@@ -12,23 +12,30 @@
   version: number;
 }
 
-/** Fraction of the transaction limit that one batch of deletes takes, so that no other write waits long. */
+/**
+ * Fraction of the transaction limit that one batch of deletes takes, so that no other write waits
+ * long.
+ */
 const BATCH_RATIO = 0.25;
 
-/** Records beyond what the store's write rate deletes in this many seconds are deleted also while other writes wait. */
+/**
+ * Records beyond what the store's write rate deletes in this many seconds are deleted also while
+ * other writes wait.
+ */
 const MAX_LEFTOVER_SECONDS = 60;
 
 /**
  * Deletes the run records that jobs left behind whose end was written while other writes waited.
  *
- * Where many small jobs come and go the store's rate of changes is the limit. The end of a job has to
- * be announced to its users within seconds; that its run records are deleted is of use to nobody. So the
- * final state is written alone, and the deletes of several jobs share a transaction later on.
+ * Where many small jobs come and go the store's rate of changes is the limit. The end of a job has
+ * to be announced to its users within seconds; that its run records are deleted is of use to
+ * nobody. So the final state is written alone, and the deletes of several jobs share a transaction
+ * later on.
  *
  * Such a record means nothing: the final state was written on condition of the leader key, of the
  * job's record and of this version of the run record, when all starts of the job were proven gone,
- * and no leader writes run records of a job that is over. A leader whose term ends leaves the rest to the
- * next one, which finds them when it reads the records.
+ * and no leader writes run records of a job that is over. A leader whose term ends leaves the rest
+ * to the next one, which finds them when it reads the records.
  */
 export class LeftoverRecords {
   private records: LeftoverRecord[] = [];
--- a/src/jobs/placed-entries.ts
+++ b/src/jobs/placed-entries.ts
@@ -44,7 +44,9 @@
   }
 }
 
-/** The tasks that an indexed record says something of; of a range of completed ones the two bounds. */
+/**
+ * The tasks that an indexed record says something of; of a range of completed ones the two bounds.
+ */
 export function* tasksNamed({ done, placed }: RunRecord): Iterable<number> {
   for (const bounds of done) yield* bounds;
   for (const [task] of placed) yield task;
--- a/src/jobs/placement-stage.ts
+++ b/src/jobs/placement-stage.ts
@@ -11,8 +11,8 @@
 
 /**
  * How far a start has come. `recording`: not yet in the store. `recorded`: may be sent.
- * `recovered`: recorded by an earlier leader, may or may not have been sent. `dispatched`: sent in the
- * answer to a heartbeat. `reported`: a heartbeat of its worker shows it.
+ * `recovered`: recorded by an earlier leader, may or may not have been sent. `dispatched`: sent in
+ * the answer to a heartbeat. `reported`: a heartbeat of its worker shows it.
  */
 export type PlacementStage = 'recording' | 'recorded' | 'recovered' | 'dispatched' | 'reported';
 
--- a/src/jobs/query-admission.ts
+++ b/src/jobs/query-admission.ts
@@ -19,8 +19,8 @@
 const PLENTY_RATIO = 0.5;
 
 /**
- * For how many query timeouts a job must have been without an answer when next to nothing is left. It is
- * well within the 75 s after which a job without any answer counts as forgotten.
+ * For how many query timeouts a job must have been without an answer when next to nothing is
+ * left. It is well within the 75 s after which a job without any answer counts as forgotten.
  */
 const MAX_PAUSE_TIMEOUTS = 16;
 
@@ -43,11 +43,12 @@
 }
 
 /**
- * Which users' queries are admitted, and which are answered as busy at once, so that queries leave
- * processor time for submissions, cancellations, heartbeats and leadership. They have a rate, which is
- * lower while timers are late, and busy answers are spread fairly: the less is left of the rate, the longer
- * a job must have been without an answer for a query about it to be admitted. So all jobs that are
- * queried have an answer now and then, however many queries some of them get, and in whatever order.
+ * Which users' queries are admitted, and which are answered as busy at once, so that queries
+ * leave processor time for submissions, cancellations, heartbeats and leadership. They have a rate,
+ * which is lower while timers are late, and busy answers are spread fairly: the less is left of the
+ * rate, the longer a job must have been without an answer for a query about it to be admitted. So
+ * all jobs that are queried have an answer now and then, however many queries some of them get, and
+ * in whatever order.
  */
 export class QueryAdmission {
   /** When a query about each job was last answered here, the longest ago first. */
@@ -70,8 +71,8 @@
 
   /**
    * Whether a query about this job is admitted now; else its user is asked to come back.
-   * `isOverCapacity`: there are more connections than the machine has room for, and one with a query under way cannot give
-   * way to others.
+   * `isOverCapacity`: there are more connections than the machine has room for, and one with a
+   * query under way cannot give way to others.
    */
   admits(id: string, isOverCapacity: boolean): boolean {
     const now = this.clock.now();
--- a/src/jobs/record-size.ts
+++ b/src/jobs/record-size.ts
@@ -25,8 +25,9 @@
 }
 
 /**
- * A cancelled record without what nobody reads any more: where it may run, since nothing of it starts
- * again, and what it waited for. A mark stays, by which the leader removes the chunks that it names.
+ * A cancelled record without what nobody reads any more: where it may run, since nothing of it
+ * starts again, and what it waited for. A mark stays, by which the leader removes the chunks that
+ * it names.
  */
 export function smallestCancelled({ needs, spec, ...rest }: JobRecord): JobRecord {
   return {
--- a/src/jobs/records.ts
+++ b/src/jobs/records.ts
@@ -117,8 +117,9 @@
   /** Completed tasks as ranges, both ends included. */
   done: [number, number][];
   /**
-   * Task, attempt, machine, agent epoch and zone of each start that is not proven gone. The zone is kept
-   * since a new leader may place other tasks of the job before that machine sends it a heartbeat.
+   * Task, attempt, machine, agent epoch and zone of each start that is not proven gone. The zone is
+   * kept since a new leader may place other tasks of the job before that machine sends it a
+   * heartbeat.
    */
   placed: [number, number, string, number, string][];
 }
@@ -163,7 +164,9 @@
   return result.success ? result.data : null;
 }
 
-/** Bytes below which hardly any task goes in a ranged record; what needs more is split when written. */
+/**
+ * Bytes below which hardly any task goes in a ranged record; what needs more is split when written.
+ */
 const MIN_BYTES_PER_TASK = 16;
 
 /** How many tasks a new ranged record begins with. */
--- a/src/jobs/run-layout.ts
+++ b/src/jobs/run-layout.ts
@@ -9,10 +9,10 @@
  * `indexed`: every record holds the same number of tasks, which follows from the limit for a value,
  * and its key ends in its number. All versions read and write it.
  *
- * `ranged`: a record says itself which tasks it holds, its key ends in `p` and the first of them, and
- * it can be split. A version that knows only indexed records cannot read these keys: it leaves the
- * job alone as one that may run, but believes what a superseded record says of placements and may
- * launch them again. So nothing is written this way before all controllers can read it.
+ * `ranged`: a record says itself which tasks it holds, its key ends in `p` and the first of them,
+ * and it can be split. A version that knows only indexed records cannot read these keys: it leaves
+ * the job alone as one that may run, but believes what a superseded record says of placements and
+ * may launch them again. So nothing is written this way before all controllers can read it.
  */
 export type LayoutKind = 'indexed' | 'ranged';
 
@@ -156,8 +156,9 @@
   /**
    * Takes over indexed records that were written for another limit of a value than today's: which
    * tasks each of them holds is not known from its number. What they say of tasks is read all the
-   * same, but none of them may be written again, since it would lose tasks that it holds as well. So
-   * ranged records go above them, and each of them stays until those hold all that any of them says.
+   * same, but none of them may be written again, since it would lose tasks that it holds as well.
+   * So ranged records go above them, and each of them stays until those hold all that any of them
+   * says.
    */
   restoreForeign(
     indexed: { index: number; version: number }[],
@@ -182,7 +183,9 @@
     this.sections = this.fill(records, perRecord, isEmpty);
   }
 
-  /** The stored records, each up to where the next begins, and new sections for tasks without one. */
+  /**
+   * The stored records, each up to where the next begins, and new sections for tasks without one.
+   */
   private fill(
     records: StoredSection[],
     perRecord: number,
--- a/src/jobs/tracked-job.ts
+++ b/src/jobs/tracked-job.ts
@@ -23,7 +23,9 @@
 import { WRITE_ID, type GangRecord, type RangedRunRecord, type RunRecord } from './records.js';
 import { RunLayout, type Section } from './run-layout.js';
 
-/** One start of one task. It holds its resources until it is proven gone; times are monotonic (ms). */
+/**
+ * One start of one task. It holds its resources until it is proven gone; times are monotonic (ms).
+ */
 export interface Placement extends RecordedStart {
   job: Job;
   stage: PlacementStage;
@@ -71,7 +73,9 @@
   readyAt: number | null;
   /** Others wait for it: what keeps them is that its end is stored. */
   hasDependents = false;
-  /** The job that it needs and that was cancelled; null if it was not cancelled for another's sake. */
+  /**
+   * The job that it needs and that was cancelled; null if it was not cancelled for another's sake.
+   */
   cancelledBecauseOf: string | null = null;
   /** Time of day at which its end was written as done; null until then. */
   doneAt: number | null = null;
@@ -126,7 +130,9 @@
     return tasks;
   }
 
-  /** How many tasks may be started: of a job that fails on every machine one at a time, as a trial. */
+  /**
+   * How many tasks may be started: of a job that fails on every machine one at a time, as a trial.
+   */
   get startableCount(): number {
     if (!this.failures.isSuspected || this.gang) return this.waitingCount;
     return Math.min(this.waitingCount, this.placements.size > 0 ? 0 : 1);
@@ -165,7 +171,7 @@
   toRecord(
     section: Section,
     writeId: string,
-    wallOf: (steady: number) => number,
+    wallOf: (monotonic: number) => number,
   ): RunRecord | RangedRunRecord {
     const { from, to } = section;
     const placements = [...this.placements.values()].filter(
@@ -181,7 +187,7 @@
     return { [WRITE_ID]: writeId, attempt: this.attempt, done, placed, ...this.gangRecord(wallOf) };
   }
 
-  private gangRecord(wallOf: (steady: number) => number): { gang?: GangRecord } {
+  private gangRecord(wallOf: (monotonic: number) => number): { gang?: GangRecord } {
     const record = this.gang && toGangRecord(this.gang, wallOf);
     return record ? { gang: record } : {};
   }
--- a/src/jobs/transaction-committer.ts
+++ b/src/jobs/transaction-committer.ts
@@ -80,8 +80,8 @@
   }
 
   /**
-   * A run record has another version than we know. Under the leader key only our own writes can have
-   * changed it: one without an answer that was then given up, since a repeat was rejected.
+   * A run record has another version than we know. Under the leader key only our own writes can
+   * have changed it: one without an answer that was then given up, since a repeat was rejected.
    */
   private async reconcile(job: Job, transaction: JobTransaction, key: string): Promise<void> {
     const entry = await this.store.readWithRetry(key, this.term.signal);
@@ -115,10 +115,10 @@
 }
 
 /**
- * Tasks of an array are of use one by one; services and gangs wait for each of theirs. The end of a
- * job that others wait for holds up all their tasks, until it is stored. What was cancelled with
- * another job is known to be cancelled already, and no task of it runs: hundreds of such records must
- * not stand before anybody's starts.
+ * Tasks of an array are of use one by one; services and gangs wait for each of theirs. The end of
+ * a job that others wait for holds up all their tasks, until it is stored. What was cancelled with
+ * another job is known to be cancelled already, and no task of it runs: hundreds of such records
+ * must not stand before anybody's starts.
  */
 function requestPriorityOf(job: Job, transaction: JobTransaction): RequestPriority {
   if (transaction.background) return RequestPriority.Normal;
--- a/src/jobs/version-checker.ts
+++ b/src/jobs/version-checker.ts
@@ -27,7 +27,10 @@
   read(ids: readonly string[], requestClass: RequestClass): Promise<Map<string, ReadState>>;
 }
 
-/** Into how many batch windows the query timeout is divided; queries of one window share a version check. */
+/**
+ * Into how many batch windows the query timeout is divided; queries of one window share a version
+ * check.
+ */
 const BATCH_WINDOWS_PER_QUERY = 16;
 
 /** How many version checks are in flight at once. */
@@ -126,7 +129,7 @@
         this.splitBatch(batch);
         return [];
       }
-      // Whoever asks is told at once that there is no answer now, and when to come back: held until
+      // The user learns at once that there is no answer now, and when to come back: held until
       // the store serves again, queries would pile up and come late all the same.
       rejectAll(batch, error);
       return [];
@@ -134,8 +137,9 @@
   }
 
   /**
-   * The store takes fewer conditions than this version check had. Its limit may have fallen without any
-   * announcement; if it were rejected for good, jobs that are queried together would look forgotten.
+   * The store takes fewer conditions than this version check had. Its limit may have fallen without
+   * any announcement; if it were rejected for good, jobs that are queried together would look
+   * forgotten.
    */
   private splitBatch(batch: PendingCheck[]): void {
     this.store.limits.comparedKeys.reduceBelow(batch.length);
--- a/src/jobs/write-rejections.ts
+++ b/src/jobs/write-rejections.ts
@@ -4,8 +4,8 @@
 import type { Job } from './tracked-job.js';
 
 /**
- * A rejected write of a job is tried again after this fraction of the time for which exits wait, doubled
- * with every rejection up to that time.
+ * A rejected write of a job is tried again after this fraction of the time for which exits wait,
+ * doubled with every rejection up to that time.
  */
 const FIRST_RETRY_RATIO = 1 / 50;
 
@@ -27,7 +27,9 @@
   until: number;
 }
 
-/** Which jobs the store has rejected a write of, when each is tried again, and how large it may be. */
+/**
+ * Which jobs the store has rejected a write of, when each is tried again, and how large it may be.
+ */
 export class WriteRejections {
   private readonly byJob = new WeakMap<Job, Rejection>();
 
--- a/test/run-layout.test.ts
+++ b/test/run-layout.test.ts
@@ -4,6 +4,7 @@
 import type { JobSpec } from '../src/jobs/job.js';
 import { JobRecordWriter } from '../src/jobs/job-record-writer.js';
 import { Job, type Placement } from '../src/jobs/tracked-job.js';
+import { markRecorded } from '../src/jobs/placement-stage.js';
 import { readRuns } from '../src/jobs/run-reader.js';
 import { tasksPerRange, tasksPerRecord } from '../src/jobs/records.js';
 import type { Runtime } from '@leverhatch/core/duty';
@@ -66,7 +67,7 @@
         jobChanged: () => undefined,
         startsRecorded: (list) => {
           for (const placement of list) {
-            placement.stage = 'recorded';
+            markRecorded(placement);
             this.recorded.set(placement.task, placement);
           }
         },
