--- a/src/main.ts
+++ b/src/main.ts
@@ -1,5 +1,7 @@
+/** The controller's process: settings, connections, listeners. Exit codes: 0, 1 (fault), 2 (settings). */
 import { setMaxListeners } from 'node:events';
-import { Controller } from './control/controller.js';
+import type { Logger } from '@leverhatch/core/log';
+import { Controller, type ControllerDependencies } from './control/controller.js';
 import { httpTransport, httpTransportFactory } from './http/client.js';
 import { listen } from './http/server.js';
 import { systemClock } from '@leverhatch/core/clock';
@@ -7,85 +9,128 @@
 import { createLogger } from './runtime/log.js';
 import { systemRandom } from '@leverhatch/core/random';
 import { parseArguments } from './settings/cli.js';
-import { loadSettings } from './settings/deploy.js';
+import { loadSettings, type Settings } from './settings/deploy.js';
 import { SettingsError } from './settings/error.js';
-import { loadOperatorSettings, OPERATOR_DEFAULTS } from './settings/operator.js';
-import { loadExtensions } from './settings/extensions.js';
+import {
+  loadOperatorSettings,
+  OPERATOR_DEFAULTS,
+  type OperatorSettings,
+} from './settings/operator.js';
+import { loadExtensions, type LoadedExtensions } from './settings/extensions.js';
 import { VERSION } from './version.js';
 
-/** Whoever comes while users take all other connections: workers, probes, and users for one answer. */
-const CONNECTIONS_RESERVE = 0.1;
+/** The fraction of connections kept for workers, health checks and single answers to further users. */
+const CONNECTIONS_RESERVE_RATIO = 0.1;
 
-/** One answer may take this share of the memory: a sixteenth. */
-const ANSWER_BYTES_PER_MB = (1024 * 1024) / 16;
+/** The longest response of an external service, in bytes for each MB of memory: a sixteenth of it. */
+const RESPONSE_BYTES_PER_MB = (1024 * 1024) / 16;
 
-async function main(): Promise<void> {
-  const args = parseArguments(process.argv, VERSION);
-  if (typeof args === 'number') {
-    process.exitCode = args;
-    return;
+/** A lost connection to a peer is opened again after the heartbeat interval divided by this. */
+const PEER_RETRY_DIVISOR = 4;
+
+/** The public listener and the one for peers. */
+const LISTENERS = 2;
+
+/** How the connections that the machine has room for are divided. */
+interface ConnectionBudget {
+  store: number;
+  cloud: number;
+  workers: number;
+  /** Connections from outside. */
+  inbound: number;
+}
+
+function planConnections(settings: Settings, extensionSockets: number): ConnectionBudget {
+  const { sockets } = settings.machine;
+  const store = Math.max(4, Math.floor(sockets / 20));
+  const workers = Math.max(4, Math.floor(sockets / 20));
+  const cloud = Math.max(2, Math.ceil(settings.cloud.rps / 2));
+  // Peers have a connection each way.
+  const peers = 2 * settings.peers.length;
+  const own = store + cloud + workers + peers + LISTENERS + extensionSockets;
+  const reserve = Math.ceil(sockets * CONNECTIONS_RESERVE_RATIO);
+  return { store, cloud, workers, inbound: Math.max(1, sockets - own - reserve) };
+}
+
+function createTransports(
+  settings: Settings,
+  budget: ConnectionBudget,
+): Pick<ControllerDependencies, 'store' | 'cloud' | 'workers'> {
+  const maxResponseBytes = settings.machine.memoryMb * RESPONSE_BYTES_PER_MB;
+  return {
+    store: httpTransport(settings.stateAddress, { sockets: budget.store, maxResponseBytes }),
+    cloud: httpTransport(settings.cloudAddress, { sockets: budget.cloud, maxResponseBytes }),
+    workers: httpTransportFactory({ sockets: budget.workers, maxResponseBytes }),
+  };
+}
+
+/** A signal that the platform's request to end the process aborts. */
+function shutdownSignal(): AbortSignal {
+  const shutdown = new AbortController();
+  // Every task of the controller listens to it.
+  setMaxListeners(0, shutdown.signal);
+  for (const name of ['SIGINT', 'SIGTERM'] as const) {
+    process.once(name, () => shutdown.abort(new Error(name)));
   }
-  const settings = loadSettings(args.config);
-  const operator = args.operator === null ? OPERATOR_DEFAULTS : loadOperatorSettings(args.operator);
-  if (args.check) return void (await loadExtensions(operator, args.operator ?? ''));
+  return shutdown.signal;
+}
 
+/** Runs the controller until the process is told to end. */
+async function run(
+  settings: Settings,
+  operator: OperatorSettings,
+  operatorFile: string,
+): Promise<void> {
   const log = createLogger(process.env.LOG_LEVEL, settings.member, settings.machine.memoryMb);
   const runtime = { clock: systemClock, random: systemRandom(), log, startedAt: 0 };
-  const stop = new AbortController();
-  setMaxListeners(0, stop.signal);
-  for (const name of ['SIGINT', 'SIGTERM'] as const) {
-    process.once(name, () => stop.abort(new Error(name)));
-  }
-  const { sockets, memoryMb } = settings.machine;
-  const maxResponseBytes = memoryMb * ANSWER_BYTES_PER_MB;
-  const toStore = Math.max(4, Math.floor(sockets / 20));
-  const toWorkers = Math.max(4, Math.floor(sockets / 20));
-  const toCloud = Math.max(2, Math.ceil(settings.cloud.rps / 2));
-  const peerTransport = new TcpPeerTransport(
-    settings,
-    runtime,
-    settings.workers.heartbeatIntervalMs / 4,
-  );
-  const extensions = await loadExtensions(operator, args.operator ?? '');
+  const signal = shutdownSignal();
+  const peerRetryMs = settings.workers.heartbeatIntervalMs / PEER_RETRY_DIVISOR;
+  const peerTransport = new TcpPeerTransport(settings, runtime, peerRetryMs);
+  const extensions = await loadExtensions(operator, operatorFile);
+  const budget = planConnections(settings, extensions?.sockets ?? 0);
   const controller = new Controller(settings, operator, runtime, {
     peerTransport,
-    store: httpTransport(settings.stateAddress, {
-      sockets: toStore,
-      maxResponseBytes,
-    }),
-    cloud: httpTransport(settings.cloudAddress, {
-      sockets: toCloud,
-      maxResponseBytes,
-    }),
-    workers: httpTransportFactory({ sockets: toWorkers, maxResponseBytes }),
+    ...createTransports(settings, budget),
     extensions: extensions?.create ?? [],
   });
-  // Two listeners, and a connection each way for every peer.
-  const optional = extensions?.sockets ?? 0;
-  const own = toStore + toCloud + toWorkers + 2 * settings.peers.length + 2 + optional;
-  const reserve = Math.ceil(sockets * CONNECTIONS_RESERVE);
-  const limits = {
-    connections: Math.max(1, sockets - own - reserve),
-    workerIdleMs: settings.workers.leaseMs,
-  };
-  await listen(controller, log, settings.publicAddress, limits, stop.signal);
+  const limits = { connections: budget.inbound, workerIdleMs: settings.workers.leaseMs };
+  await listen(controller, log, settings.publicAddress, limits, signal);
   log.info({ address: settings.publicAddress }, 'listening');
-  if (extensions) {
-    const { address, allowed } = extensions.listener;
-    const { listenForOperators } = await import('@leverhatch/operators/listener');
-    const routes = controller.extensions.map((extension) => extension.routes);
-    await listenForOperators(routes, allowed, address, log, stop.signal);
-    log.info({ address }, 'listening for operators');
+  if (extensions) await listenToOperators(controller, extensions, log, signal);
+  await Promise.all([controller.run(signal), peerTransport.run(signal)]);
+}
+
+async function listenToOperators(
+  controller: Controller,
+  extensions: LoadedExtensions,
+  log: Logger,
+  signal: AbortSignal,
+): Promise<void> {
+  const { address, allowed } = extensions.listener;
+  const { listenForOperators } = await import('@leverhatch/operators/listener');
+  const routes = controller.extensions.map((extension) => extension.routes);
+  await listenForOperators(routes, allowed, address, log, signal);
+  log.info({ address }, 'listening for operators');
+}
+
+async function main(): Promise<void> {
+  const args = parseArguments(process.argv, VERSION);
+  if (typeof args === 'number') {
+    process.exitCode = args;
+    return;
+  }
+  const settings = loadSettings(args.config);
+  const operator = args.operator === null ? OPERATOR_DEFAULTS : loadOperatorSettings(args.operator);
+  const operatorFile = args.operator ?? '';
+  if (args.check) {
+    await loadExtensions(operator, operatorFile);
+    return;
   }
-  await Promise.all([controller.run(stop.signal), peerTransport.run(stop.signal)]);
+  await run(settings, operator, operatorFile);
   process.exit(0);
 }
 
 main().catch((error: unknown) => {
-  if (error instanceof SettingsError) {
-    process.stderr.write(`${error.message}\n`);
-    process.exit(2);
-  }
   process.stderr.write(`${error instanceof Error ? error.message : String(error)}\n`);
-  process.exit(1);
+  process.exit(error instanceof SettingsError ? 2 : 1);
 });
--- a/src/runtime/drop-oldest.ts
+++ b/src/runtime/drop-oldest.ts
@@ -1,14 +1,16 @@
-/** What remembers its entries in the order in which they were added: a `Map` or a `Set`. */
-interface Remembered<K> {
+/** Bounds for collections that would grow without end. */
+
+/** A collection that keeps its entries in the order of insertion: a `Map` or a `Set`. */
+interface InsertionOrdered<K> {
   readonly size: number;
   keys(): Iterable<K>;
   delete(key: K): boolean;
 }
 
-/** Forgets the entries that were added first, until no more than `most` are left. */
-export function dropOldest<K>(entries: Remembered<K>, most: number): void {
+/** Deletes the entries that were added first, until at most `maxEntries` are left. */
+export function dropOldest<K>(entries: InsertionOrdered<K>, maxEntries: number): void {
   for (const oldest of entries.keys()) {
-    if (entries.size <= most) return;
+    if (entries.size <= maxEntries) return;
     entries.delete(oldest);
   }
 }
--- a/src/runtime/event-loop-lag.ts
+++ b/src/runtime/event-loop-lag.ts
@@ -1,25 +1,27 @@
+/** Measurement of the event loop's lag. */
 import type { Clock } from '@leverhatch/core/clock';
 
 /**
- * How late this process gets to what is due: short of processor time, or busy with something long, it
- * takes up everything late. Measured with a timer at regular times.
+ * How late timers of this process fire, measured with a regular timer. They are late if the process is
+ * short of processor time or busy with one long piece of work.
  */
 export class EventLoopLag {
   private dueAt: number | null = null;
   private lastMs = 0;
 
-  /** @param everyMs the time between two measurements */
+  /** `everyMs`: the time between two measurements, in milliseconds. */
   constructor(
     private readonly clock: Clock,
     private readonly everyMs: number,
   ) {}
 
-  /** Milliseconds by which timers are late now, or were at the last measurement. */
+  /** By how many milliseconds timers are late now or were at the last measurement, whichever is more. */
   get ms(): number {
     const overdueMs = this.dueAt === null ? 0 : this.clock.now() - this.dueAt;
     return Math.max(this.lastMs, overdueMs);
   }
 
+  /** Measures until `signal` is aborted. */
   async run(signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
       this.dueAt = this.clock.now() + this.everyMs;
--- a/src/runtime/log.ts
+++ b/src/runtime/log.ts
@@ -1,26 +1,30 @@
+/** The log: JSON lines on standard error. */
 import type { Logger } from '@leverhatch/core/log';
 import { pino } from 'pino';
 
 const LEVELS = ['error', 'warn', 'info', 'debug', 'trace'];
 
-/** So many bytes of lines for each MB of memory wait while nobody takes them; later ones are dropped. */
-const WAITING_BYTES_PER_MB = 4 * 1024;
+/** Bytes of log lines that are buffered while nobody reads them, for each MB of memory. */
+const BUFFER_BYTES_PER_MB = 4 * 1024;
 
 /**
- * A logger that writes to standard error. Where that takes nothing for the moment (`EAGAIN`) the
- * controller goes on: lines wait up to a bound that follows from `memoryMb`, and what is more is lost.
+ * A logger that writes to standard error; `member` is on each line. If standard error does not accept
+ * data (`EAGAIN`) the controller continues: lines are buffered up to a bound that follows from
+ * `memoryMb`, and later ones are dropped. An unknown `level` counts as `info`.
  */
 export function createLogger(level: string | undefined, member: string, memoryMb: number): Logger {
-  const known = level === undefined || LEVELS.includes(level);
+  const isKnown = level === undefined || LEVELS.includes(level);
   const destination = pino.destination({
     dest: 2,
     sync: true,
-    maxLength: memoryMb * WAITING_BYTES_PER_MB,
-    // It would wait for the reader, and workers' leases with it; the next line tries again.
+    maxLength: memoryMb * BUFFER_BYTES_PER_MB,
+    // A retry would block the process, and with it the renewal of workers' leases; the next line
+    // writes what is buffered.
     retryEAGAIN: () => false,
   });
+  // There is nowhere to report a failure of the log itself, and without a listener it would end the process.
   destination.on('error', () => undefined);
-  const log = pino({ level: known ? (level ?? 'info') : 'info', base: { member } }, destination);
-  if (!known) log.warn({ level }, 'unknown LOG_LEVEL, using info');
+  const log = pino({ level: isKnown ? (level ?? 'info') : 'info', base: { member } }, destination);
+  if (!isKnown) log.warn({ level }, 'unknown LOG_LEVEL, using info');
   return log;
 }
--- a/src/state/store.ts
+++ b/src/state/store.ts
@@ -56,7 +56,7 @@
 const MAX_COMMIT_WAIT_DIVISOR = 2;
 const READ_RETRY_DIVISOR = 10;
 
-/** The store as one controller uses it. Requests reject with `NoResponseError` if none came. */
+/** The store as one controller uses it. Its requests reject with `NoResponseError` if no response arrives. */
 export class Store implements StorePort {
   private readonly rates: StoreRateLimiter;
   private readonly health: StoreHealth;
