--- a/src/control/scheduling/expected-demand.ts
+++ b/src/control/scheduling/expected-demand.ts
@@ -1,3 +1,4 @@
+/** Demand that is expected of job classes that cannot wait for a machine to boot. */
 import type { Job } from '../../jobs/tracked-job.js';
 import { Priority } from '../../jobs/job.js';
 import {
@@ -7,7 +8,10 @@
 } from '../../scheduler/demand-forecast.js';
 import type { Settings } from '../../settings/deploy.js';
 
-/** Which work the leader expects to come before a machine that is rented now could be up. */
+/** Work whose objective allows it to wait for this many boot times can wait for a machine. */
+const MAX_WAIT_BOOTS = 2;
+
+/** Work that the leader expects to come before a machine provisioned now could be up. */
 export class ExpectedDemand {
   private readonly forecast = new DemandForecast();
 
@@ -16,18 +20,19 @@
     private readonly settings: Settings,
   ) {}
 
-  /** Notes what is open now, and answers what is expected. */
+  /** Records what is open at `now` (milliseconds, monotonic), and answers what is expected. */
   observe(now: number, bootMs: number): ExpectedTasks[] {
     this.forecast.observe(now, bootMs, () => this.demand(bootMs));
     return this.forecast.expected();
   }
 
-  /** Open tasks of the classes that cannot wait for a boot, nor begin on a cheap machine. */
+  /** Open tasks of the classes that cannot wait for a boot, nor begin on a spot instance. */
   private demand(bootMs: number): Map<string, ClassDemand> {
     const classes = new Map<string, ClassDemand & { readyAt: number }>();
     for (const job of this.jobs.values()) {
       const { spec, readyAt } = job;
-      if (job.phase !== 'open' || readyAt === null || !this.isPressing(job, bootMs)) continue;
+      if (job.phase !== 'open' || readyAt === null || !this.cannotWaitForBoot(job, bootMs))
+        continue;
       const known = classes.get(spec.jobClass);
       const tasks = (known?.tasks ?? 0) + spec.tasks - job.doneCount;
       const newest = known && known.readyAt >= readyAt ? known : { spec, readyAt };
@@ -36,12 +41,15 @@
     return classes;
   }
 
-  private isPressing({ spec }: Job, bootMs: number): boolean {
+  private cannotWaitForBoot({ spec }: Job, bootMs: number): boolean {
     if (spec.spot || spec.need.gpus === 0 || spec.priority > Priority.High) return false;
     const { objectives } = this.settings;
     return objectives.some(
       ({ kind, jobClass, withinMs }) =>
-        kind === 'wait' && jobClass === spec.jobClass && withinMs !== null && withinMs < bootMs * 2,
+        kind === 'wait' &&
+        jobClass === spec.jobClass &&
+        withinMs !== null &&
+        withinMs < bootMs * MAX_WAIT_BOOTS,
     );
   }
 }
--- a/src/scheduler/capacity-finder.ts
+++ b/src/scheduler/capacity-finder.ts
@@ -1,3 +1,4 @@
+/** Finds free capacity, and remembers in which lists of machines there is none left. */
 import { fits } from '../fleet/resources.js';
 import type { JobSpec } from '../jobs/job.js';
 import type { JobView, MachineView } from './scheduling-model.js';
@@ -5,10 +6,10 @@
 import { placeTasks, type Placed } from './placement.js';
 import { isAllowedOn, schedulingShape, type ZoneRules } from './placement-rules.js';
 
-/** Finds room on machines for the tasks of one round, and remembers where there is none left. */
+/** Finds free capacity for the tasks of one scheduling cycle. */
 export class CapacityFinder {
-  /** For lists of machines: shapes of which no task fits there any more. */
-  private readonly full = new Map<MachineView[], Set<string>>();
+  /** By list of machines, the shapes of which no task fits there any more. */
+  private readonly fullShapes = new Map<MachineView[], Set<string>>();
   private readonly byShape = new Map<string, MachineView[]>();
 
   constructor(
@@ -17,9 +18,9 @@
   ) {}
 
   /**
-   * Room for tasks of a job. Free room only shrinks while a round goes on, so once machines have
-   * none for a shape, no other job of that shape looks there again: with hundreds of jobs waiting,
-   * a round would else cost more than all reports.
+   * Places up to `count` tasks of a job. Free capacity only shrinks during a scheduling cycle, so once
+   * a list of machines has none for a shape, no other job of that shape looks there again: with
+   * hundreds of jobs waiting, a cycle would else cost more than all heartbeats.
    */
   find(
     job: JobView,
@@ -34,16 +35,16 @@
 
   /** True if no task of this shape fits on any of these machines. */
   isFull(spec: JobSpec, machines: MachineView[]): boolean {
-    let full = this.full.get(machines);
-    if (!full) this.full.set(machines, (full = new Set()));
+    let shapes = this.fullShapes.get(machines);
+    if (!shapes) this.fullShapes.set(machines, (shapes = new Set()));
     const shape = schedulingShape(spec);
-    if (full.has(shape)) return true;
+    if (shapes.has(shape)) return true;
     if (machines.some((machine) => fits(spec.need, machine.free))) return false;
-    full.add(shape);
+    shapes.add(shape);
     return true;
   }
 
-  /** Machines that are up and may hold a task of this shape, whatever is on them. */
+  /** Machines that are up and could hold a task of this shape if they were empty. */
   suitable(spec: JobSpec): MachineView[] {
     const shape = schedulingShape(spec);
     let machines = this.byShape.get(shape);
--- a/src/scheduler/headroom.ts
+++ b/src/scheduler/headroom.ts
@@ -1,3 +1,4 @@
+/** Headroom: scale-out ahead of demand that is expected to come. */
 import { copiesThatFit, subtract } from '../fleet/resources.js';
 import type { ExpectedTasks } from './demand-forecast.js';
 import type { JobView, MachineView, Snapshot } from './scheduling-model.js';
@@ -5,7 +6,7 @@
 import type { Preemption } from './preemption.js';
 import type { ScaleOutPlan } from './scale-out-plan.js';
 
-/** A job that nobody has submitted yet. */
+/** Stands for jobs of a class that nobody has submitted yet. */
 function expectedJob({ spec, count }: ExpectedTasks): JobView {
   return {
     id: `expected ${spec.jobClass}`,
@@ -26,8 +27,8 @@
 }
 
 /**
- * Rents room for work that is expected to come before a machine could boot, beyond what is free, what
- * boots and what lesser work would leave. Work that has to begin sooner than a machine boots would else
+ * Scales out for work that is expected to come before a machine could boot, beyond what is free, what
+ * boots and what preemption would free. Work that has to begin sooner than a machine boots would else
  * be late as long as the fleet grows: each job would find the machines that the one before it needed.
  */
 export function scaleOutHeadroom(
@@ -40,16 +41,19 @@
     ...snapshot.machines.filter((machine) => !machine.isUp),
     ...scaleOutPlan.machines,
   ];
-  const room = new Map(coming.map((machine) => [machine, { ...machine.free }]));
+  const capacities = new Map(coming.map((machine) => [machine, { ...machine.free }]));
   for (const expected of snapshot.expectedTasks) {
     const job = expectedJob(expected);
     let missing = expected.count;
     for (const machine of [...up, ...coming]) {
       if (missing <= 0) break;
       if (!isAllowedOn(job.spec, machine.type.name, machine.zone, machine.spot)) continue;
-      let left = room.get(machine);
+      let left = capacities.get(machine);
       if (!left)
-        room.set(machine, (left = { ...preemption.capacityAfterPreemption(job, machine, false) }));
+        capacities.set(
+          machine,
+          (left = { ...preemption.capacityAfterPreemption(job, machine, false) }),
+        );
       const found = Math.min(missing, copiesThatFit(job.spec.need, left));
       subtract(left, job.spec.need, found);
       missing -= found;
--- a/src/scheduler/pipelines.ts
+++ b/src/scheduler/pipelines.ts
@@ -1,3 +1,4 @@
+/** Priorities and deadlines of jobs with dependencies (directed acyclic graphs). */
 import type { JobSpec, Priority } from '../jobs/job.js';
 import { dueAt } from './job-order.js';
 
@@ -6,23 +7,23 @@
   id: string;
   spec: JobSpec;
   submittedAt: number;
-  /** When the last job that it needs was done; null while it still waits for one. */
+  /** When its last dependency was done; null while one is open. */
   readyAt: number | null;
-  /** Jobs that have to be done before it starts; what is not open any more holds nothing up. */
+  /** Ids of the jobs that have to be done before it starts; those no longer open are ignored. */
   dependencies: readonly string[];
   /** Expected time from its first start, or from now if it has begun, until it is done. */
   remainingMs: number;
-  /** Multiples of its deadline that the aims name, smallest first. */
+  /** Multiples of its deadline that service-level objectives name, smallest first. */
   deadlineSteps: readonly number[];
 }
 
-/** How one step is to be treated for the sake of all that need it. */
+/** How urgent one step is for the sake of all that depend on it. */
 export interface StepUrgency {
-  /** The highest priority of the step and of all that need it, directly or through others. */
+  /** The highest priority of the step and of all that depend on it, directly or through others. */
   priority: Priority;
-  /** By when it should be done so that what comes after it can be in time. */
+  /** By when it should be done so that what comes after it can be in time; time of day. */
   dueAt: number;
-  /** Its slack is short: it should not wait for room that others may leave. */
+  /** Its slack is short: it should not wait for capacity that backfill may free. */
   isPressed: boolean;
   /** In how many milliseconds it is expected to be ready; 0 if it is. */
   readyInMs: number;
@@ -34,27 +35,27 @@
   before: Node[];
   after: Node[];
   /** How many of `before` are still to be walked. */
-  open: number;
+  unwalked: number;
   /** In how many milliseconds it is expected to be ready, and done. */
   readyInMs: number;
   doneInMs: number;
-  /** Expected time of the longest path from its start to the end of what needs it. */
+  /** Expected time of the longest path from its start to the end of what depends on it. */
   pathMs: number;
-  /** The highest priority of the step and of all that need it. */
+  /** The highest priority of the step and of all that depend on it. */
   priority: Priority;
-  /** Null: neither it nor anything that needs it has a deadline. */
+  /** Null: neither it nor anything that depends on it has a deadline. */
   dueAt: number | null;
 }
 
 /**
  * A step is pressed when its slack is less than this share of all that is still to be run: estimates
- * are often wrong by half. With more slack it can wait for room that others leave.
+ * are often wrong by half. With more slack it can wait for capacity that others free.
  */
 const PRESSED_SLACK_RATIO = 0.5;
 
 /**
  * Passes priorities and deadlines up the chains of jobs. Users set both on the last job of a
- * pipeline only: a step takes the highest priority of all that need it, and has to be done as long
+ * pipeline only: a step takes the highest priority of all that depend on it, and has to be done as long
  * before the last deadline as the longest path of steps after it is expected to take (critical path
  * method). Takes time linear in the steps and their dependencies.
  *
@@ -78,7 +79,7 @@
       step,
       before: [],
       after: [],
-      open: 0,
+      unwalked: 0,
       readyInMs: 0,
       doneInMs: 0,
       pathMs: step.remainingMs,
@@ -92,20 +93,20 @@
       if (!before) continue;
       node.before.push(before);
       before.after.push(node);
-      node.open++;
+      node.unwalked++;
     }
   }
   return [...nodes.values()];
 }
 
-/** Every step after all that it needs (Kahn). Steps in a cycle, which cannot be, come last. */
+/** Every step after its dependencies (Kahn's algorithm). Steps in a cycle, which cannot be, come last. */
 function topological(nodes: Node[]): Node[] {
-  const order = nodes.filter((node) => node.open === 0);
+  const order = nodes.filter((node) => node.unwalked === 0);
   // The list grows while it is walked.
   for (const node of order) {
     for (const after of node.after) {
-      after.open--;
-      if (after.open === 0) order.push(after);
+      after.unwalked--;
+      if (after.unwalked === 0) order.push(after);
     }
   }
   if (order.length < nodes.length) {
--- a/src/scheduler/reservations.ts
+++ b/src/scheduler/reservations.ts
@@ -1,12 +1,13 @@
+/** Reserves capacity for tasks that cannot start in this scheduling cycle. */
 import type { JobView, MachineView } from './scheduling-model.js';
 import { placedCount } from './placement.js';
 import type { ZoneRules } from './placement-rules.js';
 import type { ScaleOutPlan } from './scale-out-plan.js';
 import type { CapacityFinder } from './capacity-finder.js';
 
-/** Keeps room for tasks that cannot start in this round, and rents what is missing. */
+/** The reservations of one scheduling cycle; scale-out provisions what is missing. */
 export class Reservations {
-  /** Machines that start a task in this round or are kept for one. */
+  /** Machines that start a task in this cycle or are reserved for one. */
   readonly needed = new Set<string>();
 
   constructor(
@@ -15,19 +16,19 @@
     private readonly booting: MachineView[],
   ) {}
 
-  /** Machines that boot or will be rented. */
+  /** Machines that boot or that scale-out will provision. */
   get coming(): MachineView[] {
     return [...this.booting, ...this.scaleOutPlan.machines];
   }
 
-  /** Takes the room of up to `count` tasks on these machines; answers of how many. */
+  /** Reserves capacity for up to `count` tasks on these machines; answers for how many. */
   reserveOn(job: JobView, count: number, machines: MachineView[], rules: ZoneRules): number {
     const placed = this.finder.find(job, count, rules, machines);
     for (const { machine } of placed) this.needed.add(machine.id);
     return placedCount(placed);
   }
 
-  /** Room on machines that boot or will be rented, for tasks that found none. */
+  /** Reserves capacity on machines that are coming; scale-out covers the tasks that do not fit. */
   reserveOrScaleOut(job: JobView, count: number, rules: ZoneRules): void {
     if (count <= 0) return;
     this.scaleOutPlan.add(job, count - this.reserveOn(job, count, this.coming, rules), rules, null);
--- a/src/scheduler/scale-out-plan.ts
+++ b/src/scheduler/scale-out-plan.ts
@@ -1,15 +1,16 @@
+/** Chooses which of the cloud's offers to provision. */
 import { fits, copiesThatFit, subtract } from '../fleet/resources.js';
 import type { JobSpec } from '../jobs/job.js';
 import type { JobView, MachineView, InstanceOffer, ScaleOutRequest } from './scheduling-model.js';
 import { isAllowedOn, type ZoneRules } from './placement-rules.js';
 
-/** What each machine in a zone adds to the cost of an offer there: less than prices differ by. */
+/** Added to an offer's price for each machine in its zone: less than prices differ by. */
 const COST_PER_MACHINE = 1e-3;
 
-/** Puts together what one round rents. */
+/** The machines that one scheduling cycle provisions. */
 export class ScaleOutPlan {
   private readonly plannedMachines: { offer: InstanceOffer; view: MachineView }[] = [];
-  /** How many machines there are in each zone, with those that will be rented. */
+  /** Machines in each zone, planned ones included. */
   private readonly machinesIn = new Map<string, number>();
 
   constructor(
@@ -19,41 +20,40 @@
     for (const machine of machines) this.countMachine(machine.zone);
   }
 
-  /** The machines that will be rented, as they will be when they are up. */
+  /** The planned machines as they will be when they are up. */
   get machines(): MachineView[] {
-    return this.plannedMachines.map((plannedMachine) => plannedMachine.view);
+    return this.plannedMachines.map(({ view }) => view);
   }
 
-  /** The zones in which anything can be rented. */
+  /** The zones with offers, one entry for each offer. */
   get zones(): string[] {
     return this.offers.map((offer) => offer.zone);
   }
 
-  /** True if a machine that suits `spec` can be rented in `zone`; null: in any zone. */
+  /** True if there is an offer that suits `spec` in `zone`; null: in any zone. */
   offersFor(spec: JobSpec, zone: string | null): boolean {
     return this.offers.some(
       (offer) => (zone === null || offer.zone === zone) && suits(spec, offer),
     );
   }
 
-  /** Plans rentals for `count` tasks; answers how many found no offer. */
-  add(job: JobView, count: number, rules: ZoneRules, zone: string | null): number {
-    const { spec } = job;
+  /** Plans machines for `count` tasks; answers for how many there is no offer. */
+  add({ spec }: JobView, count: number, rules: ZoneRules, zone: string | null): number {
     let left = count;
     while (left > 0) {
       const offer = this.cheapestOffer(spec, left, rules, zone);
       if (!offer) break;
-      const view = plannedMachine(offer, `rent-${this.plannedMachines.length}`);
-      const count = Math.min(
+      const view = machineOf(offer, `planned-${this.plannedMachines.length}`);
+      const tasks = Math.min(
         left,
         rules.remaining(offer.zone),
         copiesThatFit(spec.need, view.free),
       );
-      subtract(view.free, spec.need, count);
-      rules.add(offer.zone, count);
+      subtract(view.free, spec.need, tasks);
+      rules.add(offer.zone, tasks);
       this.plannedMachines.push({ offer, view });
       this.countMachine(offer.zone);
-      left -= count;
+      left -= tasks;
     }
     return left;
   }
@@ -68,20 +68,20 @@
     let best: { offer: InstanceOffer; cost: number } | null = null;
     for (const offer of this.offers) {
       if ((zone !== null && offer.zone !== zone) || !suits(spec, offer)) continue;
-      const most = Math.min(
+      const maxTasks = Math.min(
         copiesThatFit(spec.need, offer.type.capacity),
         rules.remaining(offer.zone),
       );
-      if (most <= 0) continue;
-      // Between offers of one price the emptier zone is taken.
+      if (maxTasks <= 0) continue;
+      // Of offers at the same price the one in the emptier zone is taken.
       const machines = this.machinesInZone(offer.zone);
-      const cost = offer.price / Math.min(most, count) + machines * COST_PER_MACHINE;
+      const cost = offer.price / Math.min(maxTasks, count) + machines * COST_PER_MACHINE;
       if (!best || cost < best.cost) best = { offer, cost };
     }
     return best?.offer ?? null;
   }
 
-  /** How many machines there are in a zone, with those that will be rented. */
+  /** How many machines there are in a zone, planned ones included. */
   machinesInZone(zone: string): number {
     return this.machinesIn.get(zone) ?? 0;
   }
@@ -90,11 +90,11 @@
     this.machinesIn.set(zone, (this.machinesIn.get(zone) ?? 0) + 1);
   }
 
-  /** What is to be rented, by offer. */
+  /** The planned machines, summed by offer. */
   requests(): ScaleOutRequest[] {
-    const sums = new Map<InstanceOffer, number>();
-    for (const { offer } of this.plannedMachines) sums.set(offer, (sums.get(offer) ?? 0) + 1);
-    return [...sums].map(([offer, count]) => ({
+    const counts = new Map<InstanceOffer, number>();
+    for (const { offer } of this.plannedMachines) counts.set(offer, (counts.get(offer) ?? 0) + 1);
+    return [...counts].map(([offer, count]) => ({
       type: offer.type.name,
       zone: offer.zone,
       spot: offer.spot,
@@ -111,7 +111,7 @@
 }
 
 /** A machine of this offer as it will be when it is up. */
-function plannedMachine(offer: InstanceOffer, id: string): MachineView {
+function machineOf(offer: InstanceOffer, id: string): MachineView {
   return {
     id,
     type: offer.type,
