--- a/test/consolidation.test.ts
+++ b/test/consolidation.test.ts
@@ -58,7 +58,7 @@
   assert.deepEqual(run(fleet([['m1'], ['m1']])), []);
 });
 
-test('the emptiest machine is cleared, and only where all of it finds room', () => {
+test('the emptiest machine is drained, and only if all of its replicas fit elsewhere', () => {
   assert.deepEqual(run(fleet([['m1'], ['m1'], ['m1'], ['m2']])), ['req-3/0']);
   // Four fill a machine: of the two on the second only one would fit.
   assert.deepEqual(run(fleet([['m1'], ['m1'], ['m1'], ['m2'], ['m2']])), []);
--- a/test/cycle-sizer.test.ts
+++ b/test/cycle-sizer.test.ts
@@ -10,7 +10,7 @@
 /** So many jobs of one team; the later ones are the more urgent. */
 function waitingJobs(count: number, view: Partial<JobView> = {}): Snapshot {
   const jobs = Array.from({ length: count }, (_, i): JobView => {
-    const due = { readyAt: i, dueAt: count - i, waiting: 1, unfinished: 1 };
+    const due = { readyAt: i, dueAt: count - i, waitingTasks: 1, unfinishedTasks: 1 };
     return jobView(`req-${i}`, SPEC, { ...due, ...view });
   });
   const guarantee = { cpus: 0, gpus: count * 10 };
@@ -19,41 +19,41 @@
   return snapshotWith(teams, { jobs });
 }
 
-const taken = (size: CycleSizer, snapshot: Snapshot): JobView[] =>
-  size.limit(snapshot).jobs.filter((job) => job.waitingTasks > 0);
+const taken = (sizer: CycleSizer, snapshot: Snapshot): JobView[] =>
+  sizer.limit(snapshot).jobs.filter((job) => job.waitingTasks > 0);
 
 test('a new leader begins with the first jobs in order, and the others keep their claims', () => {
   const snapshot = waitingJobs(400);
-  const size = new CycleSizer(() => LEASE_MS);
-  const first = taken(size, snapshot);
+  const sizer = new CycleSizer(() => LEASE_MS);
+  const first = taken(sizer, snapshot);
   assert.equal(first.length, 50);
   assert.ok(first.every((job) => job.dueAt <= 50));
-  const { jobs, teams } = size.limit(snapshot);
+  const { jobs, teams } = sizer.limit(snapshot);
   assert.equal(jobs.length, 400);
   assert.deepEqual(withinGuarantee(jobs, teams), withinGuarantee(snapshot.jobs, teams));
 });
 
-test('rounds take in more jobs while they are short, and fewer after one that was long', () => {
+test('cycles take in more jobs while they are short, and fewer after one that was long', () => {
   const snapshot = waitingJobs(400);
-  const size = new CycleSizer(() => LEASE_MS);
+  const sizer = new CycleSizer(() => LEASE_MS);
   for (const expected of [100, 200, 400]) {
-    size.recordDuration(20);
-    assert.equal(taken(size, snapshot).length, expected);
+    sizer.recordDuration(20);
+    assert.equal(taken(sizer, snapshot).length, expected);
   }
-  assert.equal(size.limit(snapshot), snapshot);
-  size.recordDuration(LEASE_MS / 2);
-  assert.equal(taken(size, snapshot).length, 200);
-  for (let i = 0; i < 9; i++) size.recordDuration(LEASE_MS / 2);
-  assert.equal(taken(size, snapshot).length, 25);
+  assert.equal(sizer.limit(snapshot), snapshot);
+  sizer.recordDuration(LEASE_MS / 2);
+  assert.equal(taken(sizer, snapshot).length, 200);
+  for (let i = 0; i < 9; i++) sizer.recordDuration(LEASE_MS / 2);
+  assert.equal(taken(sizer, snapshot).length, 25);
   // Neither long nor short: jobs further behind get their turn all the same.
-  size.recordDuration(LEASE_MS / 10);
-  assert.equal(taken(size, snapshot).length, 50);
+  sizer.recordDuration(LEASE_MS / 10);
+  assert.equal(taken(sizer, snapshot).length, 50);
 });
 
-test('jobs that may not be placed now take nobody a place in the round', () => {
+test("jobs that may not be placed now take no other job's place in the cycle", () => {
   const blocked = waitingJobs(60, { isAdmissible: false, priority: 0 });
   const snapshot = waitingJobs(50);
-  const size = new CycleSizer(() => LEASE_MS);
+  const sizer = new CycleSizer(() => LEASE_MS);
   const both = { ...snapshot, jobs: [...blocked.jobs, ...snapshot.jobs] };
-  assert.equal(taken(size, both).filter((job) => job.isAdmissible).length, 50);
+  assert.equal(taken(sizer, both).filter((job) => job.isAdmissible).length, 50);
 });
--- a/test/headroom.test.ts
+++ b/test/headroom.test.ts
@@ -46,16 +46,16 @@
   return snapshotWith(new Map([['vision', team]]), { offers: OFFERS, ...what });
 }
 
-const rented = (scaleOut: ScaleOutRequest[]): number =>
-  scaleOut.reduce((sum, rent) => sum + rent.count, 0);
+const provisioned = (scaleOut: ScaleOutRequest[]): number =>
+  scaleOut.reduce((sum, request) => sum + request.count, 0);
 
-test('what is expected and finds no room is rented ahead, and nothing is stopped for it', () => {
+test('expected work that does not fit is scaled out for ahead, and nothing is preempted for it', () => {
   const result = schedule(snapshot({ expectedTasks: [{ spec: REPLICA, count: 6 }] }));
-  assert.equal(rented(result.scaleOut), 2);
+  assert.equal(provisioned(result.scaleOut), 2);
   assert.deepEqual([result.starts, result.stops], [[], []]);
 });
 
-test('room that is free, that boots, or that lesser work would leave is enough', () => {
+test('capacity that is free, that boots, or that preemption would free is enough', () => {
   const batch: PreemptionCandidate = {
     job: 'req-1',
     task: 0,
@@ -72,20 +72,20 @@
   const withBatch = machine('m1', { free: full, tasksOf: new Map([['req-1', 1]]) });
   const booting = machine('m2', { isUp: false });
   const free = machine('m3');
-  for (const room of [[withBatch], [booting], [free]]) {
+  for (const machines of [[withBatch], [booting], [free]]) {
     const four = snapshot({
-      machines: room,
-      preemptionCandidates: room[0] === withBatch ? [batch] : [],
+      machines,
+      preemptionCandidates: machines[0] === withBatch ? [batch] : [],
       expectedTasks: [{ spec: REPLICA, count: 4 }],
     });
-    assert.equal(rented(schedule(four).scaleOut), 0);
+    assert.equal(provisioned(schedule(four).scaleOut), 0);
     assert.deepEqual(schedule(four).stops, []);
     const five = { ...four, expectedTasks: [{ spec: REPLICA, count: 5 }] };
-    assert.equal(rented(schedule(five).scaleOut), 1);
+    assert.equal(provisioned(schedule(five).scaleOut), 1);
   }
 });
 
-test('two classes do not count on the same room', () => {
+test('two classes do not count on the same capacity', () => {
   const other = { ...REPLICA, jobClass: 'others' };
   const both = snapshot({
     machines: [machine('m1')],
@@ -94,10 +94,10 @@
       { spec: other, count: 4 },
     ],
   });
-  assert.equal(rented(schedule(both).scaleOut), 1);
+  assert.equal(provisioned(schedule(both).scaleOut), 1);
 });
 
-test('gangs that all have to rent go to different zones, or the first zone is used up', () => {
+test('gangs that all need scale-out go to different zones, or the first zone is used up', () => {
   const gangs = [1, 2, 3].map((i) => waitingGang(`req-${i}`, i));
   const { scaleOut: scaleOut } = schedule(snapshot({ jobs: gangs }));
   assert.deepEqual(
@@ -110,7 +110,7 @@
   );
 });
 
-test('a gang stays in the zone that is nearest to having room for it, however many machines are there', () => {
+test('a gang stays in the zone that is nearest to having capacity for it, however many machines are there', () => {
   const machines = [1, 2, 3].map((i) => machine(`m${i}`, { zone: 'b', isUp: i === 1 }));
   const other = machine('m4', { zone: 'c' });
   const { scaleOut: scaleOut } = schedule(
--- a/test/idle-machines.test.ts
+++ b/test/idle-machines.test.ts
@@ -2,25 +2,25 @@
 import { test } from 'node:test';
 import { IdleMachines } from '../src/scheduler/idle-machines.js';
 
-test('only what was spare at every moment of a while is beyond need', () => {
-  const spares = new IdleMachines(0, true);
+test('only machines that were idle throughout the idle timeout are surplus', () => {
+  const idle = new IdleMachines(0, true);
   const counts = [6, 4, 9, 7, 5, 8];
-  const surplus = counts.map((count, i) => spares.surplus('g8', count, i * 10_000, 30_000));
-  // A new leader counts half of the while as past; later on the fewest of the last 30 s stand.
+  const surplus = counts.map((count, i) => idle.surplus('g8', count, i * 10_000, 30_000));
+  // A new leader counts half of the idle timeout as past; later on the fewest of the last 30 s stand.
   assert.deepEqual(surplus, [0, 0, 4, 4, 4, 5]);
 });
 
-test('the first leader of a fleet keeps all of it for a whole while', () => {
-  const spares = new IdleMachines(0, false);
-  const surplus = [0, 20_000, 29_000, 30_000].map((at) => spares.surplus('g8', 3, at, 30_000));
+test('the first leader of a fleet keeps all of it for a whole idle timeout', () => {
+  const idle = new IdleMachines(0, false);
+  const surplus = [0, 20_000, 29_000, 30_000].map((at) => idle.surplus('g8', 3, at, 30_000));
   assert.deepEqual(surplus, [0, 0, 0, 3]);
 });
 
-test('what was given back is not counted as spare a second time', () => {
-  const spares = new IdleMachines(0, true);
-  spares.surplus('g8', 5, 0, 30_000);
-  assert.equal(spares.surplus('g8', 7, 20_000, 30_000), 5);
-  spares.recordReleased('g8', 5);
-  assert.equal(spares.surplus('g8', 2, 25_000, 30_000), 0);
-  assert.equal(spares.surplus('other', 3, 25_000, 30_000), 3);
+test('machines that were scaled in are not counted as idle a second time', () => {
+  const idle = new IdleMachines(0, true);
+  idle.surplus('g8', 5, 0, 30_000);
+  assert.equal(idle.surplus('g8', 7, 20_000, 30_000), 5);
+  idle.recordReleased('g8', 5);
+  assert.equal(idle.surplus('g8', 2, 25_000, 30_000), 0);
+  assert.equal(idle.surplus('other', 3, 25_000, 30_000), 3);
 });
--- a/test/job-order.test.ts
+++ b/test/job-order.test.ts
@@ -2,7 +2,7 @@
 import { test } from 'node:test';
 import { dueAt } from '../src/scheduler/job-order.js';
 
-test('in a rush what can still be in time goes before what is late, but not for ever', () => {
+test('in a rush what can still be in time goes before what is late, but not forever', () => {
   const due = (now: number, submittedAt = 0): number =>
     dueAt(60_000, submittedAt, [1, 1.5], now, 20_000);
   assert.equal(due(0), 60_000);
@@ -15,6 +15,6 @@
   assert.ok(due(121_000, 121_000) > due(121_000));
 });
 
-test('a job without a stated aim goes by its deadline', () => {
+test('a job without a service-level objective goes by its deadline', () => {
   assert.equal(dueAt(60_000, 0, [], 10_000, 20_000), 60_000);
 });
--- a/test/opportunistic.test.ts
+++ b/test/opportunistic.test.ts
@@ -8,7 +8,7 @@
 
 const BOOT_MS = 40_000;
 
-const GUESTS: JobTemplate = { crew: 'guests', urgency: 'best_effort', gpus: 0 };
+const OPPORTUNISTIC: JobTemplate = { crew: 'guests', urgency: 'best_effort', gpus: 0 };
 
 /** How many tasks at once a job asks for that has waited for so long. */
 function atOnce(spec: Partial<JobSpec>, waitedMs: number, finishedMs?: number): number | null {
@@ -36,11 +36,16 @@
   assert.equal(atOnce({ kind: 'service' }, 0), null);
 });
 
-test('with no machine up, guests of many tasks and of one begin all the same, on few machines', async () => {
+test('with no machine up, opportunistic jobs of many tasks and of one begin all the same, on few machines', async () => {
   const simulatedCluster = new SimulatedCluster([]);
   await simulatedCluster.start();
-  const many = await simulatedCluster.submit({ ...GUESTS, pieces: 200, vcpus: 12, runMs: 100_000 });
-  const one = await simulatedCluster.submit({ ...GUESTS, vcpus: 0.25, runMs: 5000 });
+  const many = await simulatedCluster.submit({
+    ...OPPORTUNISTIC,
+    pieces: 200,
+    vcpus: 12,
+    runMs: 100_000,
+  });
+  const one = await simulatedCluster.submit({ ...OPPORTUNISTIC, vcpus: 0.25, runMs: 5000 });
   await simulatedCluster.until(
     () => simulatedCluster.running(many) > 0,
     120,
@@ -51,17 +56,22 @@
     30,
     'the small one is done',
   );
-  assert.ok(simulatedCluster.cloud.hosts.size <= 8, 'fifty machines are not rented for it');
+  assert.ok(simulatedCluster.cloud.hosts.size <= 8, 'fifty machines are not provisioned for it');
   await simulatedCluster.close();
 });
 
-test('the last guests on many machines are moved together, and these machines go back', async () => {
-  // Machines were kept for as long as the last of their guests ran: 133 of them after a busy night.
+test('the last opportunistic tasks on many machines are moved together, and these machines are scaled in', async () => {
+  // Machines were kept for as long as the last of their opportunistic tasks ran: 133 of them after a busy night.
   const simulatedCluster = new SimulatedCluster(Array.from({ length: 6 }, () => ({ yard: 'a' })));
   await simulatedCluster.start();
   const steady = await simulatedCluster.submit({ shape: 'service', runMs: 0 });
-  await simulatedCluster.submit({ ...GUESTS, pieces: 18, vcpus: 12, runMs: 20_000 });
-  const long = await simulatedCluster.submit({ ...GUESTS, pieces: 6, vcpus: 12, runMs: 300_000 });
+  await simulatedCluster.submit({ ...OPPORTUNISTIC, pieces: 18, vcpus: 12, runMs: 20_000 });
+  const long = await simulatedCluster.submit({
+    ...OPPORTUNISTIC,
+    pieces: 6,
+    vcpus: 12,
+    runMs: 300_000,
+  });
   await simulatedCluster.until(() => simulatedCluster.running(long) === 6, 30, 'some run for long');
   await simulatedCluster.until(
     () => simulatedCluster.cloud.hosts.size <= 2,
--- a/test/scheduling-cycle.test.ts
+++ b/test/scheduling-cycle.test.ts
@@ -57,7 +57,7 @@
 
 test('what is told to stop counts against its team until it is gone', () => {
   // The team is at its limit; one of its tasks makes way for a replica of another team. Its share
-  // of the limit must not be given out again in the same round.
+  // of the limit must not be given out again in the same scheduling cycle.
   const running = job({ tasks: 20 }, { waitingTasks: 4 });
   const replica = job({
     team: 'speech',
@@ -66,7 +66,7 @@
     tasks: 1,
     need: { cpus: 8, gpus: 8, memoryGb: 40 },
   });
-  const victims = Array.from({ length: 8 }, (_, task) => ({
+  const candidates = Array.from({ length: 8 }, (_, task) => ({
     job: running.id,
     task,
     machine: 'm1',
@@ -89,7 +89,7 @@
         ['vision', team(16)],
         ['speech', team(0)],
       ]),
-      preemptionCandidates: victims,
+      preemptionCandidates: candidates,
     }),
   );
   assert.equal(result.stops.length, 8);
@@ -106,16 +106,16 @@
   assert.equal(started(both, spread.id), 2);
 });
 
-test('room for a spread job is made only in a zone that may take more of it', () => {
+test('preemption for a spread job frees capacity only in a zone that may hold more of it', () => {
   // Zone a has its half already. Stopping work there would help nobody, and would be done again in
-  // every round while the replica waits.
+  // every scheduling cycle while the replica waits.
   const replicas = job(
     { team: 'speech', kind: 'service', priority: Priority.Production, tasks: 2, spread: true },
     { waitingTasks: 1, tasksByZone: new Map([['a', 1]]) },
   );
   const batch = job({ tasks: 16 }, { waitingTasks: 0 });
   const full = { cpus: 40, gpus: 0, memoryGb: 256 };
-  const victims = ['m1', 'm2'].map((machine, task) => ({
+  const candidates = ['m1', 'm2'].map((machine, task) => ({
     job: batch.id,
     task,
     machine,
@@ -135,7 +135,7 @@
         ['vision', team(16)],
         ['speech', team(1)],
       ]),
-      preemptionCandidates: victims,
+      preemptionCandidates: candidates,
     }),
   );
   assert.deepEqual(result.stops, [{ job: batch.id, task: 1 }]);
@@ -150,7 +150,7 @@
   assert.equal(started(only, held.id), 0);
 });
 
-test('nobody who may not use cheap machines gets one, and nothing is rented in vain', () => {
+test('only jobs that allow spot instances get one, and nothing is provisioned in vain', () => {
   const plain = job({ tasks: 8 });
   const offers = [true, false].map((spot) => ({
     type: TYPE,
@@ -169,9 +169,9 @@
   assert.deepEqual(booting.scaleOut, []);
 });
 
-test('equal work does not displace equal work, except to give a team its guarantee', () => {
+test('equal work does not preempt equal work, except to give a team its guarantee', () => {
   const holder = job({ team: 'speech', tasks: 8 }, { waitingTasks: 0 });
-  const victims = runningTasks(holder, 8);
+  const candidates = runningTasks(holder, 8);
   const full = (): MachineView => machine('m1', { free: { cpus: 40, gpus: 0, memoryGb: 256 } });
   const wish = job({ tasks: 2 });
   const within = (guarantee: number): ReturnType<typeof schedule> =>
@@ -183,14 +183,14 @@
           ['vision', team(0, guarantee)],
           ['speech', team(8, 4)],
         ]),
-        preemptionCandidates: victims,
+        preemptionCandidates: candidates,
       }),
     );
   assert.equal(within(0).stops.length, 0);
   assert.equal(within(8).stops.length, 2);
 });
 
-test('of two gangs that wait for room one is admitted, and one whose room is free passes', () => {
+test('of two gangs that wait for capacity one is admitted, and one that fits on free capacity starts', () => {
   const big = (): JobView =>
     job({ kind: 'gang', tasks: 2, need: { cpus: 40, gpus: 8, memoryGb: 200 } });
   const [first, second] = [big(), big()];
@@ -215,9 +215,9 @@
   assert.equal(started(more, small.id), 2);
 });
 
-test('work is not displaced for what comes after it in the order: it would take the room back', () => {
+test('work is not preempted for what comes after it in the order: it would take the capacity back', () => {
   const batch = job({ priority: Priority.Low, tasks: 8 }, { waitingTasks: 0 });
-  const victims = runningTasks(batch, 8);
+  const candidates = runningTasks(batch, 8);
   const gang = job({ kind: 'gang', team: 'speech', tasks: 1, need: TYPE.capacity });
   const stops = (guarantee: number): number =>
     schedule(
@@ -228,7 +228,7 @@
           ['vision', team(8, guarantee)],
           ['speech', team(0, 4)],
         ]),
-        preemptionCandidates: victims,
+        preemptionCandidates: candidates,
       }),
     ).stops.length;
   assert.equal(stops(8), 0);
@@ -258,19 +258,19 @@
   assert.deepEqual(on(25), { full: 4, half: 15, empty: 6 });
 });
 
-test('a step counts as what needs it: it makes lesser work leave, and does not leave for it', () => {
+test('a step has the priority of its dependents: it preempts lower work, and is not preempted by it', () => {
   const batch = job({ priority: Priority.Normal, tasks: 8 }, { waitingTasks: 0 });
   const step = job(
     { priority: Priority.Low, tasks: 1, need: { cpus: 8, gpus: 0, memoryGb: 4 } },
     { priority: Priority.High },
   );
   const stops = (holder: JobView, wish: JobView): number => {
-    const victims = runningTasks(holder, 8);
+    const candidates = runningTasks(holder, 8);
     const full = machine('m1', { free: { cpus: 7, gpus: 1, memoryGb: 100 } });
     // Nothing is guaranteed to the team: priority alone decides.
     const teams = new Map([['vision', team(8, 0)]]);
     return schedule(
-      snapshot({ machines: [full], jobs: [holder, wish], preemptionCandidates: victims, teams }),
+      snapshot({ machines: [full], jobs: [holder, wish], preemptionCandidates: candidates, teams }),
     ).stops.length;
   };
   assert.equal(stops(batch, step), 1);
@@ -278,7 +278,7 @@
   const steps = { ...step, waiting: 0 };
   const wish = job({ priority: Priority.Normal, need: { cpus: 8, gpus: 0, memoryGb: 4 } });
   assert.equal(stops(steps, wish), 0);
-  // Work that lives beside GPUs gives its room up soon; what needs GPUs drives it out.
+  // Work without GPUs frees its capacity soon; what needs GPUs preempts it.
   assert.equal(stops({ ...steps, priority: Priority.Low }, wish), 0);
   const withGpu = job({
     priority: Priority.Normal,
@@ -288,10 +288,10 @@
   assert.equal(stops({ ...steps, priority: Priority.Low }, withGpu), 1);
 });
 
-test('what is patient makes nobody leave, and rents only what its like does not leave', () => {
+test('backfill preempts nothing, and scales out only for what other backfill will not free', () => {
   const need = { cpus: 8, gpus: 0, memoryGb: 4 };
   const batch = job({ priority: Priority.Low, tasks: 8 }, { waitingTasks: 0 });
-  const victims = runningTasks(batch, 8);
+  const candidates = runningTasks(batch, 8);
   const offers = [{ type: TYPE, zone: 'a', spot: false, price: 20 }];
   const steps = job({ tasks: 25, need });
   const gang = job({ kind: 'gang', tasks: 2, need });
@@ -302,26 +302,26 @@
         jobs: [batch, { ...steps, isBackfill: patient }, { ...gang, isBackfill: patient }],
         teams: new Map([['vision', team(8, 0, 64)]]),
         offers,
-        preemptionCandidates: victims,
+        preemptionCandidates: candidates,
         ...s,
       }),
     );
-  const rented = (p: ReturnType<typeof schedule>): number =>
+  const provisioned = (p: ReturnType<typeof schedule>): number =>
     p.scaleOut.reduce((sum, r) => sum + r.count, 0);
   const waits = run(true);
   assert.equal(started(waits, steps.id), 1);
   assert.deepEqual([waits.stops, waits.admittedGang], [[], null]);
-  // 24 and 2 tasks found no room, and a machine holds 6.
-  assert.equal(rented(waits), 5);
-  // Those that run leave room for as many as they are.
-  assert.equal(rented(run(true, { leavingCpus: 13 * 8 })), 3);
-  assert.equal(rented(run(true, { leavingCpus: 26 * 8 })), 0);
+  // 24 and 2 tasks found no capacity, and a machine holds 6.
+  assert.equal(provisioned(waits), 5);
+  // Those that run leave capacity for as many as they are.
+  assert.equal(provisioned(run(true, { leavingCpus: 13 * 8 })), 3);
+  assert.equal(provisioned(run(true, { leavingCpus: 26 * 8 })), 0);
   // What waits for other jobs counts too, and starts nothing.
   const upcoming = [job({ tasks: 12, need })];
-  assert.equal(rented(run(true, { leavingCpus: 26 * 8, upcomingJobs: upcoming })), 2);
+  assert.equal(provisioned(run(true, { leavingCpus: 26 * 8, upcomingJobs: upcoming })), 2);
   const hurries = run(false);
   assert.ok(hurries.stops.length > 0);
-  assert.equal(rented(hurries), 5);
+  assert.equal(provisioned(hurries), 5);
   assert.equal(hurries.admittedGang, gang.id);
 });
 
@@ -360,41 +360,55 @@
 });
 
 /** A job of a team without a guarantee that may wait; `atOnce`: what it needs to be in time. */
-const guest = (atOnce: number, spec: Partial<JobSpec> = {}, view: Partial<JobView> = {}): JobView =>
+const opportunisticJob = (
+  atOnce: number,
+  spec: Partial<JobSpec> = {},
+  view: Partial<JobView> = {},
+): JobView =>
   job(
-    { team: 'guests', priority: Priority.Low, need: { cpus: 12, gpus: 0, memoryGb: 4 }, ...spec },
+    {
+      team: 'opportunistic',
+      priority: Priority.Low,
+      need: { cpus: 12, gpus: 0, memoryGb: 4 },
+      ...spec,
+    },
     { opportunisticTasks: atOnce, ...view },
   );
 
-const withGuests = (s: Partial<Snapshot>): Snapshot =>
+const withOpportunisticTeam = (s: Partial<Snapshot>): Snapshot =>
   snapshot({
     offers: [{ type: TYPE, zone: 'a', spot: false, price: 20 }],
     teams: new Map([
       ['vision', team(0)],
-      ['guests', team(0, 0, Infinity)],
+      ['opportunistic', team(0, 0, Infinity)],
     ]),
     ...s,
   });
 
-test('opportunistic work takes what is up, and rents only what it needs to be in time', () => {
-  const jobs = [guest(0, { tasks: 500 })];
-  const waits = schedule(withGuests({ machines: [machine('m1')], jobs }));
+test('opportunistic work takes what is up, and scales out only for what it needs to be in time', () => {
+  const jobs = [opportunisticJob(0, { tasks: 500 })];
+  const waits = schedule(withOpportunisticTeam({ machines: [machine('m1')], jobs }));
   assert.equal(started(waits, jobs[0]!.id), 4);
   assert.deepEqual(waits.scaleOut, []);
   // Ten at once are four here, and six on two more machines.
   const inTime = schedule(
-    withGuests({ machines: [machine('m1')], jobs: [guest(10, { tasks: 500 })] }),
+    withOpportunisticTeam({
+      machines: [machine('m1')],
+      jobs: [opportunisticJob(10, { tasks: 500 })],
+    }),
   );
   assert.equal(inTime.scaleOut[0]?.count, 2);
   // A claim goes first, and what it has set aside is not taken.
   const claim = job({ kind: 'gang', tasks: 2, need: { cpus: 43, gpus: 8, memoryGb: 230 } });
-  const both = schedule(withGuests({ machines: [machine('m1')], jobs: [...jobs, claim] }));
+  const both = schedule(
+    withOpportunisticTeam({ machines: [machine('m1')], jobs: [...jobs, claim] }),
+  );
   assert.equal(started(both, jobs[0]!.id), 0);
 });
 
-test('a machine that holds opportunistic work alone is spare, and cleared if all of it fits elsewhere', () => {
-  // 100 machines were kept for minutes by a few tasks of guests on each.
-  const held = guest(0, { tasks: 5 }, { waitingTasks: 0 });
+test('a machine that holds only opportunistic work is idle, and drainable if all of it fits elsewhere', () => {
+  // 100 machines were kept for minutes by a few opportunistic tasks on each.
+  const held = opportunisticJob(0, { tasks: 5 }, { waitingTasks: 0 });
   const replica = job({ kind: 'service', priority: Priority.Production }, { waitingTasks: 0 });
   const on = (member: string, tasks: number[]): PreemptionCandidate[] =>
     tasks.map((task) => ({ ...runningTasks(held, 1)[0]!, task, machine: member }));
@@ -405,7 +419,7 @@
   const inUse = { free: { cpus: 20, gpus: 1, memoryGb: 9 }, tasksOf: new Map([[replica.id, 3]]) };
   const run = (few: Partial<PreemptionCandidate>, two: number): ReturnType<typeof schedule> =>
     schedule(
-      withGuests({
+      withOpportunisticTeam({
         machines: [machine('m1', used(1)), machine('m2', used(two)), machine('m3', inUse)],
         jobs: [held, replica],
         preemptionCandidates: [
