--- a/src/scheduler/idle-machines.ts
+++ b/src/scheduler/idle-machines.ts
@@ -1,4 +1,4 @@
-/** Idle timeout by type: how many idle machines can be scaled in. Times in milliseconds, monotonic. */
+/** Idle machines that can be scaled in, by type. Times in milliseconds, monotonic. */
 
 /** How many machines of one type were idle during the last idle timeout. */
 interface History {
--- a/src/scheduler/opportunistic-scheduler.ts
+++ b/src/scheduler/opportunistic-scheduler.ts
@@ -1,7 +1,7 @@
 /** Starts opportunistic work: it takes what no other work took or reserved. */
 import { isOpportunistic, type CycleContext } from './cycle-context.js';
 import { inSchedulingOrder } from './job-order.js';
-import { drainableMachines, holdsOnly } from './opportunistic.js';
+import { drainableMachines, holdsOnly } from './opportunistic-drain.js';
 import { ZoneRules } from './placement-rules.js';
 import type { JobView, MachineView, TeamView } from './scheduling-model.js';
 import type { TaskStarter } from './task-starter.js';
--- a/src/scheduler/scale-out-plan.ts
+++ b/src/scheduler/scale-out-plan.ts
@@ -11,7 +11,7 @@
 export class ScaleOutPlan {
   private readonly plannedMachines: { offer: InstanceOffer; view: MachineView }[] = [];
   /** Machines in each zone, planned ones included. */
-  private readonly machinesIn = new Map<string, number>();
+  private readonly machinesByZone = new Map<string, number>();
 
   constructor(
     private readonly offers: InstanceOffer[],
@@ -83,11 +83,11 @@
 
   /** How many machines there are in a zone, planned ones included. */
   machinesInZone(zone: string): number {
-    return this.machinesIn.get(zone) ?? 0;
+    return this.machinesByZone.get(zone) ?? 0;
   }
 
   private countMachine(zone: string): void {
-    this.machinesIn.set(zone, (this.machinesIn.get(zone) ?? 0) + 1);
+    this.machinesByZone.set(zone, (this.machinesByZone.get(zone) ?? 0) + 1);
   }
 
   /** The planned machines, summed by offer. */
--- a/src/scheduler/scheduling-model.ts
+++ b/src/scheduler/scheduling-model.ts
@@ -70,7 +70,7 @@
 }
 
 /** State of a gang at the all-or-nothing gate (KEP-349). */
-export interface GangView {
+interface GangView {
   /** It was admitted to wait for capacity; until it starts, no other gang may be. */
   holdsGate: boolean;
   /** How often it was suspended. */
--- a/src/scheduler/task-moves.ts
+++ b/src/scheduler/task-moves.ts
@@ -5,7 +5,7 @@
 import type { JobView, MachineView } from './scheduling-model.js';
 
 /** A task that could move. */
-export interface MovableTask {
+interface MovableTask {
   job: string;
   spec: JobSpec;
 }
@@ -17,7 +17,7 @@
 }
 
 /** What differs between the searches. */
-export interface MoveSearch {
+interface MoveSearch {
   targets: MachineView[];
   /** Jobs by id. */
   jobs: ReadonlyMap<string, JobView>;
--- a/test/consolidation.test.ts
+++ b/test/consolidation.test.ts
@@ -51,7 +51,7 @@
 }
 
 const run = (f: ReturnType<typeof fleet>): string[] =>
-  consolidate(f.movable, f.up, f.jobs).map((m) => `${m.job}/${m.task}`);
+  consolidate(f.movable, f.up, f.jobs).map(({ job, task }) => `${job}/${task}`);
 
 test('replicas left alone on two machines are consolidated on one, and stay there', () => {
   assert.deepEqual(run(fleet([['m1'], ['m2']])), ['req-1/0']);
--- a/test/scheduling-cycle.test.ts
+++ b/test/scheduling-cycle.test.ts
@@ -32,11 +32,12 @@
   return snapshotWith(teams, what);
 }
 
-const started = (p: ReturnType<typeof schedule>, id: string): number =>
-  p.starts
+const started = (plan: ReturnType<typeof schedule>, id: string): number =>
+  plan.starts
     .filter((start) => start.job === id)
     .reduce(
-      (sum, start) => sum + start.assignments.reduce((k, assignment) => k + assignment.count, 0),
+      (sum, start) =>
+        sum + start.assignments.reduce((count, assignment) => count + assignment.count, 0),
       0,
     );
 
@@ -306,8 +307,8 @@
         ...s,
       }),
     );
-  const provisioned = (p: ReturnType<typeof schedule>): number =>
-    p.scaleOut.reduce((sum, r) => sum + r.count, 0);
+  const provisioned = (plan: ReturnType<typeof schedule>): number =>
+    plan.scaleOut.reduce((sum, request) => sum + request.count, 0);
   const waits = run(true);
   assert.equal(started(waits, steps.id), 1);
   assert.deepEqual([waits.stops, waits.admittedGang], [[], null]);
@@ -375,14 +376,14 @@
     { opportunisticTasks: atOnce, ...view },
   );
 
-const withOpportunisticTeam = (s: Partial<Snapshot>): Snapshot =>
+const withOpportunisticTeam = (overrides: Partial<Snapshot>): Snapshot =>
   snapshot({
     offers: [{ type: TYPE, zone: 'a', spot: false, price: 20 }],
     teams: new Map([
       ['vision', team(0)],
       ['opportunistic', team(0, 0, Infinity)],
     ]),
-    ...s,
+    ...overrides,
   });
 
 test('opportunistic work takes what is up, and scales out only for what it needs to be in time', () => {
