--- a/test/consolidation.test.ts
+++ b/test/consolidation.test.ts
@@ -51,14 +51,14 @@
 }
 
 const run = (f: ReturnType<typeof fleet>): string[] =>
-  consolidate(f.movable, f.up, f.jobs).map((m) => `${m.job}/${m.task}`);
+  consolidate(f.movable, f.up, f.jobs).map(({ job, task }) => `${job}/${task}`);
 
 test('replicas left alone on two machines are consolidated on one, and stay there', () => {
   assert.deepEqual(run(fleet([['m1'], ['m2']])), ['req-1/0']);
   assert.deepEqual(run(fleet([['m1'], ['m1']])), []);
 });
 
-test('the emptiest machine is cleared, and only where all of it finds room', () => {
+test('the emptiest machine is drained, and only if all of its replicas fit elsewhere', () => {
   assert.deepEqual(run(fleet([['m1'], ['m1'], ['m1'], ['m2']])), ['req-3/0']);
   // Four fill a machine: of the two on the second only one would fit.
   assert.deepEqual(run(fleet([['m1'], ['m1'], ['m1'], ['m2'], ['m2']])), []);
