--- a/packages/core/src/fenced-records.ts
+++ b/packages/core/src/fenced-records.ts
@@ -97,6 +97,7 @@
     this.changed();
   }
 
+  /** The records may have changed: reports that, and logs each unreadable record once. */
   private changed(): void {
     this.layout.onChange();
     for (const key of this.repository.unreadableKeys()) {
@@ -196,8 +197,8 @@
   }
 
   /**
-   * Writes, repeating until the store gives a definite answer. False if a condition failed; the records
-   * were then read again, so that they also show whether an earlier attempt of this write, one without an
+   * Writes, repeating until the store gives a definite answer. False if a condition failed: then the term has
+   * ended, or the records were read again and show whether an earlier attempt of this write, one without an
    * answer, was applied.
    *
    * @param onManifestSettled for a change of the manifest: called when its outcome is known
