--- a/packages/rollout/src/leader-rollouts.ts
+++ b/packages/rollout/src/leader-rollouts.ts
@@ -1,37 +1,32 @@
-/**
- * The leader's side: reads the records, probes replicas, carries rollouts on step by step, and withdraws
- * replicas. It lives for one term, like the leader itself.
- */
+/** The leader's side, for one term: reads the records and carries each rollout on by transitions. */
 import { supervise } from '@leverhatch/core/duty';
 import { FeatureWatch, FencedRecords } from '@leverhatch/core/fenced-records';
 import type { Change, Condition } from '@leverhatch/core/store';
 import type { TermPort } from '@leverhatch/core/term';
-import { ceilingsOf, lowerCeilings, type Ceilings } from './ceilings.js';
+import { CeilingTracker } from './ceiling-tracker.js';
 import { retire } from './history.js';
 import { ROLLOUT_KEYS, WRITE_ID } from './keys.js';
 import { conflictOf, RolloutObserver } from './observer.js';
 import type { RolloutPorts, SchedulerPort } from './ports.js';
+import { ReplicaWithdrawals } from './replica-withdrawals.js';
 import {
   isOpen,
   isReadable,
-  jobsOf,
   RolloutRepository,
   type ReadableRollout,
 } from './rollout-repository.js';
-import type { SpecRecord } from './spec.js';
-import { boundedCeilings, type ManifestRecord, type StatusRecord } from './status.js';
+import type { ManifestRecord, StatusRecord } from './status.js';
 import { nextStatus } from './transitions.js';
 import { waitReason } from './wait-reason.js';
-import { chooseWithdrawals } from './withdrawal.js';
 
-/** Starts and ends of work go before steps of rollouts. */
+/** Writes of starts and ends of work go first. */
 const REQUEST_PRIORITY = 2;
 const HISTORY_REQUEST_PRIORITY = 3;
 
-/** How often, in steps, jobs that are waited for are looked up in the store. */
-const STEPS_PER_LOOK_UP = 8;
+/** Steps between two reads of awaited jobs from the store. */
+const STEPS_PER_JOB_READ = 8;
 
-/** A step that comes so many times as late as it should: this controller stood still. */
+/** Step intervals without a step after which this controller counts as stalled. */
 const STALL_STEPS = 4;
 
 /** A transition that is about to be written. */
@@ -46,22 +41,15 @@
   private readonly records: FencedRecords<RolloutRepository>;
   private readonly controllers: FeatureWatch;
   private readonly observer: RolloutObserver;
-  /** How many replicas of each job may be placed now. */
-  private ceilings: Ceilings = new Map();
-  /** Jobs that open rollouts name. */
-  private rolling: ReadonlySet<string> = new Set();
-  /** The ceilings as they will be once the write under way is applied; null: none is. */
-  private nextCeilings: Ceilings | null = null;
-  /** What was placed of the jobs of rollouts whose records cannot be read, when that was found. */
-  private readonly placedBefore = new Map<string, number>();
-  /** Every controller has rollouts switched on, as it was last looked up. */
+  private readonly ceilings: CeilingTracker;
+  private readonly withdrawals: ReplicaWithdrawals;
+  /** Whether every controller had rollouts enabled when that was last read. */
   private isEnabledEverywhere = false;
-  private lookedAt: number;
-  /** When it was last looked what may be withdrawn. */
-  private withdrewAt = -Infinity;
-  /** When it was last looked up which awaited jobs are over. */
-  private lookedUpAt = -Infinity;
-  /** Where the next look for something to do begins, so that each rollout gets its turn. */
+  /** When the last step began, in monotonic milliseconds like all times here. */
+  private steppedAt: number;
+  /** When awaited jobs were last read from the store. */
+  private awaitedReadAt = -Infinity;
+  /** Rotates the rollout that is tried first, so that each gets its turn. */
   private nextRolloutIndex = 0;
 
   constructor(
@@ -69,22 +57,24 @@
     private readonly term: TermPort,
     private readonly scheduler: SchedulerPort,
   ) {
+    this.ceilings = new CeilingTracker(scheduler, () => this.repository.rollouts);
     this.records = new FencedRecords(ports, term, {
       name: 'rollouts',
       prefix: ROLLOUT_KEYS.all,
       manifestKey: ROLLOUT_KEYS.manifest,
       read: (entries) => RolloutRepository.fromEntries(entries),
       unreadableMessage: 'rollout record cannot be read, its rollout stands still',
-      onChange: () => this.recompute(),
+      onChange: () => this.ceilings.recompute(),
     });
     this.controllers = new FeatureWatch('rollout', ports.log, (signal) =>
       ports.isEnabledOnAllControllers(signal),
     );
     this.observer = new RolloutObserver(ports, scheduler, () => this.open);
-    this.lookedAt = ports.clock.now();
+    this.withdrawals = new ReplicaWithdrawals(ports, scheduler, this.observer);
+    this.steppedAt = ports.clock.now();
   }
 
-  /** Reads all records. Nothing may be decided before this has come about once in the term. */
+  /** Reads all records. Nothing may be scheduled before this has resolved once in the term. */
   load(signal: AbortSignal): Promise<void> {
     return this.records.load(signal);
   }
@@ -94,26 +84,27 @@
     return this.records.condition();
   }
 
-  /** Such a transaction was refused; resolves once the ceilings that the store has are known. */
+  /** Such a transaction was refused; resolves once the ceilings in the store are known. */
   async conditionFailed(failed: Condition): Promise<void> {
     await this.records.conditionFailed(failed);
-    this.withdrawStarts();
+    this.ceilings.withdrawStarts();
   }
 
   /** How many replicas of a job may be placed; while a change is being written, the smaller number. */
   placementLimit(job: string): number {
-    return this.ceilings.get(job) ?? Infinity;
+    return this.ceilings.placementLimit(job);
   }
 
-  /** Whether a job is named by a rollout that is under way. */
+  /** Whether an open rollout names a job. */
   isRolling(job: string): boolean {
-    return this.rolling.has(job);
+    return this.ceilings.isRolling(job);
   }
 
+  /** Carries rollouts on and probes replicas, until the term ends. */
   async run(signal: AbortSignal): Promise<void> {
     const { ports } = this;
-    // What is placed was not known when the records were read.
-    this.recompute();
+    // Placements were not known when the records were read.
+    this.ceilings.recompute();
     await Promise.all([
       this.records.run(signal, (signal) => this.step(signal)),
       supervise(ports, 'probe replicas', signal, ports.stepIntervalMs, (signal) =>
@@ -122,15 +113,21 @@
     ]);
   }
 
-  /** What operators' pages show. */
+  /** Withdraws what may go now without a gap in capacity; called after each scheduling cycle. */
+  withdraw(): void {
+    if (this.withdrawals.isEarly()) return;
+    if (this.isEnabledEverywhere && this.term.holdsLease()) this.withdrawals.withdraw(this.open);
+  }
+
+  /** The records as they were last read or written. */
   get repository(): RolloutRepository {
     return this.records.repository;
   }
 
-  /** What an open rollout waits for, as this leader sees it; null: nothing, or it is not known. */
+  /** What an open rollout waits for, as this leader observes it; null: nothing. */
   waitsFor(rollout: ReadableRollout): string | null {
     if (!this.isEnabledEverywhere) return 'every controller to have rollouts switched on';
-    return waitReason(rollout.spec.record, rollout.status?.record ?? null, this.seen(rollout));
+    return waitReason(rollout.spec.record, rollout.status?.record ?? null, this.observe(rollout));
   }
 
   /** How many replicas of each job are placed and proven. */
@@ -143,72 +140,16 @@
     return this.repository.rollouts.filter(isOpen).filter(isReadable);
   }
 
-  // ---- ceilings
-
-  private recompute(): void {
-    const { rollouts } = this.repository;
-    const now = ceilingsOf(rollouts, (job) => this.placedWhenFound(job));
-    this.ceilings = lowerCeilings(now, this.nextCeilings ?? now);
-    this.rolling = new Set(rollouts.filter(isOpen).flatMap(jobsOf));
-    this.withdrawStarts();
-  }
-
-  private placedWhenFound(job: string): number {
-    const known = this.placedBefore.get(job);
-    if (known !== undefined) return known;
-    const placed = this.scheduler.job(job)?.placed;
-    if (placed === undefined) return 0;
-    this.placedBefore.set(job, placed);
-    return placed;
-  }
-
-  private withdrawStarts(): void {
-    for (const [job, limit] of this.ceilings) this.scheduler.withdrawStarts(job, limit);
-  }
-
-  // ---- withdrawals, judged in the round of decisions that makes them
-
-  /** Withdraws what may go now without a gap in capacity. */
-  withdraw(): void {
-    const now = this.ports.clock.now();
-    // Rounds come often while much happens, and each look goes over all replicas.
-    const isEarly = now - this.withdrewAt < this.ports.stepIntervalMs / 2;
-    if (isEarly || !this.isEnabledEverywhere || !this.term.holdsLease()) return;
-    this.withdrewAt = now;
-    for (const { spec, status } of this.open) {
-      if (status) this.withdrawOf(spec.record, status.record);
-    }
-  }
-
-  private withdrawOf(spec: SpecRecord, status: StatusRecord): void {
-    const { phase, replicas, step } = status;
-    const ceilings = boundedCeilings(status);
-    if (phase !== 'withdrawing' && phase !== 'rolling-back') return;
-    const back = phase === 'rolling-back';
-    const placed = this.scheduler.job(back ? spec.to : spec.from)?.placed ?? 0;
-    if (placed <= (back ? 0 : ceilings.from)) return;
-    const from = this.observer.judged(spec.from, spec);
-    const to = this.observer.judged(spec.to, spec);
-    const [leaving, others] = back ? [to, from] : [from, to];
-    const ceiling = back ? ceilings.to : ceilings.from;
-    for (const replica of chooseWithdrawals(leaving, others, replicas, ceiling, back)) {
-      const { job, task, attempt, machine } = replica;
-      const fields = { rollout: spec.id, phase, step, task: `${job}/${task}`, attempt, machine };
-      this.ports.log.info(fields, 'replica withdrawn');
-      this.scheduler.withdraw(replica);
-    }
-  }
-
   // ---- steps
 
-  /** Carries one rollout on by one transaction; false if nothing could be done now. */
+  /** Carries one rollout on by one transaction; false if none is due. */
   private async step(signal: AbortSignal): Promise<boolean> {
     if (!this.term.holdsLease()) return false;
     const { open } = this;
     this.detectStall();
     this.isEnabledEverywhere =
       open.length > 0 && (await this.controllers.isEnabledEverywhere(signal));
-    await this.lookUpAwaited(open);
+    await this.readAwaitedJobs(open);
     if (this.isEnabledEverywhere) {
       this.nextRolloutIndex++;
       const first = this.nextRolloutIndex % open.length;
@@ -221,13 +162,13 @@
   }
 
   /**
-   * A new job that the leader does not know has not been submitted, or is over and nothing of it is left:
-   * the store tells.
+   * A new job that the leader does not know has not been submitted, or is over and forgotten; its record in
+   * the store tells which.
    */
-  private async lookUpAwaited(open: readonly ReadableRollout[]): Promise<void> {
+  private async readAwaitedJobs(open: readonly ReadableRollout[]): Promise<void> {
     const now = this.ports.clock.now();
-    if (now - this.lookedUpAt < this.ports.stepIntervalMs * STEPS_PER_LOOK_UP) return;
-    this.lookedUpAt = now;
+    if (now - this.awaitedReadAt < this.ports.stepIntervalMs * STEPS_PER_JOB_READ) return;
+    this.awaitedReadAt = now;
     for (const { spec } of open) {
       const { to } = spec.record;
       if (this.scheduler.job(to) !== null || this.observer.isFinished(to)) continue;
@@ -236,25 +177,25 @@
     }
   }
 
-  /** What was measured while this controller stood still cannot be compared. */
+  /** What was measured while this controller was stalled cannot be compared. */
   private detectStall(): void {
     const now = this.ports.clock.now();
-    if (now - this.lookedAt > this.ports.stepIntervalMs * STALL_STEPS)
+    if (now - this.steppedAt > this.ports.stepIntervalMs * STALL_STEPS)
       this.observer.restartWindows();
-    this.lookedAt = now;
+    this.steppedAt = now;
   }
 
-  /** Looked up again after every wait: what was followed meanwhile must not be written over. */
+  /** The transition that is due; the records may have changed since the rollout was listed. */
   private transition(id: string): Transition | null {
     const rollout = this.repository.rollout(id);
     if (!rollout || !isReadable(rollout) || !isOpen(rollout)) return null;
     const before = rollout.status?.record ?? null;
-    const seen = this.seen(rollout);
-    const after = nextStatus(rollout.spec.record, before, seen, this.records.nextWriteId());
+    const observed = this.observe(rollout);
+    const after = nextStatus(rollout.spec.record, before, observed, this.records.nextWriteId());
     return after && { rollout, before, after };
   }
 
-  private seen(rollout: ReadableRollout): ReturnType<RolloutObserver['observe']> {
+  private observe(rollout: ReadableRollout): ReturnType<RolloutObserver['observe']> {
     const conflict = conflictOf(rollout, this.repository.rollouts);
     return this.observer.observe(rollout, conflict);
   }
@@ -264,24 +205,24 @@
     const { id } = rollout;
     const changesCeilings =
       before?.ceilings.from !== after.ceilings.from || before.ceilings.to !== after.ceilings.to;
-    if (changesCeilings) this.applyPendingCeilings(after);
-    const when: Condition[] = [
-      // An order that has come meanwhile is looked at first.
+    if (changesCeilings) this.ceilings.beginWrite(after);
+    const conditions: Condition[] = [
+      // A command accepted meanwhile has to be decided on first.
       { key: ROLLOUT_KEYS.spec(id), version: rollout.spec.version },
       { key: ROLLOUT_KEYS.status(id), version: rollout.status?.version ?? 0 },
     ];
-    const then: Change[] = [{ put: ROLLOUT_KEYS.status(id), value: after }];
+    const changes: Change[] = [{ put: ROLLOUT_KEYS.status(id), value: after }];
     if (changesCeilings) {
-      when.push(this.condition());
-      then.push({ put: ROLLOUT_KEYS.manifest, value: this.nextManifest(after[WRITE_ID]) });
+      conditions.push(this.condition());
+      changes.push({ put: ROLLOUT_KEYS.manifest, value: this.nextManifest(after[WRITE_ID]) });
     }
-    const announced = changesCeilings ? (): void => void (this.nextCeilings = null) : null;
+    const onOutcome = changesCeilings ? (): void => this.ceilings.endWrite() : null;
     await this.records.write(
-      { conditions: when, changes: then, priority: REQUEST_PRIORITY },
+      { conditions, changes, priority: REQUEST_PRIORITY },
       signal,
-      announced,
+      onOutcome,
     );
-    // Also where an earlier copy of the write was carried out, whose answer got lost.
+    // Also where an earlier attempt of the write, whose result was ambiguous, was applied.
     if (this.repository.rollout(id)?.status?.record?.[WRITE_ID] === after[WRITE_ID])
       this.logTransition(transition);
     this.scheduler.onCeilingsChanged();
@@ -292,18 +233,6 @@
     return { [WRITE_ID]: writeId, revision: this.repository.revision + 1 };
   }
 
-  /**
-   * From here on the smaller ceilings hold, and what was planned before and has not been sent is taken
-   * back: a start that was decided on the former ceilings must not be recorded under the next.
-   */
-  private applyPendingCeilings(after: StatusRecord): void {
-    const next = this.repository.rollouts.map((rollout) =>
-      rollout.id === after.id ? { ...rollout, status: { record: after, version: 0 } } : rollout,
-    );
-    this.nextCeilings = ceilingsOf(next, (job) => this.placedWhenFound(job));
-    this.recompute();
-  }
-
   private logTransition({ before, after }: Transition): void {
     const { id, from, to, phase, step, ceilings, replicas, reason, evidence } = after;
     const fields = { rollout: id, from, to, was: before?.phase ?? 'requested', phase, step };
@@ -313,7 +242,7 @@
     );
   }
 
-  /** Drops the oldest rollout that is over, where more are kept than the history holds. */
+  /** Drops the oldest finished rollout beyond the history's bound. */
   private async retireOldest(signal: AbortSignal): Promise<boolean> {
     const manifest = this.nextManifest(this.records.nextWriteId());
     const retirement = retire(
