--- a/packages/rollout/src/index.ts
+++ b/packages/rollout/src/index.ts
@@ -1,5 +1,6 @@
 /** Replaces the replicas of one service by those of another in steps, without a gap in capacity. */
-export { RolloutApi, type LeadingRollouts } from './api.js';
+export { RolloutApi } from './api.js';
+export type { LeadingRollouts } from './rollout-view.js';
 export { ROLLOUT_KEYS } from './keys.js';
 export { LeaderRollouts } from './leader-rollouts.js';
 export type {
