--- a/packages/operators/src/command.ts
+++ b/packages/operators/src/command.ts
@@ -7,7 +7,7 @@
 export { phaseText, tableText, timeText, unreadableLines } from './text.js';
 
 /** Exit codes of the command. */
-export const EXIT = { done: 0, refused: 1, badInput: 2, unreachable: 3 } as const;
+const EXIT = { done: 0, refused: 1, badInput: 2, unreachable: 3 } as const;
 
 const BAD_INPUT_STATUSES: ReadonlySet<number> = new Set([400, 422]);
 
--- a/packages/rollout/src/leader-rollouts.ts
+++ b/packages/rollout/src/leader-rollouts.ts
@@ -90,7 +90,7 @@
     this.ceilings.withdrawStarts();
   }
 
-  /** How many replicas of a job may be placed; while a change is being written, the smaller number. */
+  /** How many replicas of a job may be placed; while a change is being written, the lower number. */
   placementLimit(job: string): number {
     return this.ceilings.placementLimit(job);
   }
--- a/packages/rollout/src/readiness-proofs.ts
+++ b/packages/rollout/src/readiness-proofs.ts
@@ -2,7 +2,7 @@
 import type { Replica } from './ports.js';
 
 /** Consecutive valid answers that make a replica proven. */
-export const CONSECUTIVE_ANSWERS = 3;
+const CONSECUTIVE_ANSWERS = 3;
 
 /** How many probe intervals a proof lasts, from when its probe was sent. */
 export const FRESH_INTERVALS = 2.5;
--- a/packages/rollout/src/rollout-admission.ts
+++ b/packages/rollout/src/rollout-admission.ts
@@ -8,7 +8,7 @@
 import { isOpen, jobsOf, type RolloutRepository } from './rollout-repository.js';
 
 /** Most rollouts that may be open at once. */
-export const MAX_OPEN_ROLLOUTS = 50;
+const MAX_OPEN_ROLLOUTS = 50;
 
 /** How far the probe interval may be stretched, well within the time for which a proof lasts. */
 const MAX_STRETCH = FRESH_INTERVALS / 2;
--- a/packages/rollout/src/rollout-view.ts
+++ b/packages/rollout/src/rollout-view.ts
@@ -17,7 +17,14 @@
 export function shownRollout(rollout: ReadableRollout, leading: LeadingRollouts | null): object {
   const { id, from, to, steps, maxSurge, paused, rollback, requestedAt } = rollout.spec.record;
   return {
-    ...{ id, from, to, steps, maxSurge, paused, rollback, requestedAt },
+    id,
+    from,
+    to,
+    steps,
+    maxSurge,
+    paused,
+    rollback,
+    requestedAt,
     ...shownStatus(rollout.status?.record ?? null),
     seen: leading?.counts(rollout) ?? null,
     waitsFor: leading?.waitsFor(rollout) ?? heldText(rollout),
