--- a/test/fleet.test.ts
+++ b/test/fleet.test.ts
@@ -7,11 +7,11 @@
 import { SPEC, TYPE } from './fakes/samples.js';
 
 const LEASE_MS = 10_000;
-const SILENT_MS = LEASE_MS / 3;
+const MAX_HEARTBEAT_AGE_MS = LEASE_MS / 3;
 const TOKEN = 7;
 
-/** A new leader's view of its fleet; what reports prove is noted by task. */
-class Story {
+/** A new leader's fleet with one machine; what heartbeats prove is recorded by task. */
+class FleetScenario {
   readonly running: number[] = [];
   readonly exited: number[] = [];
   readonly lost: number[] = [];
@@ -50,16 +50,20 @@
     return placement;
   }
 
-  report(at: number, r: Partial<WorkerHeartbeat>): string[] {
-    return this.fleet.applyHeartbeat(sample(r), TYPE, at, true).map((o) => `${o.kind} ${o.task}`);
+  /** Applies a heartbeat and returns the commands of its answer. */
+  heartbeat(at: number, fields: Partial<WorkerHeartbeat>): string[] {
+    return this.fleet
+      .applyHeartbeat(heartbeatWith(fields), TYPE, at, true)
+      .map((command) => `${command.kind} ${command.task}`);
   }
 
-  direct(r: Partial<WorkerHeartbeat>): void {
-    this.fleet.applyDirectResponse(sample(r));
+  /** Applies the response to a direct command. */
+  directResponse(fields: Partial<WorkerHeartbeat>): void {
+    this.fleet.applyDirectResponse(heartbeatWith(fields));
   }
 }
 
-function sample(r: Partial<WorkerHeartbeat>): WorkerHeartbeat {
+function heartbeatWith(fields: Partial<WorkerHeartbeat>): WorkerHeartbeat {
   return {
     machine: 'host-1',
     address: 'host-1:9000',
@@ -71,11 +75,11 @@
     fencingToken: TOKEN,
     preemptionNoticeMs: null,
     tasks: [],
-    ...r,
+    ...fields,
   };
 }
 
-const shows = (task: number, state: TaskStatus['state']): TaskStatus => ({
+const statusOf = (task: number, state: TaskStatus['state']): TaskStatus => ({
   job: 'req-1',
   task,
   attempt: 1,
@@ -84,111 +88,118 @@
   checkpointed: false,
 });
 
-test('late copies of reports do not make a machine that is cut off look within reach', () => {
-  const story = new Story();
-  story.report(0, { sequence: 5 });
-  for (const at of [1000, 2000, 3000, 4000]) story.report(at, { sequence: 3 });
-  assert.equal(story.machine.isSchedulable(3000, SILENT_MS), true);
-  assert.equal(story.machine.isSchedulable(4000, SILENT_MS), false);
+test('delayed copies of heartbeats do not make a partitioned machine look reachable', () => {
+  const scenario = new FleetScenario();
+  scenario.heartbeat(0, { sequence: 5 });
+  for (const at of [1000, 2000, 3000, 4000]) scenario.heartbeat(at, { sequence: 3 });
+  assert.equal(scenario.machine.isSchedulable(3000, MAX_HEARTBEAT_AGE_MS), true);
+  assert.equal(scenario.machine.isSchedulable(4000, MAX_HEARTBEAT_AGE_MS), false);
 });
 
-test('a lease that ran out behind a cut is not taken for deafness because copies came meanwhile', () => {
-  const story = new Story();
-  story.report(0, { sequence: 5 });
-  for (let at = 1000; at < 14_000; at += 1000) story.report(at, { sequence: 3 });
-  story.report(14_000, { agentEpoch: 2, sequence: 6 });
-  assert.equal(story.machine.isFaulty, false);
+test('a lease that expired in a partition does not count as unanswered because copies arrived meanwhile', () => {
+  const scenario = new FleetScenario();
+  scenario.heartbeat(0, { sequence: 5 });
+  for (let at = 1000; at < 14_000; at += 1000) scenario.heartbeat(at, { sequence: 3 });
+  scenario.heartbeat(14_000, { agentEpoch: 2, sequence: 6 });
+  assert.equal(scenario.machine.isFaulty, false);
 });
 
-test('a machine whose reports arrive while its leases run out does not hear the answers', () => {
-  const story = new Story();
-  for (let at = 0; at < 12_000; at += 1000) story.report(at, { sequence: 5 + at });
-  story.report(12_000, { agentEpoch: 2, sequence: 20_000 });
-  assert.equal(story.machine.isFaulty, true);
+test('a machine whose heartbeats arrive while its leases expire does not receive our answers', () => {
+  const scenario = new FleetScenario();
+  for (let at = 0; at < 12_000; at += 1000) scenario.heartbeat(at, { sequence: 5 + at });
+  scenario.heartbeat(12_000, { agentEpoch: 2, sequence: 20_000 });
+  assert.equal(scenario.machine.isFaulty, true);
 });
 
-test('a late copy does not put off the proof that a silent machine is gone', () => {
-  const story = new Story();
-  story.place(0, 'recorded');
-  story.report(0, { sequence: 5 });
-  story.report(6000, { sequence: 5 });
-  story.report(7000, { sequence: 3 });
-  story.fleet.expireLeases(LEASE_MS + 10);
-  assert.deepEqual(story.lost, []);
-  story.fleet.expireLeases(LEASE_MS + 100);
-  assert.deepEqual(story.lost, [0]);
+test('a delayed copy does not postpone the lease expiry of an unresponsive machine', () => {
+  const scenario = new FleetScenario();
+  scenario.place(0, 'recorded');
+  scenario.heartbeat(0, { sequence: 5 });
+  scenario.heartbeat(6000, { sequence: 5 });
+  scenario.heartbeat(7000, { sequence: 3 });
+  scenario.fleet.expireLeases(LEASE_MS + 10);
+  assert.deepEqual(scenario.lost, []);
+  scenario.fleet.expireLeases(LEASE_MS + 100);
+  assert.deepEqual(scenario.lost, [0]);
 });
 
-test('a report that the answer to a direct command has overtaken renews the lease all the same', () => {
-  const story = new Story();
-  story.place(0, 'recorded');
-  story.report(0, { sequence: 5 });
-  story.direct({ sequence: 7 });
-  story.report(6000, { sequence: 6 });
-  story.fleet.expireLeases(LEASE_MS + 5900);
-  assert.deepEqual(story.lost, []);
-  story.fleet.expireLeases(LEASE_MS + 6100);
-  assert.deepEqual(story.lost, [0]);
+test('a heartbeat overtaken by the response to a direct command still renews the lease', () => {
+  const scenario = new FleetScenario();
+  scenario.place(0, 'recorded');
+  scenario.heartbeat(0, { sequence: 5 });
+  scenario.directResponse({ sequence: 7 });
+  scenario.heartbeat(6000, { sequence: 6 });
+  scenario.fleet.expireLeases(LEASE_MS + 5900);
+  assert.deepEqual(scenario.lost, []);
+  scenario.fleet.expireLeases(LEASE_MS + 6100);
+  assert.deepEqual(scenario.lost, [0]);
 });
 
-test('to a new leader an old report that comes first puts off that proof', () => {
-  const story = new Story();
-  story.place(0, 'recovered');
-  story.report(8000, { sequence: 3, fencingToken: 4 });
-  story.fleet.expireLeases(LEASE_MS + 7900);
-  assert.deepEqual(story.lost, []);
-  story.fleet.expireLeases(LEASE_MS + 8100);
-  assert.deepEqual(story.lost, [0]);
+test('for a new leader an old heartbeat that arrives first postpones lease expiry', () => {
+  const scenario = new FleetScenario();
+  scenario.place(0, 'recovered');
+  scenario.heartbeat(8000, { sequence: 3, fencingToken: 4 });
+  scenario.fleet.expireLeases(LEASE_MS + 7900);
+  assert.deepEqual(scenario.lost, []);
+  scenario.fleet.expireLeases(LEASE_MS + 8100);
+  assert.deepEqual(scenario.lost, [0]);
 });
 
-test('a machine that the cloud took back gets no work when a copy of its report comes', () => {
-  const story = new Story();
-  story.report(0, { sequence: 5 });
-  story.fleet.confirmReleased('host-1');
-  story.report(1000, { sequence: 4 });
-  assert.equal(story.machine.isSchedulable(1000, SILENT_MS), false);
+test('a released machine gets no work when a copy of its heartbeat arrives', () => {
+  const scenario = new FleetScenario();
+  scenario.heartbeat(0, { sequence: 5 });
+  scenario.fleet.confirmReleased('host-1');
+  scenario.heartbeat(1000, { sequence: 4 });
+  assert.equal(scenario.machine.isSchedulable(1000, MAX_HEARTBEAT_AGE_MS), false);
 });
 
-test('to a new leader old reports prove nothing gone, whatever order they come in', () => {
-  const story = new Story();
-  story.place(0, 'recovered');
-  story.place(1, 'recovered');
-  // Copies from before its time: one from when the first start was not carried out yet.
-  assert.deepEqual(story.report(0, { sequence: 3, fencingToken: 4 }), []);
+test('for a new leader old heartbeats prove nothing lost, in whatever order they arrive', () => {
+  const scenario = new FleetScenario();
+  scenario.place(0, 'recovered');
+  scenario.place(1, 'recovered');
+  // Copies from before its term: one from when the first start had not been executed yet.
+  assert.deepEqual(scenario.heartbeat(0, { sequence: 3, fencingToken: 4 }), []);
   assert.deepEqual(
-    story.report(10, { sequence: 2, fencingToken: 4, tasks: [shows(1, 'exited')] }),
+    scenario.heartbeat(10, { sequence: 2, fencingToken: 4, tasks: [statusOf(1, 'exited')] }),
     [],
   );
   assert.deepEqual(
-    story.report(20, { sequence: 4, fencingToken: 4, tasks: [shows(0, 'running')] }),
+    scenario.heartbeat(20, { sequence: 4, fencingToken: 4, tasks: [statusOf(0, 'running')] }),
     [],
   );
-  assert.deepEqual([story.exited, story.lost], [[], []]);
-  // Its own word is the first that counts for what is not shown.
-  story.report(30, { sequence: 9, tasks: [shows(0, 'running')] });
-  assert.deepEqual([story.lost, story.running], [[], [0]]);
-  assert.deepEqual(story.report(40, { sequence: 10, tasks: [shows(0, 'running')] }), ['start 1']);
+  assert.deepEqual([scenario.exited, scenario.lost], [[], []]);
+  // Only a heartbeat with its own token counts for tasks that are not reported.
+  scenario.heartbeat(30, { sequence: 9, tasks: [statusOf(0, 'running')] });
+  assert.deepEqual([scenario.lost, scenario.running], [[], [0]]);
+  assert.deepEqual(scenario.heartbeat(40, { sequence: 10, tasks: [statusOf(0, 'running')] }), [
+    'start 1',
+  ]);
 });
 
-test('a copy from an earlier session takes nothing from what was started in a later one', () => {
-  const story = new Story();
-  story.place(0, 'recovered', 3);
-  story.report(0, { agentEpoch: 2, sequence: 5, fencingToken: 4, tasks: [shows(0, 'exited')] });
-  assert.deepEqual([story.exited, story.lost], [[], []]);
-  story.report(10, { agentEpoch: 3, sequence: 8, tasks: [shows(0, 'running')] });
-  story.report(20, { agentEpoch: 2, sequence: 6, fencingToken: 4 });
-  assert.deepEqual([story.exited, story.lost, story.running], [[], [], [0]]);
-  story.report(30, { agentEpoch: 4, sequence: 9 });
-  assert.deepEqual(story.lost, [0]);
+test('a copy from an earlier agent epoch does not affect what was started in a later one', () => {
+  const scenario = new FleetScenario();
+  scenario.place(0, 'recovered', 3);
+  scenario.heartbeat(0, {
+    agentEpoch: 2,
+    sequence: 5,
+    fencingToken: 4,
+    tasks: [statusOf(0, 'exited')],
+  });
+  assert.deepEqual([scenario.exited, scenario.lost], [[], []]);
+  scenario.heartbeat(10, { agentEpoch: 3, sequence: 8, tasks: [statusOf(0, 'running')] });
+  scenario.heartbeat(20, { agentEpoch: 2, sequence: 6, fencingToken: 4 });
+  assert.deepEqual([scenario.exited, scenario.lost, scenario.running], [[], [], [0]]);
+  scenario.heartbeat(30, { agentEpoch: 4, sequence: 9 });
+  assert.deepEqual(scenario.lost, [0]);
 });
 
-test('a start that was offered in the answer to a copy is offered again to the worker itself', () => {
-  const story = new Story();
-  story.report(0, { sequence: 3 });
-  story.place(0, 'recorded');
-  assert.deepEqual(story.report(10, { sequence: 4 }), ['start 0']);
-  assert.deepEqual(story.report(20, { sequence: 9 }), ['start 0']);
-  assert.deepEqual(story.report(30, { sequence: 8 }), []);
-  story.report(40, { sequence: 10, tasks: [shows(0, 'fetching')] });
-  assert.deepEqual([story.exited, story.lost], [[], []]);
+test('a start sent in the answer to a copy is sent again in the answer to the worker itself', () => {
+  const scenario = new FleetScenario();
+  scenario.heartbeat(0, { sequence: 3 });
+  scenario.place(0, 'recorded');
+  assert.deepEqual(scenario.heartbeat(10, { sequence: 4 }), ['start 0']);
+  assert.deepEqual(scenario.heartbeat(20, { sequence: 9 }), ['start 0']);
+  assert.deepEqual(scenario.heartbeat(30, { sequence: 8 }), []);
+  scenario.heartbeat(40, { sequence: 10, tasks: [statusOf(0, 'fetching')] });
+  assert.deepEqual([scenario.exited, scenario.lost], [[], []]);
 });
--- a/test/long-poll.test.ts
+++ b/test/long-poll.test.ts
@@ -2,40 +2,40 @@
 import { test } from 'node:test';
 import { SimulatedCluster } from './fakes/simulated-cluster.js';
 
-test('an idle worker gets a start as soon as it is recorded, not with its next report', async () => {
+test('an idle worker gets a start as soon as it is recorded, not with its next heartbeat', async () => {
   const simulatedCluster = new SimulatedCluster([{ yard: 'a' }, { yard: 'b' }]);
   await simulatedCluster.start();
-  const waits: number[] = [];
+  const waitsMs: number[] = [];
   for (let i = 0; i < 6; i++) {
-    // At any moment between two reports.
+    // At various moments between two heartbeats.
     await simulatedCluster.clock.advance(1000 + i * 170);
     const from = simulatedCluster.clock.now();
     const job = await simulatedCluster.submit({ pieces: 1, runMs: 1000, fetchMs: 0 });
     while (simulatedCluster.on(job).length === 0 && simulatedCluster.clock.now() - from < 3000)
       await simulatedCluster.clock.advance(10);
-    waits.push(simulatedCluster.clock.now() - from);
+    waitsMs.push(simulatedCluster.clock.now() - from);
     await simulatedCluster.pass(5);
   }
-  waits.sort((a, b) => a - b);
-  assert.ok(waits[3]! < 500, `waits: ${waits.join(', ')} ms`);
+  waitsMs.sort((a, b) => a - b);
+  assert.ok(waitsMs[3]! < 500, `waits: ${waitsMs.join(', ')} ms`);
   await simulatedCluster.close();
 });
 
-test('a report that is overtaken by a newer one gets no orders, and a late copy is not held', async () => {
+test('a superseded heartbeat gets no commands, and a delayed copy is not held', async () => {
   const simulatedCluster = new SimulatedCluster([{ yard: 'a' }]);
   await simulatedCluster.start();
   const [worker] = [...simulatedCluster.workers.values()];
   const leader = simulatedCluster.leader;
   const held = worker!.sent.at(-1)!;
   const answers: unknown[] = [];
-  void simulatedCluster.deliver(leader, held).then((a) => answers.push(a.body));
+  void simulatedCluster.deliver(leader, held).then((answer) => answers.push(answer.body));
   await simulatedCluster.clock.advance(5);
   assert.equal(answers.length, 1, 'a copy is answered at once');
   assert.deepEqual((answers[0] as { orders: unknown[] }).orders, []);
-  // The worker gives up on its report and comes again: only the newer one may bring the start.
-  void simulatedCluster.deliver(leader, worker!.body()).then((a) => answers.push(a.body));
+  // The worker gives up on its heartbeat and sends another: only the newer one may bring the start.
+  void simulatedCluster.deliver(leader, worker!.body()).then((answer) => answers.push(answer.body));
   await simulatedCluster.clock.advance(5);
-  void simulatedCluster.deliver(leader, worker!.body()).then((a) => answers.push(a.body));
+  void simulatedCluster.deliver(leader, worker!.body()).then((answer) => answers.push(answer.body));
   await simulatedCluster.clock.advance(5);
   assert.equal(answers.length, 2);
   assert.deepEqual((answers[1] as { orders: unknown[] }).orders, []);
@@ -45,7 +45,7 @@
   await simulatedCluster.close();
 });
 
-test('a leader that loses office answers what it holds back, and orders nothing', async () => {
+test('a leader that loses leadership answers held heartbeats, without commands', async () => {
   const simulatedCluster = new SimulatedCluster([{ yard: 'a' }, { yard: 'b' }]);
   await simulatedCluster.start();
   const old = simulatedCluster.leader;
--- a/test/machine-provisioner.test.ts
+++ b/test/machine-provisioner.test.ts
@@ -7,20 +7,20 @@
 /** The nominal boot time of the fake cloud's type, in seconds. */
 const BOOT_S = 40;
 
-test('an offer that is refused again and again is asked for less often, and had once there is room', async () => {
+test('an offer that stays out of capacity is requested less often, and obtained once there is capacity', async () => {
   const simulatedCluster = new SimulatedCluster([{ yard: 'a' }, { yard: 'a' }]);
   await simulatedCluster.start();
   simulatedCluster.cloud.capacity = 0;
-  const placed = await simulatedCluster.submit({
+  const filler = await simulatedCluster.submit({
     shape: 'service',
     pieces: 2,
     gpus: 8,
     runMs: 1_000_000,
   });
   await simulatedCluster.until(
-    () => simulatedCluster.running(placed) === 2,
+    () => simulatedCluster.running(filler) === 2,
     10,
-    'the machines are taken',
+    'the machines are full',
   );
   const job = await simulatedCluster.submit({
     shape: 'service',
@@ -29,38 +29,38 @@
     runMs: 1_000_000,
   });
   await simulatedCluster.pass(200);
-  const commands = simulatedCluster.cloud.calls.filter((call) => call.path === '/hosts').length;
+  const requests = simulatedCluster.cloud.calls.filter((call) => call.path === '/hosts').length;
   // Two zones with ordinary machines, with a pause of 10, 20, 40 and 40 s and so on.
-  assert.ok(commands >= 4 && commands <= 16, `${commands} orders`);
+  assert.ok(requests >= 4 && requests <= 16, `${requests} requests`);
   simulatedCluster.cloud.capacity = 40;
   await simulatedCluster.until(
     () => simulatedCluster.running(job) === 1,
     50 + BOOT_S + 10,
-    'it is found when there is room',
+    'it runs once there is capacity',
   );
   await simulatedCluster.close();
 });
 
-/** What the store says of machines that may be on their way. */
-const recorded = (cluster: SimulatedCluster): number[] =>
+/** Numbers of machines in the provisioning records of the store. */
+const recordedCounts = (cluster: SimulatedCluster): number[] =>
   [...cluster.store.keys]
     .filter(([key]) => key.startsWith('rent/'))
     .map(([, { value }]) => (value as { count: number }).count);
 
-const onOrder = (cluster: SimulatedCluster): number =>
-  recorded(cluster).reduce((sum, count) => sum + count, 0);
+const pendingMachines = (cluster: SimulatedCluster): number =>
+  recordedCounts(cluster).reduce((sum, count) => sum + count, 0);
 
-const isRental = (path: string, body: unknown): boolean =>
+const isProvisioningWrite = (path: string, body: unknown): boolean =>
   path === '/txn' && /"write":"rent\/[^g]/.test(JSON.stringify(body));
 
-/** A job that no machine has room for: one is ordered for it. */
-const WAITS = { shape: 'service', pieces: 1, gpus: 8, runMs: 1_000_000 } as const;
+/** A job that no machine has capacity for, so that one is provisioned. */
+const UNPLACEABLE = { shape: 'service', pieces: 1, gpus: 8, runMs: 1_000_000 } as const;
 
-/** Of each order's record the first copy gets no answer and waits in `w.store.late`. */
-async function lateRecords(cluster: SimulatedCluster): Promise<void> {
+/** Delays the first write of each provisioning record: it gets no answer and waits in `store.late`. */
+async function delayRecords(cluster: SimulatedCluster): Promise<void> {
   const seen = new Set<string>();
   cluster.nodes[cluster.leader]!.fate = (_method, path, body) => {
-    if (!isRental(path, body)) return 'serve';
+    if (!isProvisioningWrite(path, body)) return 'serve';
     const text = JSON.stringify(body);
     if (seen.has(text)) return 'serve';
     seen.add(text);
@@ -69,46 +69,50 @@
 }
 
 for (const next of ['current', ...RELEASES] as const) {
-  test(`the record of an order that is over does not come back by a late copy (${next} leads next)`, async () => {
-    // Its machines would count as on their way, and nothing would be rented in their place.
+  test(`a delayed write does not bring back the record of a finished request (${next} leads next)`, async () => {
+    // Its machines would count as pending, and none would be provisioned in their place.
     const simulatedCluster = new SimulatedCluster([]);
     await simulatedCluster.start();
     simulatedCluster.cloud.capacity = 0;
-    await lateRecords(simulatedCluster);
-    await simulatedCluster.accept(WAITS);
-    await simulatedCluster.until(() => onOrder(simulatedCluster) > 0, 20, 'recorded by a repeat');
-    await simulatedCluster.until(() => onOrder(simulatedCluster) === 0, 20, 'over');
+    await delayRecords(simulatedCluster);
+    await simulatedCluster.accept(UNPLACEABLE);
+    await simulatedCluster.until(
+      () => pendingMachines(simulatedCluster) > 0,
+      20,
+      'recorded by a retry',
+    );
+    await simulatedCluster.until(() => pendingMachines(simulatedCluster) === 0, 20, 'finished');
     const copies = simulatedCluster.store.late.splice(0);
     for (const apply of copies) assert.equal(apply().status, 409);
-    assert.equal(onOrder(simulatedCluster), 0);
+    assert.equal(pendingMachines(simulatedCluster), 0);
     const old = simulatedCluster.leader;
     await change(simulatedCluster, old === 0 ? 1 : 0, next);
     await passOffice(simulatedCluster, old === 0 ? 1 : 0);
     await simulatedCluster.pass(20);
-    assert.ok(recorded(simulatedCluster).length <= 2, 'nothing gathers in the store');
+    assert.ok(recordedCounts(simulatedCluster).length <= 2, 'no records accumulate in the store');
     simulatedCluster.cloud.capacity = 40;
     await simulatedCluster.until(
       () => simulatedCluster.cloud.hosts.size > 0,
       60,
-      'a machine is ordered',
+      'a machine is provisioned',
     );
     await simulatedCluster.close();
   });
 }
 
-test('an order under way when records are fenced off is recorded anew, and placed once', async () => {
+test('a pending request whose record is fenced off is recorded again, and provisioned once', async () => {
   const simulatedCluster = new SimulatedCluster([]);
   await simulatedCluster.start();
   simulatedCluster.cloud.capacity = 1;
-  await lateRecords(simulatedCluster);
-  for (const yard of ['a', 'b', 'a', 'b']) await simulatedCluster.accept({ ...WAITS, yard });
+  await delayRecords(simulatedCluster);
+  for (const yard of ['a', 'b', 'a', 'b']) await simulatedCluster.accept({ ...UNPLACEABLE, yard });
   await simulatedCluster.pass(30);
   for (const apply of simulatedCluster.store.late.splice(0)) assert.equal(apply().status, 409);
   simulatedCluster.cloud.capacity = 40;
   await simulatedCluster.until(
     () => simulatedCluster.cloud.hosts.size >= 4,
     120,
-    'all are ordered',
+    'all are provisioned',
   );
   await simulatedCluster.pass(60);
   assert.equal(simulatedCluster.cloud.hosts.size, 4);
--- a/test/slow-boots.test.ts
+++ b/test/slow-boots.test.ts
@@ -5,22 +5,27 @@
 /** The nominal boot time of the fake cloud's type, in seconds. */
 const BOOT_S = 40;
 
-interface Run {
+/** The part of a stored job record that these tests read. */
+interface StoredJob {
   gang?: { phase: string };
 }
 
-const gangOf = (cluster: SimulatedCluster, ref: string): string =>
-  (cluster.store.get(`runs/${ref}/0`) as Run | undefined)?.gang?.phase ?? 'queued';
+const gangPhase = (cluster: SimulatedCluster, job: string): string =>
+  (cluster.store.get(`runs/${job}/0`) as StoredJob | undefined)?.gang?.phase ?? 'queued';
 
-test('a cloud that boots at a quarter of its pace does not stop a workable gang', async () => {
+test('a cloud that takes four boot times does not suspend a feasible gang', async () => {
   const simulatedCluster = new SimulatedCluster([{ yard: 'a' }]);
   await simulatedCluster.start();
   simulatedCluster.cloud.bootMs = BOOT_S * 4 * 1000;
   const job = await simulatedCluster.submit({ shape: 'gang', pieces: 3, gpus: 8, runMs: 60_000 });
-  await simulatedCluster.until(() => gangOf(simulatedCluster, job) === 'admitted', 10, 'admitted');
+  await simulatedCluster.until(
+    () => gangPhase(simulatedCluster, job) === 'admitted',
+    10,
+    'admitted',
+  );
   const admittedAt = simulatedCluster.clock.now();
   while (simulatedCluster.running(job) < 3) {
-    assert.notEqual(gangOf(simulatedCluster, job), 'suspended');
+    assert.notEqual(gangPhase(simulatedCluster, job), 'suspended');
     await simulatedCluster.pass(1);
     const waitedS = (simulatedCluster.clock.now() - admittedAt) / 1000;
     assert.ok(waitedS < BOOT_S * 4 + 15, 'it runs once its first machines are up');
@@ -32,7 +37,7 @@
   await simulatedCluster.close();
 });
 
-test('a gang whose machine comes late still has the time to fetch its image', async () => {
+test('a gang whose machine boots late still has the time to fetch its image', async () => {
   const simulatedCluster = new SimulatedCluster([{ yard: 'a' }]);
   await simulatedCluster.start();
   simulatedCluster.cloud.bootMs = BOOT_S * 1.7 * 1000;
@@ -40,7 +45,7 @@
     ...{ shape: 'gang', pieces: 2, gpus: 8, runMs: 60_000 },
     ...{ sizeGb: 16, fetchMs: 16_000 },
   });
-  await simulatedCluster.until(() => gangOf(simulatedCluster, job) === 'placed', 90, 'placed');
+  await simulatedCluster.until(() => gangPhase(simulatedCluster, job) === 'placed', 90, 'placed');
   await simulatedCluster.until(
     () => simulatedCluster.running(job) === 2,
     25,
@@ -49,7 +54,7 @@
   await simulatedCluster.close();
 });
 
-test('a machine that never comes up is replaced, and goes back once its replacement is there', async () => {
+test('a machine that never boots is replaced, and released once its replacement is up', async () => {
   const simulatedCluster = new SimulatedCluster([{ yard: 'a' }]);
   await simulatedCluster.start();
   simulatedCluster.cloud.bootMs = Infinity;
@@ -59,13 +64,17 @@
     gpus: 8,
     runMs: 600_000,
   });
-  await simulatedCluster.until(() => simulatedCluster.cloud.hosts.size === 2, 10, 'one is rented');
+  await simulatedCluster.until(
+    () => simulatedCluster.cloud.hosts.size === 2,
+    10,
+    'one is provisioned',
+  );
   const dead = [...simulatedCluster.cloud.hosts.keys()][1]!;
   simulatedCluster.cloud.bootMs = BOOT_S * 1000;
   await simulatedCluster.until(
     () => simulatedCluster.cloud.hosts.size === 3,
     BOOT_S * 2,
-    'another is rented in its place',
+    'another is provisioned in its place',
   );
   await simulatedCluster.until(
     () => simulatedCluster.running(job) === 2,
@@ -75,12 +84,12 @@
   await simulatedCluster.until(
     () => !simulatedCluster.cloud.hosts.has(dead),
     2,
-    'the dead one is paid no longer',
+    'the dead one is released',
   );
   await simulatedCluster.close();
 });
 
-test('a machine that is listed as running and stays silent goes back, but not in a cut of its zone', async () => {
+test('a machine that is listed as running and stays unresponsive is released, but not in a partition of its zone', async () => {
   const simulatedCluster = new SimulatedCluster([
     { yard: 'a' },
     { yard: 'a' },
@@ -89,7 +98,7 @@
     { yard: 'b' },
   ]);
   await simulatedCluster.start();
-  // One to each machine, so that none of them is spare.
+  // One on each machine, so that none of them is idle.
   await simulatedCluster.submit({
     shape: 'service',
     pieces: 5,
@@ -99,23 +108,25 @@
   });
   await simulatedCluster.pass(10);
   const inZone = (yard: string): string[] =>
-    [...simulatedCluster.workers.values()].filter((x) => x.yard === yard).map((x) => x.id);
-  const [silent] = inZone('a');
-  simulatedCluster.workers.get(silent!)!.dead = true;
-  const cut = inZone('b').slice(0, 2);
-  for (const id of cut) simulatedCluster.workers.get(id)!.dead = true;
+    [...simulatedCluster.workers.values()]
+      .filter((worker) => worker.yard === yard)
+      .map((worker) => worker.id);
+  const [unresponsive] = inZone('a');
+  simulatedCluster.workers.get(unresponsive!)!.dead = true;
+  const partitioned = inZone('b').slice(0, 2);
+  for (const id of partitioned) simulatedCluster.workers.get(id)!.dead = true;
   await simulatedCluster.pass(BOOT_S * 3 - 10);
-  assert.ok(simulatedCluster.cloud.hosts.has(silent!), 'it may come back');
+  assert.ok(simulatedCluster.cloud.hosts.has(unresponsive!), 'it may recover');
   await simulatedCluster.until(
-    () => !simulatedCluster.cloud.hosts.has(silent!),
+    () => !simulatedCluster.cloud.hosts.has(unresponsive!),
     40,
-    'it is paid no longer',
+    'it is released',
   );
-  assert.ok(cut.every((id) => simulatedCluster.cloud.hosts.has(id)));
+  assert.ok(partitioned.every((id) => simulatedCluster.cloud.hosts.has(id)));
   await simulatedCluster.close();
 });
 
-test('machines without work are kept where their whole zone is silent: a cut is the likelier reason', async () => {
+test('idle machines are kept where their whole zone is unresponsive: a partition is likelier', async () => {
   const simulatedCluster = new SimulatedCluster([
     { yard: 'a' },
     { yard: 'a' },
@@ -131,12 +142,14 @@
     yard: 'a',
   });
   await simulatedCluster.pass(6);
-  const silent = [...simulatedCluster.workers.values()].filter((x) => x.yard === 'b');
-  for (const worker of silent) {
+  const unresponsive = [...simulatedCluster.workers.values()].filter(
+    (worker) => worker.yard === 'b',
+  );
+  for (const worker of unresponsive) {
     assert.equal(worker.pieces.length, 0);
     worker.dead = true;
   }
   await simulatedCluster.pass(BOOT_S * 3 + 30);
-  assert.ok(silent.every(({ id }) => simulatedCluster.cloud.hosts.has(id)));
+  assert.ok(unresponsive.every(({ id }) => simulatedCluster.cloud.hosts.has(id)));
   await simulatedCluster.close();
 });
--- a/test/stop-commands.test.ts
+++ b/test/stop-commands.test.ts
@@ -7,8 +7,8 @@
 import { SPEC, TYPE } from './fakes/samples.js';
 import { SimulatedCluster } from './fakes/simulated-cluster.js';
 
-test('a cancelled batch leaves its machine at once, or with the next report where commands get lost', async () => {
-  for (const [open, withinMs] of [
+test('a cancelled batch job leaves its machine at once, or with the next heartbeat where direct commands get lost', async () => {
+  for (const [isReachable, withinMs] of [
     [true, 100],
     [false, 2500],
   ] as const) {
@@ -16,7 +16,7 @@
     await simulatedCluster.start();
     const job = await simulatedCluster.submit({ pieces: 4, runMs: 60_000 });
     await simulatedCluster.until(() => simulatedCluster.running(job) === 4, 10, 'runs');
-    simulatedCluster.directOpen = open;
+    simulatedCluster.directOpen = isReachable;
     await simulatedCluster.clock.advance(100);
     const from = simulatedCluster.clock.now();
     assert.equal(
@@ -26,14 +26,14 @@
     );
     while (simulatedCluster.on(job).length > 0 && simulatedCluster.clock.now() - from < 5000)
       await simulatedCluster.clock.advance(10);
-    // The cancellation itself takes up to a step of the story's clock.
-    const took = simulatedCluster.clock.now() - from;
-    assert.ok(took <= 250 + withinMs, `direct ${open}: ${took} ms`);
+    // The cancellation itself takes up to a step of the simulated clock.
+    const tookMs = simulatedCluster.clock.now() - from;
+    assert.ok(tookMs <= 250 + withinMs, `direct commands arrive: ${isReachable}, ${tookMs} ms`);
     await simulatedCluster.close();
   }
 });
 
-const report = (
+const heartbeat = (
   sequence: number,
   tasks: WorkerHeartbeat['tasks'],
   agentEpoch = 1,
@@ -50,21 +50,21 @@
   tasks,
 });
 
-test('the answer to a direct command proves no start gone, and renews no lease', () => {
-  const gone: Placement[] = [];
+test('the response to a direct command proves no start lost, and renews no lease', () => {
+  const lost: Placement[] = [];
   const exited: Placement[] = [];
   const fleet = new Fleet(
     {
       running: () => {},
       exited: (placement) => exited.push(placement),
-      lost: (placement) => gone.push(placement),
+      lost: (placement) => lost.push(placement),
     },
     7,
     0,
     10_000,
     { expiryOf: () => -Infinity, confirmedAsOf: Infinity },
   );
-  fleet.applyHeartbeat(report(1, []), TYPE, 100, true);
+  fleet.applyHeartbeat(heartbeat(1, []), TYPE, 100, true);
   const machine = fleet.machines.get('host-1')!;
   const job = new Job('req-1', SPEC, 0, 1, 100);
   const place = (task: number): Placement => ({
@@ -80,29 +80,31 @@
     runningSince: null,
     stop: null,
   });
-  const [one, two] = [place(0), place(1)];
-  for (const placement of [one, two]) fleet.addPlacement(placement, 100);
-  // Both starts are on their way in the answer to a report, when a stop of the first overtakes them.
-  assert.equal(fleet.applyHeartbeat(report(2, []), TYPE, 200, true).length, 2);
-  one.stop = { graceMs: 0 };
+  const [first, second] = [place(0), place(1)];
+  for (const placement of [first, second]) fleet.addPlacement(placement, 100);
+  // Both starts are in the answer to a heartbeat, when a direct stop of the first overtakes them.
+  assert.equal(fleet.applyHeartbeat(heartbeat(2, []), TYPE, 200, true).length, 2);
+  first.stop = { graceMs: 0 };
   const leaseExpiry = fleet.leaseExpiryOf(machine);
-  fleet.applyDirectResponse(report(3, []));
-  assert.deepEqual(gone, []);
-  // An ordinary report does prove it: the answer before it was carried out or dropped by then.
-  fleet.applyHeartbeat(report(4, []), TYPE, 300, true);
-  assert.deepEqual(gone, [one]);
+  fleet.applyDirectResponse(heartbeat(3, []));
+  assert.deepEqual(lost, []);
+  // An ordinary heartbeat does prove it: by then the answer before it was applied or dropped.
+  fleet.applyHeartbeat(heartbeat(4, []), TYPE, 300, true);
+  assert.deepEqual(lost, [first]);
   assert.ok(fleet.leaseExpiryOf(machine) > leaseExpiry);
   const before = fleet.leaseExpiryOf(machine);
-  const shown = {
+  const status = {
     job: 'req-1',
     task: 1,
     attempt: 1,
     exitReason: null,
     checkpointed: false,
   } as const;
-  fleet.applyDirectResponse(report(9, [{ ...shown, state: 'exited', exitReason: 'stopped' }], 2));
-  assert.deepEqual(exited, [], 'of another session nothing is taken');
-  fleet.applyDirectResponse(report(5, [{ ...shown, state: 'exited', exitReason: 'stopped' }]));
-  assert.deepEqual(exited, [two]);
+  fleet.applyDirectResponse(
+    heartbeat(9, [{ ...status, state: 'exited', exitReason: 'stopped' }], 2),
+  );
+  assert.deepEqual(exited, [], 'a response of another agent epoch is ignored');
+  fleet.applyDirectResponse(heartbeat(5, [{ ...status, state: 'exited', exitReason: 'stopped' }]));
+  assert.deepEqual(exited, [second]);
   assert.equal(fleet.leaseExpiryOf(machine), before);
 });
--- a/test/task-stopper.test.ts
+++ b/test/task-stopper.test.ts
@@ -7,21 +7,21 @@
 
 const GANG_PEER_MS = settings().workers.gangPeerMs;
 
-/** The grace of a task that makes way, for these times of its job. */
-function graceToMakeWay(checkpointMs: number, saveMs: number): number {
+/** Grace of a preempted task, for these times of its job; all in milliseconds. */
+function preemptionGraceMs(checkpointMs: number, saveMs: number): number {
   const unused = null as never;
-  const stops = new TaskStopper(unused, unused, unused, settings().workers, unused);
+  const stopper = new TaskStopper(unused, unused, unused, settings().workers, unused);
   const job = { spec: { ...SPEC, checkpointMs, saveMs } } as Job;
-  return stops.preemptionGraceMs(job);
+  return stopper.preemptionGraceMs(job);
 }
 
-test('what makes way saves only if it loses on average more than saving twice takes', () => {
-  assert.equal(graceToMakeWay(20_000, 6000), 0);
-  assert.equal(graceToMakeWay(24_000, 6000), 0);
-  assert.equal(graceToMakeWay(24_001, 6000), 6000 + GANG_PEER_MS);
-  assert.equal(graceToMakeWay(30_000, 2000), 2000 + GANG_PEER_MS);
+test('a preempted task saves only if it loses on average more than saving twice takes', () => {
+  assert.equal(preemptionGraceMs(20_000, 6000), 0);
+  assert.equal(preemptionGraceMs(24_000, 6000), 0);
+  assert.equal(preemptionGraceMs(24_001, 6000), 6000 + GANG_PEER_MS);
+  assert.equal(preemptionGraceMs(30_000, 2000), 2000 + GANG_PEER_MS);
 });
 
-test('what never saves gets no time to save', () => {
-  assert.equal(graceToMakeWay(0, 6000), 0);
+test('a task that never saves gets no grace', () => {
+  assert.equal(preemptionGraceMs(0, 6000), 0);
 });
