--- a/src/fleet/boot-times.ts
+++ b/src/fleet/boot-times.ts
@@ -14,7 +14,7 @@
 const SLOW_CLOUD_LATE_MACHINES = 2;
 
 /** What a boot is judged by. */
-export interface BootingMachine {
+interface BootingMachine {
   readonly type: MachineType | null;
   /** Monotonic time in milliseconds. */
   readonly provisionedAt: number;
--- a/src/fleet/fleet.ts
+++ b/src/fleet/fleet.ts
@@ -29,7 +29,7 @@
 const LEASE_MARGIN_MS = 50;
 
 /** What heartbeats prove about placements. */
-export interface FleetEvents {
+interface FleetEvents {
   running(placement: Placement): void;
   exited(placement: Placement, exitReason: ExitReason, checkpointed: boolean): void;
   /** Proven gone without a reported exit. */
@@ -37,7 +37,7 @@
 }
 
 /** Until when zone delegates may have renewed a zone's leases, and when that was last looked up. */
-export interface ZoneDelegateExpiries {
+interface ZoneDelegateExpiries {
   /** Monotonic time in milliseconds. */
   expiryOf(zone: string): number;
   /** Monotonic time in milliseconds. */
--- a/src/fleet/machine-provisioner.ts
+++ b/src/fleet/machine-provisioner.ts
@@ -60,7 +60,7 @@
 }
 
 /** What the cloud's answers bring. */
-export interface ProvisioningEvents {
+interface ProvisioningEvents {
   provisioned(ids: string[], request: ScaleOutRequest): void;
   /** A complete listing. */
   listed(machines: ListedMachine[]): void;
