--- a/src/peer/cancellation-query.ts
+++ b/src/peer/cancellation-query.ts
@@ -6,8 +6,9 @@
 import type { PeerMessage } from './frames.js';
 import type { PeerTransport } from './peer-transport.js';
 
-/** The jobs that any controller has told users to be cancelled, without a gap up to `asOf` (monotonic, in milliseconds). */
+/** The jobs that any controller has told users to be cancelled, without a gap up to `asOf`. */
 export interface KnownCancellations {
+  /** Monotonic, in milliseconds. */
   asOf: number;
   cancelled: Set<string>;
 }
--- a/src/peer/frame-format.ts
+++ b/src/peer/frame-format.ts
@@ -32,7 +32,7 @@
 const FIRST_CANCELLATIONS_KIND = KINDS.indexOf('cancellationsRequest');
 const FIRST_REINSTATEMENT_KIND = KINDS.indexOf('reinstatementRequest');
 
-/** The version of all kinds up to `storeStatus`; a program that knows no later one closes a connection that brings it. */
+/** Of all kinds up to `storeStatus`; a program that knows no later one closes a connection that brings one. */
 const BASE_VERSION = 3;
 /** The versions of the kinds that came later, which go only to controllers known to read them. */
 export const CANCELLATIONS_VERSION = 4;
--- a/test/expired-leader-lease.test.ts
+++ b/test/expired-leader-lease.test.ts
@@ -7,7 +7,7 @@
 const OUTAGE_S = 40;
 /** Longer than a lease, shorter than work is kept without knowing the cancellations. */
 const SHORT_OUTAGE_S = 12;
-/** Longer than a promise not to contest, shorter than the workers' lease. */
+/** Longer than a promise not to campaign, shorter than the workers' lease. */
 const SILENCE_S = 3;
 const service = { shape: 'service', pieces: 4, gpus: 4, runMs: 0, urgency: 'production' } as const;
 
--- a/test/peer.test.ts
+++ b/test/peer.test.ts
@@ -120,7 +120,7 @@
   await simulatedCluster.close();
 });
 
-test('a controller that started during an outage votes and does not contest', async () => {
+test('a controller that started during an outage votes and does not campaign', async () => {
   const simulatedCluster = new SimulatedCluster(TWO);
   await simulatedCluster.start();
   const job = await simulatedCluster.submit({ pieces: 4, runMs: 60_000 });
@@ -220,7 +220,7 @@
   await simulatedCluster.until(() => simulatedCluster.on(job).length === 0, 5, 'gone');
   assert.equal(await simulatedCluster.phase(job, leader), 'withdrawn');
   // An outage that outlasts the workers' leases costs running work, since nobody can promise not to
-  // contest, and nothing else: what runs afterwards was started once its leases had ended.
+  // campaign, and nothing else: what runs afterwards was started once its leases had ended.
   const array = await simulatedCluster.submit({ pieces: 2, runMs: 60_000 });
   await simulatedCluster.until(() => simulatedCluster.running(array) === 2, 10, 'tasks run');
   simulatedCluster.store.down = true;
--- a/test/store-reachability.test.ts
+++ b/test/store-reachability.test.ts
@@ -52,7 +52,7 @@
     );
     const cut = (simulatedCluster.leader + 1) % 3;
     simulatedCluster.nodes[cut]!.fate = () => how;
-    // One request without an answer, and what its peers say after another report interval.
+    // One request without an answer, and what its peers say after another heartbeat interval.
     await simulatedCluster.pass(4);
     assert.equal(simulatedCluster.nodes[cut]!.controller!.ready(), false);
     for (const ask of [
--- a/test/successor-policy.test.ts
+++ b/test/successor-policy.test.ts
@@ -80,7 +80,7 @@
   await cluster.pass(LEASE_S);
   cluster.freeze(first, SILENT_MS);
   await cluster.until(() => cluster.leader === third, LEASE_S, 'the third leads');
-  // A lease and the report interval in which it began; one that is turned away comes 11 s later.
+  // A lease and the heartbeat interval in which it began; one that is turned away comes 11 s later.
   await cluster.pass(1.25 * LEASE_S);
   assert.equal(cluster.leader, third);
   assert.ok([...cluster.workers.values()].every((worker) => worker.shift <= 2));
