--- a/src/control/admission/gang-gate.ts
+++ b/src/control/admission/gang-gate.ts
@@ -1,6 +1,15 @@
-import type { Job } from '../../jobs/tracked-job.js';
+/** Bookkeeping of the all-or-nothing gate; when its time runs out is decided in gang-timeouts.ts. */
+import type { GangState, Job } from '../../jobs/tracked-job.js';
 import type { OperatorSettings } from '../../settings/operator.js';
 
+/** A gang-scheduled job. */
+export type GangJob = Job & { readonly gang: GangState };
+
+/** Whether a job is gang-scheduled. */
+export function isGangJob(job: Job): job is GangJob {
+  return job.gang !== null;
+}
+
 /**
  * How often the wait on the inadmissible list is doubled at most. Nothing tells that what kept a gang
  * from being ready is over, and one that waits for minutes beside free room is not served.
@@ -15,8 +24,8 @@
   constructor(private readonly operatorSettings: OperatorSettings) {}
 
   /** The gang holds the gate until it is ready; its time runs from here. */
-  admit(job: Job, now: number): void {
-    const gang = job.gang!;
+  admit(job: GangJob, now: number): void {
+    const { gang } = job;
     gang.phase = 'admitted';
     gang.holdsGate = true;
     gang.countedMs = 0;
@@ -29,8 +38,8 @@
    * is never less than the fetch of its image and the slack: a gang whose machines came late would
    * else be stopped while it fetches. `bootMs`: the boot time that its timeout counts with.
    */
-  onPlaced(job: Job, now: number, bootMs: number): void {
-    const gang = job.gang!;
+  onPlaced(job: GangJob, now: number, bootMs: number): void {
+    const { gang } = job;
     if (gang.phase === 'admitted') gang.countedMs = Math.min(gang.countedMs, bootMs);
     else gang.countedMs = 0;
     gang.countedAt = now;
@@ -39,8 +48,8 @@
   }
 
   /** A gang that lost a task cannot go on: the rest is stopped, and it queues again when all are gone. */
-  onMemberLost(job: Job, stopAll: (graceMs: number) => void): void {
-    const gang = job.gang!;
+  onMemberLost(job: GangJob, stopAll: (graceMs: number) => void): void {
+    const { gang } = job;
     if (job.placements.size > 0) {
       if (
         ![...job.placements.values()].some(
@@ -57,8 +66,8 @@
     }
   }
 
-  suspend(job: Job, now: number): void {
-    const gang = job.gang!;
+  suspend(job: GangJob, now: number): void {
+    const { gang } = job;
     gang.phase = 'suspended';
     gang.holdsGate = false;
     const doublings = Math.min(gang.suspensions, MAX_WAIT_DOUBLINGS);
--- a/src/control/admission/gang-timeouts.ts
+++ b/src/control/admission/gang-timeouts.ts
@@ -12,7 +12,7 @@
 import type { Job } from '../../jobs/tracked-job.js';
 import type { OperatorSettings } from '../../settings/operator.js';
 import type { TaskStopper } from '../reconciliation/task-stopper.js';
-import type { GangGate } from './gang-gate.js';
+import type { GangGate, GangJob } from './gang-gate.js';
 
 /** What `GangTimeouts` works with. */
 export interface GangTimeoutsContext {
@@ -31,15 +31,15 @@
   constructor(private readonly context: GangTimeoutsContext) {}
 
   /** Suspends a gang that is past its timeout, and lets a suspended one queue again after its wait. */
-  check(job: Job, now: number): void {
-    const gang = job.gang!;
+  check(job: GangJob, now: number): void {
+    const { gang } = job;
     if (job.phase !== 'open') return;
     if (gang.phase === 'suspended') {
       if (now >= gang.suspendedUntil && job.placements.size === 0) gang.phase = 'queued';
       return;
     }
     if (gang.phase !== 'admitted' && gang.phase !== 'placed') return;
-    // While the cloud refuses, is silent or boots slowly, a gang that waits for machines is not to blame.
+    // While the cloud refuses, is unresponsive or boots slowly, a gang that waits for machines is not to blame.
     const excused = gang.phase === 'admitted' && this.isCloudInTrouble(job, now);
     if (!excused) gang.countedMs += now - gang.countedAt;
     gang.countedAt = now;
--- a/src/control/dependencies/dependency-tracker.ts
+++ b/src/control/dependencies/dependency-tracker.ts
@@ -1,3 +1,4 @@
+/** Which jobs wait for others, and what becomes of them when those end. */
 import type { Runtime } from '@leverhatch/core/duty';
 import { RequestPriority } from '@leverhatch/core/store';
 import type { Term } from '../../election/term.js';
@@ -55,7 +56,7 @@
 
 /**
  * Which jobs still wait for others, at the leader. A job that waits has no `readyAt`, and so takes
- * no part in the rounds of decisions. It gets one only when every job that it needs is known to be
+ * no part in the scheduling cycles. It gets one only when every job that it needs is known to be
  * *stored* as done: from a record read from the store, or from the store's answer to our own write.
  * That state is final, so what is known of it never has to be taken back; a new leader reads it
  * again. Where anything cannot be read, the job waits.
@@ -107,8 +108,8 @@
     // Also while the records are read: what is dropped is read again where a job needs it.
     this.trim();
     if (this.recovering) return;
-    const own = this.context.jobs.get(id);
-    if (own) this.forget(own);
+    const tracked = this.context.jobs.get(id);
+    if (tracked) this.forget(tracked);
     this.removeChunks(id);
     const waiting = this.dependents.get(id);
     this.dependents.delete(id);
@@ -119,8 +120,7 @@
   }
 
   private trim(): void {
-    const most = this.context.memoryMb * ENDED_JOBS_PER_MB;
-    dropOldest(this.endedJobs, most);
+    dropOldest(this.endedJobs, this.context.memoryMb * ENDED_JOBS_PER_MB);
   }
 
   private begin(job: Job, needs: DependenciesRecord): void {
@@ -128,7 +128,7 @@
     else void this.load(job, needs);
   }
 
-  /** Reads the pieces of a long list, however long it takes. */
+  /** Reads the chunks of a long list, however long it takes. */
   private async load(job: Job, needs: ChunkedDependencies): Promise<void> {
     const { store } = this.context;
     const { signal } = this.context.term;
@@ -144,10 +144,10 @@
     const wait: Wait = { missing: new Set(), since: job.submittedAt };
     const unknown: string[] = [];
     for (const id of job.dependencies) {
-      const over = this.endedJobs.get(id);
-      if (over?.phase === 'cancelled') return this.cancel(job, id);
-      if (over?.phase === 'done') {
-        wait.since = Math.max(wait.since, over.doneAt ?? 0);
+      const ended = this.endedJobs.get(id);
+      if (ended?.phase === 'cancelled') return this.cancel(job, id);
+      if (ended?.phase === 'done') {
+        wait.since = Math.max(wait.since, ended.doneAt ?? 0);
         continue;
       }
       wait.missing.add(id);
@@ -196,16 +196,16 @@
   ): Promise<void> {
     const { clock, log, random } = this.context.runtime;
     const { signal } = this.context.term;
-    let complained = false;
+    let hasComplained = false;
     let backoff = 1;
     while (!signal.aborted && job.phase === 'open') {
       try {
         if (await attempt()) return;
-        if (!complained) log.error({ job: job.id }, complaint);
-        complained = true;
+        if (!hasComplained) log.error({ job: job.id }, complaint);
+        hasComplained = true;
       } catch (error) {
         if (signal.aborted) return;
-        log.debug({ job: job.id, error: String(error) }, 'dependencies are read again');
+        log.debug({ job: job.id, error: String(error) }, 'dependencies not read, retrying');
       }
       await clock.sleep(jitter(this.context.retryMs * backoff, random), signal);
       backoff = Math.min(backoff * 2, MAX_BACKOFF);
@@ -262,15 +262,18 @@
     this.chunks.delete(id);
     void this.deleteChunks(id, needs).catch((error: unknown) => {
       if (this.context.term.signal.aborted) return;
-      this.context.runtime.log.warn({ job: id, error: String(error) }, 'pieces are left');
+      this.context.runtime.log.warn(
+        { job: id, error: String(error) },
+        'dependency chunks left behind',
+      );
     });
   }
 
   private async deleteChunks(id: string, { mark, pieces }: ChunkedDependencies): Promise<void> {
     const { store, term } = this.context;
     const when = [{ key: KEYS.leader, version: term.fencingToken }];
-    const keys = Array.from({ length: pieces }, (_, i) => KEYS.dependencyChunk(id, mark, i));
-    const { chunkChanges: chunkChanges } = store.limits;
+    const keys = [...Array(pieces).keys()].map((i) => KEYS.dependencyChunk(id, mark, i));
+    const { chunkChanges } = store.limits;
     while (keys.length > 0) {
       const then = keys.slice(0, chunkChanges.current).map((key) => ({ delete: key }));
       try {
--- a/src/control/leader-parts.ts
+++ b/src/control/leader-parts.ts
@@ -58,7 +58,7 @@
   unreadableTerms: UnreadableTerms;
   /** Whether the store serves another controller, which could lead. */
   isStoreAvailableToOthers(): boolean;
-  /** Whom workers should report to rather than to this leader; null: nobody. */
+  /** Whom workers should send heartbeats to rather than to this leader; null: nobody. */
   preferredSuccessor(): string | null;
   /** Optional parts that are switched on. */
   extensions: readonly Extension[];
@@ -415,7 +415,7 @@
     return this.extensions.quotas() ?? this.context.settings.teams;
   }
 
-  /** Something changed that the next round of decisions should see. */
+  /** Something changed that the next scheduling cycle should see. */
   requestSchedule(): void {
     this.schedulingLoop.request();
   }
--- a/src/control/leader.ts
+++ b/src/control/leader.ts
@@ -8,7 +8,7 @@
 /** After what share of the leader lease without news of the job records the others are asked. */
 const UNRESPONSIVE_STORE_RATIO = 0.5;
 
-/** How many workers' leases a term lasts at least before office is handed over only to be safer. */
+/** How many workers' leases a term lasts at least before leadership is transferred only to be safer. */
 const SETTLED_LEASES = 2;
 
 /** Prices move by up to a third and slowly; a call each half minute does not weigh on any cloud. */
@@ -36,14 +36,14 @@
     const { runtime } = this.context;
     const { signal } = this.term;
     const restartMs = this.context.settings.workers.heartbeatIntervalMs;
-    const office = supervise(runtime, 'office', signal, restartMs, (signal) =>
+    const leadershipWatch = supervise(runtime, 'leadership watch', signal, restartMs, (signal) =>
       this.watchLeadership(signal),
     );
     await this.parts.jobRecords.recover(signal);
     if (signal.aborted) return;
     await Promise.all([
-      office,
-      supervise(runtime, 'held reports', signal, restartMs, (signal) =>
+      leadershipWatch,
+      supervise(runtime, 'held heartbeats', signal, restartMs, (signal) =>
         this.parts.longPoll.run(signal),
       ),
       supervise(runtime, 'follow jobs', signal, restartMs, (signal) =>
@@ -52,7 +52,7 @@
       supervise(runtime, 'cancellation query', signal, restartMs, (signal) =>
         this.queryCancellations(signal),
       ),
-      supervise(runtime, 'rounds', signal, restartMs, (signal) =>
+      supervise(runtime, 'scheduling', signal, restartMs, (signal) =>
         this.parts.schedulingLoop.run(signal),
       ),
       supervise(runtime, 'rewrite runs', signal, restartMs, (signal) =>
@@ -67,7 +67,7 @@
     ]);
   }
 
-  /** What to answer a worker's report; null if its lease must not be renewed now. */
+  /** What to answer a worker's heartbeat; null if its lease must not be renewed now. */
   receiveHeartbeat(
     heartbeat: WorkerHeartbeat,
   ): WorkerCommand[] | null | Promise<WorkerCommand[] | null> {
@@ -100,10 +100,10 @@
   private async queryCancellations(signal: AbortSignal): Promise<void> {
     const { clock } = this.context.runtime;
     while (!signal.aborted) {
-      const silent =
+      const isStale =
         this.parts.cancellationView.ageMs(this.parts.now) >
         this.parts.leaderLeaseMs * UNRESPONSIVE_STORE_RATIO;
-      if (silent && this.term.isActive(this.parts.now)) await this.collectCancellations();
+      if (isStale && this.term.isActive(this.parts.now)) await this.collectCancellations();
       await clock.sleep(this.parts.leaderLeaseMs / 8, signal);
     }
   }
@@ -122,15 +122,15 @@
     this.parts.cancellationView.completeAt(known.asOf);
   }
 
-  /** Gives office up if another controller can do what this one cannot, or is better placed. */
+  /** Resigns if another controller can do what this one cannot, or is better placed. */
   private async watchLeadership(signal: AbortSignal): Promise<void> {
     const { runtime, unreadableTerms } = this.context;
     while (!signal.aborted) {
-      const unread =
+      const isUnreadable =
         this.term.holdsLease(this.parts.now) &&
         this.parts.recordReadMonitor.hasTimedOut(this.parts.now);
-      if (unread && this.context.isStoreAvailableToOthers()) {
-        runtime.log.warn({}, 'the records cannot be read, resigning');
+      if (isUnreadable && this.context.isStoreAvailableToOthers()) {
+        runtime.log.warn({}, 'job records cannot be read, resigning');
         unreadableTerms.recordResignation();
         this.resign();
       }
@@ -139,16 +139,19 @@
     }
   }
 
-  /** Hands office over where silent controllers would cost the workers their leases if this one fell silent. */
+  /** Resigns where unresponsive controllers would cost the workers their leases if this one failed too. */
   private transferLeadership(): void {
     const { settings, runtime } = this.context;
-    const settled =
+    const isSettled =
       this.parts.now - this.term.startedAt > settings.workers.leaseMs * SETTLED_LEASES;
-    if (!settled || !this.parts.jobRecords.isRecovered || !this.term.holdsLease(this.parts.now))
+    if (!isSettled || !this.parts.jobRecords.isRecovered || !this.term.holdsLease(this.parts.now))
       return;
     const successor = this.context.preferredSuccessor();
     if (successor === null) return;
-    runtime.log.info({ successor }, 'handing over, the next controllers are silent');
+    runtime.log.info(
+      { successor },
+      'transferring leadership, the next controllers are unresponsive',
+    );
     this.resign(successor);
   }
 
--- a/src/control/reconciliation/heartbeat-handler.ts
+++ b/src/control/reconciliation/heartbeat-handler.ts
@@ -1,3 +1,4 @@
+/** What a recovered leader answers to workers' heartbeats, and when. */
 import type { Runtime } from '@leverhatch/core/duty';
 import type { Term } from '../../election/term.js';
 import type { Fleet } from '../../fleet/fleet.js';
@@ -10,16 +11,22 @@
 import type { LongPoll } from './long-poll.js';
 
 /**
- * How long the answer to a report may be kept back, as a share of the time between two, so that the
+ * How long the answer to a heartbeat may be held, as a share of the time between two, so that the
  * next one is not late; and well within the 4 s after which workers give an answer up.
  */
 const HOLD_RATIO = 0.75;
+/** How long an answer is held at most, whatever the heartbeat interval. */
 export const MAX_HOLD_MS = 2200;
 
-/** How long the answer to a report is kept back at most, for a fleet that reports this often. */
+/** How long the answer to a heartbeat is held at most, for a fleet with this heartbeat interval. */
 export const longestHoldMs = (heartbeatIntervalMs: number): number =>
   Math.min(heartbeatIntervalMs * HOLD_RATIO, MAX_HOLD_MS);
 
+/** What of a machine a scheduling cycle sees change with a heartbeat. */
+function schedulingState({ isTokenConfirmed, preemptionNoticeAt }: Machine): string {
+  return `${isTokenConfirmed}, ${preemptionNoticeAt !== null}`;
+}
+
 /** What a `HeartbeatHandler` works with. */
 export interface HeartbeatHandlerContext {
   readonly runtime: Pick<Runtime, 'clock'>;
@@ -63,37 +70,39 @@
       : null;
   }
 
-  /** `mayHold`: the worker still has time to wait for orders that come up. */
+  /** `mayHold`: the worker still has time to wait for commands that come up. */
   private apply(
     heartbeat: WorkerHeartbeat,
     mayHold: boolean,
   ): WorkerCommand[] | Promise<WorkerCommand[]> {
     const type = this.context.machineTypes().get(heartbeat.type) ?? null;
     const machine = this.context.fleet.machines.get(heartbeat.machine);
-    const before = machine
-      ? Number(machine.isTokenConfirmed) + (machine.preemptionNoticeAt === null ? 0 : 2)
-      : -1;
-    const fresh =
-      this.context.jobRecords.isRecovered &&
-      (machine?.isNewer(heartbeat.agentEpoch, heartbeat.sequence) ?? true);
-    if (fresh) this.context.longPoll.supersede(heartbeat.machine);
+    const before = machine ? schedulingState(machine) : null;
+    const isNews = this.isNews(heartbeat, machine);
+    if (isNews) this.context.longPoll.supersede(heartbeat.machine);
     const commands = this.context.fleet.applyHeartbeat(
       heartbeat,
       type,
       this.context.runtime.clock.now(),
       this.context.jobRecords.isRecovered,
     );
-    const after = this.context.fleet.machines.get(heartbeat.machine)!;
-    if (Number(after.isTokenConfirmed) + (after.preemptionNoticeAt === null ? 0 : 2) !== before)
-      this.context.requestSchedule();
+    const after = this.context.fleet.getOrCreate(
+      heartbeat.machine,
+      this.context.runtime.clock.now(),
+    );
+    if (schedulingState(after) !== before) this.context.requestSchedule();
     // On others' votes alone running work is kept, but nothing is begun.
     if (!this.context.term.holdsLease(this.context.runtime.clock.now()))
       return commands.filter((command) => command.kind !== 'start');
-    const holdMs = mayHold && fresh && commands.length === 0 ? this.holdMs(after) : 0;
+    const holdMs = mayHold && isNews && commands.length === 0 ? this.holdMs(after) : 0;
     return holdMs === 0 ? commands : this.heldCommands(after, holdMs);
   }
 
-  /** How long an answer without orders is kept back for what may come up. */
+  private isNews({ agentEpoch, sequence }: WorkerHeartbeat, known: Machine | undefined): boolean {
+    return this.context.jobRecords.isRecovered && (known?.isNewer(agentEpoch, sequence) ?? true);
+  }
+
+  /** How long an answer without commands is held for what may come up. */
   private holdMs(machine: Machine): number {
     if (machine.isIdleOrServing) return this.longestHoldMs;
     // Ends on it are news that must not wait long behind the answer.
--- a/src/control/reconciliation/job-record-watcher.ts
+++ b/src/control/reconciliation/job-record-watcher.ts
@@ -1,3 +1,4 @@
+/** Reads the job records at the start of a term, and follows them over it. */
 import { setMaxListeners } from 'node:events';
 import type { Runtime } from '@leverhatch/core/duty';
 import type { ZoneDelegateWatch } from '../../election/zone-delegate.js';
@@ -47,7 +48,7 @@
 
 /** Reads the records of earlier leaders at the start of a term, and follows the users' changes. */
 export class JobRecordWatcher {
-  private readonly recoveredController = new AbortController();
+  private readonly recovery = new AbortController();
   /** The revision of the store up to which changes of job records have been acted on. */
   private revision = 0;
   /** Jobs announced as cancelled before the records were read. */
@@ -59,17 +60,17 @@
 
   constructor(private readonly context: JobRecordWatcherContext) {
     // Every heartbeat that waits for the records listens to it.
-    setMaxListeners(0, this.recoveredController.signal);
+    setMaxListeners(0, this.recovery.signal);
   }
 
-  /** True once the records are read: before, no report is believed or answered. */
+  /** True once the records are read: before, no heartbeat is believed or answered. */
   get isRecovered(): boolean {
-    return this.recoveredController.signal.aborted;
+    return this.recovery.signal.aborted;
   }
 
   /** Aborted once the records are read. */
   get recoveredSignal(): AbortSignal {
-    return this.recoveredController.signal;
+    return this.recovery.signal;
   }
 
   async recover(signal: AbortSignal): Promise<void> {
@@ -81,17 +82,17 @@
         const runs = await this.range(KEYS.runs, signal);
         const sentAt = this.context.runtime.clock.now();
         const revision = await this.readJobs(runs, signal);
-        const rentals = await this.range(KEYS.provisioningRequests, signal);
+        const provisioningRequests = await this.range(KEYS.provisioningRequests, signal);
         await this.context.zoneDelegates.refresh(signal);
         await this.context.membership.refresh(signal);
         await this.context.extensions.load(signal);
         this.restoreRuns(runs);
-        for (const entry of rentals) this.context.provisioner.restore(entry);
+        for (const entry of provisioningRequests) this.context.provisioner.restore(entry);
         this.context.reconciler.recovered(this.context.jobs.size > 0);
         for (const id of this.announcedCancellations) this.announceCancelled(id);
         this.revision = revision;
         this.context.cancellationView.completeAt(sentAt);
-        this.recoveredController.abort();
+        this.recovery.abort();
         this.context.recordReadMonitor.recordRecovery(this.context.runtime.clock.now());
         this.withRuns = new Set();
         this.endedJobs.clear();
@@ -103,7 +104,7 @@
       } catch (error) {
         signal.throwIfAborted();
         this.context.recordReadMonitor.recordFailure(error);
-        runtime.log.debug({ error: String(error) }, 'recovery repeated');
+        runtime.log.debug({ error: String(error) }, 'recovery failed, retrying');
         await runtime.clock.sleep(this.context.retryMs, signal);
       }
     }
@@ -156,7 +157,7 @@
     const { membership } = this.context;
     if (!job.hasForeignLayout || membership.allRead(RECORD_FORMATS.rangedRuns)) return;
     // Only ranged records could go above them, and not every controller reads those.
-    this.context.runtime.log.error({ job: job.id }, 'records of another layout, left as is');
+    this.context.runtime.log.error({ job: job.id }, 'run records of another layout, left as is');
     job.isUnreadable = true;
   }
 
@@ -230,36 +231,42 @@
 
   onJobRecord(id: string, version: number, record: JobRecord): void {
     const known = this.context.jobs.get(id);
-    if (!known) {
-      if (!record.spec || record.at === undefined) {
-        if (record.phase !== 'open' && this.withRuns.has(id)) this.endedJobs.add(id);
-        this.context.dependencies.onJobEnded(id, record.phase, record.doneAt ?? null);
-        return;
-      }
-      const job = new Job(
-        id,
-        record.spec,
-        record.at,
-        version,
-        tasksPerRecord(this.context.settings.state.valueBytes),
-        this.context.settings.workers.heartbeatIntervalMs,
-      );
-      job.phase = record.phase;
-      job.doneAt = record.doneAt ?? null;
-      this.context.jobs.set(id, job);
-      if (record.needs) this.context.dependencies.add(job, record.needs);
-      this.context.dependencies.onJobEnded(id, record.phase, job.doneAt);
-      // Before the run records are read a cancelled job looks as if nothing of it could run.
-      if (this.isRecovered) this.context.recordWriter.flush(job);
-      this.context.requestSchedule();
+    if (known) this.updateJob(known, version, record);
+    else this.addJob(id, version, record);
+  }
+
+  private addJob(id: string, version: number, record: JobRecord): void {
+    if (!record.spec || record.at === undefined) {
+      if (record.phase !== 'open' && this.withRuns.has(id)) this.endedJobs.add(id);
+      this.context.dependencies.onJobEnded(id, record.phase, record.doneAt ?? null);
       return;
     }
+    const { settings } = this.context;
+    const job = new Job(
+      id,
+      record.spec,
+      record.at,
+      version,
+      tasksPerRecord(settings.state.valueBytes),
+      settings.workers.heartbeatIntervalMs,
+    );
+    job.phase = record.phase;
+    job.doneAt = record.doneAt ?? null;
+    this.context.jobs.set(id, job);
+    if (record.needs) this.context.dependencies.add(job, record.needs);
+    this.context.dependencies.onJobEnded(id, record.phase, job.doneAt);
+    // Before the run records are read a cancelled job looks as if nothing of it could run.
+    if (this.isRecovered) this.context.recordWriter.flush(job);
+    this.context.requestSchedule();
+  }
+
+  private updateJob(known: Job, version: number, record: JobRecord): void {
     if (version <= known.version) return;
     known.version = version;
     known.phase = record.phase;
     known.isPhaseStored = true;
     known.doneAt ??= record.doneAt ?? null;
-    this.context.dependencies.onJobEnded(id, record.phase, known.doneAt);
+    this.context.dependencies.onJobEnded(known.id, record.phase, known.doneAt);
     if (record.phase !== 'open') this.context.taskStopper.stopAll(known, 0);
     this.context.recordWriter.flush(known);
     this.context.requestSchedule();
--- a/src/control/reconciliation/task-lifecycle.ts
+++ b/src/control/reconciliation/task-lifecycle.ts
@@ -1,9 +1,10 @@
+/** What the fleet's news of a task mean for its job. */
 import type { Runtime } from '@leverhatch/core/duty';
 import type { Fleet } from '../../fleet/fleet.js';
 import type { JobRecordWriter } from '../../jobs/job-record-writer.js';
 import type { Job, Placement } from '../../jobs/tracked-job.js';
 import type { ExitReason } from '../../wire/worker-heartbeat.js';
-import type { GangGate } from '../admission/gang-gate.js';
+import { isGangJob, type GangGate } from '../admission/gang-gate.js';
 import type { TaskStopper } from './task-stopper.js';
 
 /** What a `TaskLifecycle` works with. */
@@ -24,7 +25,7 @@
     placement.runningSince = this.context.runtime.clock.now();
     const { job } = placement;
     job.failures.recordRunning(0);
-    if (job.gang && job.gang.phase === 'placed') {
+    if (job.gang?.phase === 'placed') {
       let ready = job.doneCount;
       for (const other of job.placements.values()) {
         if (other.state === 'running' && !job.isDone(other.task)) ready++;
@@ -111,7 +112,7 @@
       job.phase = 'done';
       job.isPhaseStored = false;
     }
-    if (job.gang && job.phase === 'open')
+    if (isGangJob(job) && job.phase === 'open')
       this.context.gangGate.onMemberLost(job, (grace) =>
         this.context.taskStopper.stopAll(job, grace),
       );
--- a/src/control/replicated-progress.ts
+++ b/src/control/replicated-progress.ts
@@ -1,3 +1,4 @@
+/** What followers show of how far jobs are. */
 import type { TaskCounts } from '../jobs/job-api.js';
 import type { JobProgress } from '../peer/frames.js';
 
@@ -11,9 +12,9 @@
   /** One frame of a heartbeat; the first one begins anew, without the jobs that are over. */
   apply(first: boolean, progress: readonly JobProgress[]): void {
     if (first) this.progress.clear();
-    for (const c of progress) {
+    for (const job of progress) {
       if (this.progress.size >= this.maxJobs) return;
-      this.progress.set(c.id, c);
+      this.progress.set(job.id, job);
     }
   }
 
--- a/src/control/scheduling/pipeline-steps.ts
+++ b/src/control/scheduling/pipeline-steps.ts
@@ -15,7 +15,7 @@
   machineTypes(): ReadonlyMap<string, MachineType>;
 }
 
-/** A step's start takes about so many report intervals: an end seen, a start recorded and sent. */
+/** A step's start takes about so many heartbeat intervals: an end seen, a start recorded and sent. */
 const START_HEARTBEATS = 2;
 
 /** The jobs that are neither done nor cancelled. */
@@ -25,7 +25,7 @@
 
 /** All open jobs with what they wait for and how long they still take. */
 export function pipelineSteps(sources: PipelineSources, now: number): PipelineStep[] {
-  const aims = deadlineSteps(sources.settings);
+  const deadlines = deadlineSteps(sources.settings);
   const steps: PipelineStep[] = [];
   for (const job of openJobs(sources.jobs)) {
     steps.push({
@@ -35,7 +35,7 @@
       readyAt: job.readyAt,
       dependencies: job.dependencies,
       remainingMs: remainingMs(sources, job, now),
-      deadlineSteps: aims.get(job.spec.jobClass) ?? [],
+      deadlineSteps: deadlines.get(job.spec.jobClass) ?? [],
     });
   }
   return steps;
@@ -50,15 +50,15 @@
   // A service is never done, and nobody may wait for it.
   if (spec.kind === 'service') return 0;
   if (job.waitingCount > 0) return startMs(sources, spec) + spec.estimateMs;
-  let most = 0;
+  let longestMs = 0;
   for (const placement of job.placements.values()) {
-    const left =
+    const leftMs =
       placement.runningSince === null
         ? startMs(sources, spec) + spec.estimateMs
         : spec.estimateMs - (now - placement.runningSince);
-    most = Math.max(most, left);
+    longestMs = Math.max(longestMs, leftMs);
   }
-  return most;
+  return longestMs;
 }
 
 /** From when a job is ready until its tasks run, where there is room for them. */
--- a/src/control/scheduling/scheduling-loop.ts
+++ b/src/control/scheduling/scheduling-loop.ts
@@ -1,3 +1,4 @@
+/** When scheduling cycles run, and how their plans are carried out. */
 import type { Runtime } from '@leverhatch/core/duty';
 import type { SuccessorPolicy } from '../../election/successor-policy.js';
 import type { Term } from '../../election/term.js';
@@ -15,7 +16,7 @@
 import type { Job, Placement } from '../../jobs/tracked-job.js';
 import type { SchedulingPlan, Snapshot } from '../../scheduler/scheduling-model.js';
 import { schedule } from '../../scheduler/scheduling-cycle.js';
-import type { GangGate } from '../admission/gang-gate.js';
+import { isGangJob, type GangGate } from '../admission/gang-gate.js';
 import type { GangTimeouts } from '../admission/gang-timeouts.js';
 import { CycleSizer } from './cycle-sizer.js';
 import type { QuotaWaitLog } from './quota-wait-log.js';
@@ -50,18 +51,28 @@
   resign(): void;
 }
 
-/** Rounds of decisions: what starts, what makes way, what is rented and given back. */
+/** A plan names a job, task or machine that the leader no longer has: snapshot and state disagree. */
+export class StalePlanError extends Error {
+  constructor(
+    readonly kind: 'job' | 'task' | 'machine' | 'gang',
+    readonly subject: string,
+  ) {
+    super(`the plan names an unknown ${kind}: ${subject}`);
+  }
+}
+
+/** Scheduling cycles: what starts, what makes way, what is rented and given back. */
 export class SchedulingLoop {
   private isRequested = true;
   private wakeUp: (() => void) | null = null;
-  /** When the round before this one began. */
+  /** When the cycle before this one began. */
   private lastCycleAt = -Infinity;
 
   private readonly cycleSizer = new CycleSizer(() => this.context.leaderLeaseMs);
 
   constructor(private readonly context: SchedulingLoopContext) {}
 
-  /** Something changed that the next round of decisions should see. */
+  /** Something changed that the next scheduling cycle should see. */
   request(): void {
     this.isRequested = true;
     this.wakeUp?.();
@@ -85,10 +96,10 @@
       if (stoodStill || !this.context.mayRenewWorkerLeases(startedAt))
         this.context.workerLiveness.restartTimeout(startedAt);
       if (this.context.term.isActive(startedAt)) this.runCycle();
-      // The longer a round takes, or the more writes of earlier ones still wait for their share of
+      // The longer a cycle takes, or the more writes of earlier ones still wait for their share of
       // the store's rate, the longer the next one collects work: each write then carries more.
-      // But never for longer than a report interval: a controller that stood still in the middle of a
-      // round took long for another reason.
+      // But never for longer than a heartbeat interval: a controller that stood still in the middle of a
+      // cycle took long for another reason.
       const took = clock.now() - startedAt;
       const behind = base * this.context.store.queuedWrites;
       const most = settings.workers.heartbeatIntervalMs;
@@ -117,7 +128,7 @@
     if (this.isUnreachableByWorkers(now)) {
       // Who rested may have stood still for a part of it, unnoticed: what came meanwhile is read first.
       if (rested) return this.request();
-      this.context.runtime.log.warn({}, 'no worker reports any more, resigning');
+      this.context.runtime.log.warn({}, 'no worker heartbeats, resigning');
       this.context.workerlessTerms.recordResignation(!this.context.isStoreAvailableToOthers());
       this.context.resign();
       return;
@@ -125,16 +136,16 @@
     this.drainMachines(now);
     for (const job of this.context.jobs.values()) {
       this.context.taskLifecycle.reviewFailures(job, now);
-      if (job.gang) this.context.gangTimeouts.check(job, now);
+      if (isGangJob(job)) this.context.gangTimeouts.check(job, now);
       if (job.phase !== 'open' && job.placements.size > 0) this.context.taskStopper.stopAll(job, 0);
     }
     if (this.context.machineTypes().size === 0) return;
-    // Before the first reports and the list are in, free machines look missing.
+    // Before the first heartbeats and the list are in, free machines look missing.
     const settled =
       now - this.context.term.startedAt > this.context.settings.workers.heartbeatIntervalMs * 3;
     const whole = this.takeSnapshot(now);
     const snapshot = this.cycleSizer.limit(whole);
-    // Of these the round keeps its own count, which goes on while it decides.
+    // Of these the cycle keeps its own count, which goes on while it decides.
     const used = new Map(
       [...snapshot.teams].map(([name, team]) => [name, { ...team, used: { ...team.used } }]),
     );
@@ -152,7 +163,7 @@
     this.logCycle(snapshot, result, this.context.runtime.clock.now() - now);
   }
 
-  /** What the round saw and did: where a fleet stalls can be read from these lines. */
+  /** What the cycle saw and did: where a fleet stalls can be read from these lines. */
   private logCycle(snapshot: Snapshot, result: SchedulingPlan, tookMs: number): void {
     const waiting: Record<string, number> = {};
     for (const { spec, waitingTasks: tasks } of snapshot.jobs) {
@@ -164,11 +175,7 @@
         up,
         coming: snapshot.machines.length - up,
         waiting,
-        started: result.starts.reduce(
-          (sum, start) =>
-            sum + start.assignments.reduce((k, assignment) => k + assignment.count, 0),
-          0,
-        ),
+        started: result.starts.reduce((sum, start) => sum + taskCount(start.assignments), 0),
         stops: result.stops.length,
         rents: result.scaleOut,
         spare: result.idleMachines.length,
@@ -180,7 +187,7 @@
         writesWaiting: this.context.store.queuedWrites,
         tookMs,
       },
-      'round',
+      'scheduling cycle',
     );
   }
 
@@ -189,7 +196,7 @@
       await this.context.zoneDelegates.refresh(this.context.term.signal);
       this.request();
     } catch {
-      // The next round asks again.
+      // The next cycle asks again.
     }
   }
 
@@ -230,14 +237,15 @@
   private applyPlan(result: SchedulingPlan, now: number, mayScaleOut: boolean): void {
     const touched = new Set<Job>();
     for (const start of result.starts) {
-      const job = this.context.jobs.get(start.job)!;
+      const job = this.jobOf(start.job);
       // Such a job is in no snapshot; should it ever get here, its tasks still must not start.
       if (job.readyAt === null) continue;
       this.place(job, start.assignments, now);
       touched.add(job);
     }
     if (result.admittedGang !== null) {
-      const job = this.context.jobs.get(result.admittedGang)!;
+      const job = this.jobOf(result.admittedGang);
+      if (!isGangJob(job)) throw new StalePlanError('gang', job.id);
       this.context.gangGate.admit(job, now);
       touched.add(job);
     }
@@ -255,15 +263,22 @@
     this.context.reconciler.scaleIn(result, now);
   }
 
+  private jobOf(id: string): Job {
+    const job = this.context.jobs.get(id);
+    if (!job) throw new StalePlanError('job', id);
+    return job;
+  }
+
   private place(job: Job, on: { machine: string; count: number }[], now: number): void {
-    const total = on.reduce((sum, o) => sum + o.count, 0);
-    const tasks = job.waitingTasks(total);
+    const tasks = job.waitingTasks(taskCount(on));
     job.attempt++;
     let next = 0;
     for (const { machine, count } of on) {
-      const host = this.context.fleet.machines.get(machine)!;
+      const host = this.context.fleet.machines.get(machine);
+      if (!host) throw new StalePlanError('machine', machine);
       for (let i = 0; i < count; i++) {
-        const task = tasks[next++]!;
+        const task = tasks[next++];
+        if (task === undefined) throw new StalePlanError('task', job.id);
         const placement: Placement = {
           job,
           task,
@@ -293,6 +308,11 @@
       },
       'placed',
     );
-    if (job.gang) this.context.gangGate.onPlaced(job, now, this.context.gangTimeouts.bootMs(job));
+    if (isGangJob(job))
+      this.context.gangGate.onPlaced(job, now, this.context.gangTimeouts.bootMs(job));
   }
 }
+
+function taskCount(assignments: readonly { count: number }[]): number {
+  return assignments.reduce((sum, { count }) => sum + count, 0);
+}
--- a/src/control/scheduling/snapshot.ts
+++ b/src/control/scheduling/snapshot.ts
@@ -1,3 +1,4 @@
+/** What the leader knows, as the scheduler sees it in one cycle. */
 import type { Runtime } from '@leverhatch/core/duty';
 import type { Fleet } from '../../fleet/fleet.js';
 import type { MachineProvisioner } from '../../fleet/machine-provisioner.js';
@@ -59,7 +60,7 @@
   longestBootMs: number;
 }
 
-/** What the leader believes at one moment, for a round of decisions. */
+/** What the leader believes at one moment, for a scheduling cycle. */
 export function takeSnapshot(sources: SnapshotSources, now: number): Snapshot {
   const wall = sources.runtime.clock.wall();
   const urgencies = pipelineUrgency(pipelineSteps(sources, now), wall);
@@ -73,14 +74,14 @@
   return {
     machines: machineViews(sources, now),
     jobs: jobViews(context),
-    upcomingJobs: upcoming(context),
+    upcomingJobs: upcomingJobs(context),
     expectedTasks: sources.expectedDemand.observe(now, context.longestBootMs),
     leavingCpus: leavingCpus(sources),
     teams: teamViews(sources),
     types,
     offers: offers(context),
-    preemptionCandidates: victims(context),
-    movableReplicas: movable(sources),
+    preemptionCandidates: preemptionCandidates(context),
+    movableReplicas: movableReplicas(sources),
     isGateClosed: [...openJobs(sources.jobs)].some((job) => job.gang?.holdsGate),
   };
 }
@@ -171,7 +172,7 @@
 }
 
 /** Work without GPUs that is expected to be ready before a machine that is rented now is up. */
-function upcoming(context: SnapshotContext): JobView[] {
+function upcomingJobs(context: SnapshotContext): JobView[] {
   const { gpuBootMs, urgencies, wall } = context;
   const views: JobView[] = [];
   if (gpuBootMs === null) return views;
@@ -192,13 +193,11 @@
 }
 
 function jobView(context: SnapshotContext, job: Job, readyAt: number): JobView {
-  const { sources, now, wall, gpuBootMs, longestBootMs } = context;
+  const { sources, now, wall, longestBootMs } = context;
   const { spec, gang } = job;
   const zones = new Map<string, number>();
   for (const placement of job.placements.values())
     zones.set(placement.zone, (zones.get(placement.zone) ?? 0) + 1);
-  // A gang is placed anew only when nothing of its last attempt can be left.
-  const gangMay = !gang || (job.placements.size === 0 && gang.phase !== 'suspended');
   const priority = context.urgencies.get(job.id);
   const waitedMs = wall - readyAt;
   return {
@@ -207,12 +206,7 @@
     priority: priority?.priority ?? spec.priority,
     readyAt,
     dueAt: priority?.dueAt ?? readyAt,
-    isBackfill:
-      spec.kind !== 'service' &&
-      spec.need.gpus === 0 &&
-      gpuBootMs !== null &&
-      !(priority?.isPressed ?? false) &&
-      waitedMs < gpuBootMs * BACKFILL_WAIT_BOOTS,
+    isBackfill: isBackfill(context, job, waitedMs),
     opportunisticTasks: tasksAtOnce(
       sources.settings,
       job,
@@ -221,18 +215,38 @@
       sources.quotas(),
     ),
     waitingTasks: sources.extensions.startableTasks(job),
-    // What waits of a job that fails everywhere takes nothing of its team's guarantee from the rest.
-    unfinishedTasks: job.failures.isSuspected
-      ? job.placements.size
-      : Math.min(spec.tasks - job.doneCount, sources.extensions.placementLimit(job.id)),
+    unfinishedTasks: unfinishedTasks(sources, job),
     tasksByZone: zones,
     avoidedMachines: job.failures.avoidedMachines(now),
     gang: gang ? { holdsGate: gang.holdsGate, suspensions: gang.suspensions } : null,
-    isAdmissible: gangMay && !job.isUnreadable && job.failures.retryAt <= now,
+    isAdmissible: isAdmissible(job, now),
     isLastResortRetry: job.failures.isSuspected,
   };
 }
 
+/** Whether work without GPUs still waits for room that others leave. */
+function isBackfill(
+  { gpuBootMs, urgencies }: SnapshotContext,
+  { id, spec }: Job,
+  waitedMs: number,
+): boolean {
+  if (spec.kind === 'service' || spec.need.gpus > 0 || gpuBootMs === null) return false;
+  const isPressed = urgencies.get(id)?.isPressed ?? false;
+  return !isPressed && waitedMs < gpuBootMs * BACKFILL_WAIT_BOOTS;
+}
+
+function isAdmissible(job: Job, now: number): boolean {
+  if (job.isUnreadable || job.failures.retryAt > now) return false;
+  // A gang is placed anew only when nothing of its last attempt can be left.
+  return !job.gang || (job.placements.size === 0 && job.gang.phase !== 'suspended');
+}
+
+/** What waits of a job that fails everywhere takes nothing of its team's guarantee from the rest. */
+function unfinishedTasks(sources: SnapshotSources, job: Job): number {
+  if (job.failures.isSuspected) return job.placements.size;
+  return Math.min(job.spec.tasks - job.doneCount, sources.extensions.placementLimit(job.id));
+}
+
 function teamViews(sources: SnapshotSources): Map<string, TeamView> {
   const use = teamUsage(sources.jobs.values());
   const teams = new Map<string, TeamView>();
@@ -262,7 +276,7 @@
   return list;
 }
 
-function victims({ sources, now, urgencies }: SnapshotContext): PreemptionCandidate[] {
+function preemptionCandidates({ sources, now, urgencies }: SnapshotContext): PreemptionCandidate[] {
   const list: PreemptionCandidate[] = [];
   for (const job of sources.jobs.values()) {
     if (job.spec.kind === 'service') continue;
@@ -288,7 +302,7 @@
   return list;
 }
 
-function movable(sources: SnapshotSources): ReplicaView[] {
+function movableReplicas(sources: SnapshotSources): ReplicaView[] {
   const list: ReplicaView[] = [];
   for (const job of openJobs(sources.jobs)) {
     if (job.spec.kind !== 'service') continue;
--- a/test/gang-gate.test.ts
+++ b/test/gang-gate.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { GangGate } from '../src/control/admission/gang-gate.js';
+import { GangGate, isGangJob } from '../src/control/admission/gang-gate.js';
 import { Job } from '../src/jobs/tracked-job.js';
 import { OPERATOR_DEFAULTS } from '../src/settings/operator.js';
 import { SPEC } from './fakes/samples.js';
@@ -102,10 +102,11 @@
 test('however often a gang is suspended, it does not wait for minutes beside free room', () => {
   const gate = new GangGate(OPERATOR_DEFAULTS);
   const job = new Job('req-1', { ...SPEC, kind: 'gang' }, 0, 1, 100);
+  assert.ok(isGangJob(job));
   const waits = Array.from({ length: 5 }, () => {
     gate.admit(job, 1000);
     gate.suspend(job, 1000);
-    return (job.gang!.suspendedUntil - 1000) / 1000;
+    return (job.gang.suspendedUntil - 1000) / 1000;
   });
   assert.deepEqual(waits, [30, 60, 60, 60, 60]);
 });
