--- a/src/control/admission/gang-gate.ts
+++ b/src/control/admission/gang-gate.ts
@@ -1,5 +1,12 @@
 /** Bookkeeping of the all-or-nothing gate; when its time runs out is decided in gang-timeouts.ts. */
-import type { GangState, Job } from '../../jobs/tracked-job.js';
+import {
+  markGangAdmitted,
+  markGangPlaced,
+  markGangSuspended,
+  requeueGang,
+  type GangState,
+} from '../../jobs/gang-phase.js';
+import type { Job } from '../../jobs/tracked-job.js';
 import type { OperatorSettings } from '../../settings/operator.js';
 
 /** A gang-scheduled job. */
@@ -25,11 +32,7 @@
 
   /** The gang holds the gate until it is ready; its time runs from here. */
   admit(job: GangJob, now: number): void {
-    const { gang } = job;
-    gang.phase = 'admitted';
-    gang.holdsGate = true;
-    gang.countedMs = 0;
-    gang.countedAt = now;
+    markGangAdmitted(job.gang, now);
     job.markDirty(0);
   }
 
@@ -39,11 +42,7 @@
    * else be stopped while it fetches. `bootMs`: the boot time that its timeout counts with.
    */
   onPlaced(job: GangJob, now: number, bootMs: number): void {
-    const { gang } = job;
-    if (gang.phase === 'admitted') gang.countedMs = Math.min(gang.countedMs, bootMs);
-    else gang.countedMs = 0;
-    gang.countedAt = now;
-    gang.phase = 'placed';
+    markGangPlaced(job.gang, now, bootMs);
     job.markDirty(0);
   }
 
@@ -60,19 +59,16 @@
       return;
     }
     if (gang.phase === 'placed' || gang.phase === 'started') {
-      gang.phase = 'queued';
-      gang.holdsGate = false;
+      requeueGang(gang);
       job.markDirty(0);
     }
   }
 
   suspend(job: GangJob, now: number): void {
     const { gang } = job;
-    gang.phase = 'suspended';
-    gang.holdsGate = false;
     const doublings = Math.min(gang.suspensions, MAX_WAIT_DOUBLINGS);
-    gang.suspendedUntil = now + this.operatorSettings.gate.returnSeconds * 1000 * 2 ** doublings;
-    gang.suspensions++;
+    const waitMs = this.operatorSettings.gate.returnSeconds * 1000 * 2 ** doublings;
+    markGangSuspended(gang, now + waitMs);
     job.markDirty(0);
   }
 }
--- a/src/control/admission/gang-timeouts.ts
+++ b/src/control/admission/gang-timeouts.ts
@@ -3,6 +3,7 @@
  * could have served the gang, so it needs to see the fleet and the provisioner; the bookkeeping of
  * the gate itself is in gang-gate.ts.
  */
+import { requeueGang } from '../../jobs/gang-phase.js';
 import type { Runtime } from '@leverhatch/core/duty';
 import type { Fleet } from '../../fleet/fleet.js';
 import type { MachineProvisioner } from '../../fleet/machine-provisioner.js';
@@ -35,7 +36,7 @@
     const { gang } = job;
     if (job.phase !== 'open') return;
     if (gang.phase === 'suspended') {
-      if (now >= gang.suspendedUntil && job.placements.size === 0) gang.phase = 'queued';
+      if (now >= gang.suspendedUntil && job.placements.size === 0) requeueGang(gang);
       return;
     }
     if (gang.phase !== 'admitted' && gang.phase !== 'placed') return;
--- a/src/control/leader-parts.ts
+++ b/src/control/leader-parts.ts
@@ -12,6 +12,7 @@
 import { StopCommands, type WorkerTransports } from '../fleet/stop-commands.js';
 import type { MachineType } from '../fleet/resources.js';
 import type { Transport } from '../http/client.js';
+import { markRecorded } from '../jobs/placement-stage.js';
 import { JobRecordWriter } from '../jobs/job-record-writer.js';
 import type { Job } from '../jobs/tracked-job.js';
 import type { LayoutPolicy } from '../jobs/run-layout.js';
@@ -331,8 +332,7 @@
       {
         jobChanged: (job, version, record) => this.jobRecords.onJobRecord(job.id, version, record),
         startsRecorded: (placements) => {
-          for (const placement of placements)
-            if (placement.stage === 'recording') placement.stage = 'recorded';
+          placements.forEach(markRecorded);
           for (const placement of placements) this.longPoll.release(placement.machine);
         },
         exitsRecorded: (placements) => {
--- a/src/control/reconciliation/task-lifecycle.ts
+++ b/src/control/reconciliation/task-lifecycle.ts
@@ -1,6 +1,7 @@
 /** What the fleet's news of a task mean for its job. */
 import type { Runtime } from '@leverhatch/core/duty';
 import type { Fleet } from '../../fleet/fleet.js';
+import { markGangStarted } from '../../jobs/gang-phase.js';
 import type { JobRecordWriter } from '../../jobs/job-record-writer.js';
 import type { Job, Placement } from '../../jobs/tracked-job.js';
 import type { ExitReason } from '../../wire/worker-heartbeat.js';
@@ -31,9 +32,7 @@
         if (other.state === 'running' && !job.isDone(other.task)) ready++;
       }
       if (ready >= job.spec.tasks) {
-        job.gang.phase = 'started';
-        job.gang.holdsGate = false;
-        job.gang.suspensions = 0;
+        markGangStarted(job.gang);
         job.markDirty(0);
         this.context.recordWriter.flush(job);
         this.context.requestSchedule();
--- a/src/fleet/fleet.ts
+++ b/src/fleet/fleet.ts
@@ -1,5 +1,6 @@
 /** The fleet as the leader sees it: placements per machine, reconciled with heartbeats. */
 import { MAX_CLOCK_DRIFT } from '@leverhatch/core/clock';
+import { markDispatched, markReported } from '../jobs/placement-stage.js';
 import type { Placement } from '../jobs/tracked-job.js';
 import { dropOldest } from '../runtime/drop-oldest.js';
 import type {
@@ -186,7 +187,7 @@
       this.events.exited(placement, status.exitReason ?? 'error', status.checkpointed);
       return true;
     }
-    placement.stage = 'reported';
+    markReported(placement);
     const before = placement.state;
     placement.state = status.state;
     if (status.state !== before) {
@@ -234,7 +235,7 @@
   }
 
   private dispatch(machine: Machine, placement: Placement): WorkerCommand {
-    placement.stage = 'dispatched';
+    markDispatched(placement);
     machine.noteImage(placement.job.spec.image, placement.job.spec.imageGb, false);
     return startCommand(placement);
   }
