--- a/src/control/scheduling/scheduling-loop.ts
+++ b/src/control/scheduling/scheduling-loop.ts
@@ -1,11 +1,10 @@
-/** When scheduling cycles run, and how their plans are carried out. */
+/** When scheduling cycles run, and what a cycle consists of; plan-applier.ts carries out its plan. */
 import type { Runtime } from '@leverhatch/core/duty';
 import type { SuccessorPolicy } from '../../election/successor-policy.js';
 import type { Term } from '../../election/term.js';
 import type { ZoneDelegateWatch } from '../../election/zone-delegate.js';
 import type { Fleet } from '../../fleet/fleet.js';
 import type { MachineProvisioner } from '../../fleet/machine-provisioner.js';
-import type { JobRecordWriter } from '../../jobs/job-record-writer.js';
 import type { Store } from '../../state/store.js';
 import type { TermExtensions } from '../extensions/term-extensions.js';
 import type { WorkerLiveness, WorkerlessTerms } from '../leadership/worker-liveness.js';
@@ -13,17 +12,17 @@
 import type { MachineReconciler } from '../reconciliation/machine-reconciler.js';
 import type { TaskLifecycle } from '../reconciliation/task-lifecycle.js';
 import type { TaskStopper } from '../reconciliation/task-stopper.js';
-import type { Job, Placement } from '../../jobs/tracked-job.js';
 import type { SchedulingPlan, Snapshot } from '../../scheduler/scheduling-model.js';
 import { schedule } from '../../scheduler/scheduling-cycle.js';
-import { isGangJob, type GangGate } from '../admission/gang-gate.js';
+import { isGangJob } from '../admission/gang-gate.js';
 import type { GangTimeouts } from '../admission/gang-timeouts.js';
 import { CycleSizer } from './cycle-sizer.js';
 import type { QuotaWaitLog } from './quota-wait-log.js';
+import { PlanApplier, taskCount, type PlanApplierContext } from './plan-applier.js';
 import { takeSnapshot, type SnapshotSources } from './snapshot.js';
 
 /** What a `SchedulingLoop` works with. */
-export interface SchedulingLoopContext extends SnapshotSources {
+export interface SchedulingLoopContext extends SnapshotSources, PlanApplierContext {
   readonly runtime: Runtime;
   readonly store: Pick<Store, 'queuedWrites'>;
   readonly term: Pick<Term, 'isActive' | 'holdsLease' | 'startedAt' | 'signal'>;
@@ -32,11 +31,9 @@
   readonly provisioner: MachineProvisioner;
   readonly reconciler: MachineReconciler;
   readonly extensions: TermExtensions;
-  readonly gangGate: Pick<GangGate, 'admit' | 'onPlaced'>;
   readonly gangTimeouts: Pick<GangTimeouts, 'check' | 'bootMs'>;
   readonly taskLifecycle: Pick<TaskLifecycle, 'reviewFailures'>;
   readonly taskStopper: TaskStopper;
-  readonly recordWriter: Pick<JobRecordWriter, 'flush'>;
   readonly machineLivenessLog: Pick<MachineLivenessLog, 'observe'>;
   readonly quotaWaitLog: Pick<QuotaWaitLog, 'observe'>;
   readonly workerLiveness: Pick<WorkerLiveness, 'hasTimedOut' | 'restartTimeout'>;
@@ -51,16 +48,6 @@
   resign(): void;
 }
 
-/** A plan names a job, task or machine that the leader no longer has: snapshot and state disagree. */
-export class StalePlanError extends Error {
-  constructor(
-    readonly kind: 'job' | 'task' | 'machine' | 'gang',
-    readonly subject: string,
-  ) {
-    super(`the plan names an unknown ${kind}: ${subject}`);
-  }
-}
-
 /** Scheduling cycles: what starts, what makes way, what is rented and given back. */
 export class SchedulingLoop {
   private isRequested = true;
@@ -70,7 +57,11 @@
 
   private readonly cycleSizer = new CycleSizer(() => this.context.leaderLeaseMs);
 
-  constructor(private readonly context: SchedulingLoopContext) {}
+  private readonly planApplier: PlanApplier;
+
+  constructor(private readonly context: SchedulingLoopContext) {
+    this.planApplier = new PlanApplier(context);
+  }
 
   /** Something changed that the next scheduling cycle should see. */
   request(): void {
@@ -157,7 +148,7 @@
       result.idleMachines = [];
       result.drainableMachines = [];
     }
-    this.applyPlan(result, now, settled && this.context.hasListedMachines());
+    this.planApplier.apply(result, now, settled && this.context.hasListedMachines());
     this.context.extensions.afterSchedulingCycle(result.quotaLimited);
     this.cycleSizer.recordDuration(this.context.runtime.clock.now() - plannedAt);
     this.logCycle(snapshot, result, this.context.runtime.clock.now() - now);
@@ -233,86 +224,4 @@
         this.context.reconciler.release(machine);
     }
   }
-
-  private applyPlan(result: SchedulingPlan, now: number, mayScaleOut: boolean): void {
-    const touched = new Set<Job>();
-    for (const start of result.starts) {
-      const job = this.jobOf(start.job);
-      // Such a job is in no snapshot; should it ever get here, its tasks still must not start.
-      if (job.readyAt === null) continue;
-      this.place(job, start.assignments, now);
-      touched.add(job);
-    }
-    if (result.admittedGang !== null) {
-      const job = this.jobOf(result.admittedGang);
-      if (!isGangJob(job)) throw new StalePlanError('gang', job.id);
-      this.context.gangGate.admit(job, now);
-      touched.add(job);
-    }
-    for (const { job, task } of result.stops) {
-      const placement = this.context.jobs.get(job)?.placements.get(task);
-      if (placement)
-        this.context.taskStopper.stop(
-          placement,
-          this.context.taskStopper.preemptionGraceMs(placement.job),
-        );
-    }
-    for (const job of touched) this.context.recordWriter.flush(job);
-    if (!mayScaleOut) return;
-    for (const rent of result.scaleOut) this.context.provisioner.provision(rent);
-    this.context.reconciler.scaleIn(result, now);
-  }
-
-  private jobOf(id: string): Job {
-    const job = this.context.jobs.get(id);
-    if (!job) throw new StalePlanError('job', id);
-    return job;
-  }
-
-  private place(job: Job, on: { machine: string; count: number }[], now: number): void {
-    const tasks = job.waitingTasks(taskCount(on));
-    job.attempt++;
-    let next = 0;
-    for (const { machine, count } of on) {
-      const host = this.context.fleet.machines.get(machine);
-      if (!host) throw new StalePlanError('machine', machine);
-      for (let i = 0; i < count; i++) {
-        const task = tasks[next++];
-        if (task === undefined) throw new StalePlanError('task', job.id);
-        const placement: Placement = {
-          job,
-          task,
-          attempt: job.attempt,
-          machine,
-          agentEpoch: host.agentEpoch,
-          zone: host.zone,
-          stage: 'recording',
-          state: null,
-          placedAt: now,
-          runningSince: null,
-          stop: null,
-        };
-        job.placements.set(task, placement);
-        this.context.fleet.addPlacement(placement, now);
-        job.markDirty(task);
-      }
-    }
-    const { clock, log } = this.context.runtime;
-    log.debug(
-      {
-        job: job.id,
-        class: job.spec.jobClass,
-        attempt: job.attempt,
-        waitedMs: Math.round(clock.wall() - (job.readyAt ?? job.submittedAt)),
-        on,
-      },
-      'placed',
-    );
-    if (isGangJob(job))
-      this.context.gangGate.onPlaced(job, now, this.context.gangTimeouts.bootMs(job));
-  }
-}
-
-function taskCount(assignments: readonly { count: number }[]): number {
-  return assignments.reduce((sum, { count }) => sum + count, 0);
 }
--- a/src/control/scheduling/snapshot.ts
+++ b/src/control/scheduling/snapshot.ts
@@ -1,4 +1,7 @@
-/** What the leader knows, as the scheduler sees it in one cycle. */
+/**
+ * What the leader knows, as the scheduler sees it in one cycle. Above 300 lines because each part of
+ * the snapshot is a small function over the same sources.
+ */
 import type { Runtime } from '@leverhatch/core/duty';
 import type { Fleet } from '../../fleet/fleet.js';
 import type { MachineProvisioner } from '../../fleet/machine-provisioner.js';
