--- a/src/control/controller-services.ts
+++ b/src/control/controller-services.ts
@@ -160,15 +160,15 @@
   }
 
   private createElection(): LeaderElection {
-    return new LeaderElection(
-      this.store,
-      this.dependencies.peerTransport,
-      this.runtime,
-      this.settings.member,
-      this.leaderLeaseMs,
-      this.successorPolicy,
-      (peer) => this.membership.readsFrames(peer, REINSTATEMENT_VERSION),
-    );
+    return new LeaderElection({
+      store: this.store,
+      peerTransport: this.dependencies.peerTransport,
+      runtime: this.runtime,
+      member: this.settings.member,
+      leaderLeaseMs: this.leaderLeaseMs,
+      successorPolicy: this.successorPolicy,
+      supportsReinstatement: (peer) => this.membership.readsFrames(peer, REINSTATEMENT_VERSION),
+    });
   }
 
   private createExtensions(): Extension[] {
--- a/src/control/reconciliation/task-lifecycle.ts
+++ b/src/control/reconciliation/task-lifecycle.ts
@@ -63,8 +63,8 @@
         task: `${job.id}/${placement.task}`,
         attempt: placement.attempt,
         machine: placement.machine,
-        why: exitReason,
-        saved: checkpointed,
+        exitReason,
+        checkpointed,
       },
       'task ended',
     );
--- a/src/election/leader-election.ts
+++ b/src/election/leader-election.ts
@@ -90,6 +90,20 @@
   }
 }
 
+/** What an election rests on. */
+export interface LeaderElectionOptions {
+  store: Store;
+  peerTransport: PeerTransport;
+  runtime: Runtime;
+  /** The name of this controller. */
+  member: string;
+  /** How long the leader lease lasts, in milliseconds. */
+  leaderLeaseMs: number;
+  successorPolicy: SuccessorPolicy;
+  /** Whether a controller is known to understand requests for reinstatement. */
+  supportsReinstatement(peer: string): boolean;
+}
+
 /** Holds the leader key or campaigns for it, for as long as it runs. */
 export class LeaderElection {
   readonly role = new BehaviorSubject<Role>({ kind: 'follower', leader: null, fencingToken: 0 });
@@ -105,21 +119,25 @@
    */
   private lastReadToken: number | null = null;
 
-  constructor(
-    private readonly store: Store,
-    private readonly peerTransport: PeerTransport,
-    private readonly runtime: Runtime,
-    private readonly member: string,
-    private readonly leaderLeaseMs: number,
-    private readonly succession: SuccessorPolicy,
-    /** Whether a controller is known to understand requests for reinstatement. */
-    supportsReinstatement: (peer: string) => boolean,
-  ) {
-    this.extensionVote = new LeaseExtensionVote(peerTransport, runtime, {
+  private readonly store: Store;
+  private readonly peerTransport: PeerTransport;
+  private readonly runtime: Runtime;
+  private readonly member: string;
+  private readonly leaderLeaseMs: number;
+  private readonly successorPolicy: SuccessorPolicy;
+
+  constructor(options: LeaderElectionOptions) {
+    this.store = options.store;
+    this.peerTransport = options.peerTransport;
+    this.runtime = options.runtime;
+    this.member = options.member;
+    this.leaderLeaseMs = options.leaderLeaseMs;
+    this.successorPolicy = options.successorPolicy;
+    this.extensionVote = new LeaseExtensionVote(options.peerTransport, options.runtime, {
       mayBeLeader: () => this.role.value.kind === 'leader' || this.isCampaigning,
       isStoreAvailable: () => this.isStoreAvailable(),
       isLatestKnownToken: (fencingToken) => this.lastReadToken === fencingToken,
-      supportsReinstatement,
+      supportsReinstatement: (peer) => options.supportsReinstatement(peer),
     });
   }
 
@@ -229,8 +247,8 @@
     );
     const units =
       YOUNGER_PEER_DELAY * Number(isYoungerKnown) +
-      NO_BACKUP_DELAY * Number(this.succession.shouldYield(lastLeader)) +
-      NO_ZONE_BACKUP_DELAY * Number(this.succession.shouldYieldAcrossZones(lastLeader));
+      NO_BACKUP_DELAY * Number(this.successorPolicy.shouldYield(lastLeader)) +
+      NO_ZONE_BACKUP_DELAY * Number(this.successorPolicy.shouldYieldAcrossZones(lastLeader));
     if (units === 0) return;
     await clock.sleep((units * this.leaderLeaseMs) / CAMPAIGN_DELAY_UNITS_PER_LEASE, signal);
   }
