--- a/src/control/leader.ts
+++ b/src/control/leader.ts
@@ -1,72 +1,72 @@
-import { ZoneDelegateWatch, zoneDelegateRightMs } from '../election/zone-delegate.js';
-import type { Succession } from '../election/succession.js';
+import { ZoneDelegateWatch, zoneDelegationMs } from '../election/zone-delegate.js';
+import type { SuccessorPolicy } from '../election/successor-policy.js';
 import type { Term } from '../election/term.js';
-import type { Catalogue } from '../fleet/catalogue.js';
+import type { MachineTypeCatalog } from '../fleet/machine-type-catalog.js';
 import { Fleet } from '../fleet/fleet.js';
-import { Rentals } from '../fleet/rentals.js';
-import { StopCommands, type Callers } from '../fleet/stop-commands.js';
-import type { MachineType } from '../fleet/types.js';
+import { MachineProvisioner } from '../fleet/machine-provisioner.js';
+import { StopCommands, type WorkerTransports } from '../fleet/stop-commands.js';
+import type { MachineType } from '../fleet/resources.js';
 import type { Transport } from '../http/client.js';
-import type { Counts } from '../jobs/job-api.js';
-import { Ledger } from '../jobs/ledger.js';
+import type { TaskCounts } from '../jobs/job-api.js';
+import { JobRecordWriter } from '../jobs/job-record-writer.js';
 import type { Job } from '../jobs/tracked-job.js';
 import type { LayoutPolicy } from '../jobs/run-layout.js';
 import { RunRewriter } from '../jobs/run-rewriter.js';
 import { RECORD_FORMATS, type Membership } from '../membership/membership.js';
-import { duty, type Runtime } from '@leverhatch/core/duty';
+import { supervise, type Runtime } from '@leverhatch/core/duty';
 import type { Settings } from '../settings/deploy.js';
-import type { Operator } from '../settings/operator.js';
+import type { OperatorSettings } from '../settings/operator.js';
 import type { Store } from '../state/store.js';
-import type { Order, Report } from '../wire/report.js';
+import type { WorkerCommand, WorkerHeartbeat } from '../wire/worker-heartbeat.js';
 import type { CancellationQuery } from '../peer/cancellation-query.js';
-import { CancellationView, cancellationViewLimitMs } from './cancellation-view.js';
-import { DependencyTracker } from './dependency-tracker.js';
-import { ExpectedDemand } from './expected-demand.js';
-import { DecisionRounds } from './decision-rounds.js';
-import type { Extension, TeamAmounts } from './extension.js';
-import { GangGate } from './gang-gate.js';
-import { JobRecords } from './job-records.js';
-import { LongPoll } from './long-poll.js';
-import { MachineReconciler } from './machine-reconciler.js';
-import { longestHoldMs, ReportHandler } from './report-handler.js';
-import { SilentMachines } from './silent-machines.js';
-import { TaskProgress } from './task-progress.js';
-import { TaskStops } from './task-stops.js';
-import { TeamLimits } from './team-limits.js';
-import { TermExtensions } from './term-extensions.js';
-import { UnreadRecords, type UnreadTerms } from './unread-records.js';
-import { WorkerSilence, type SilentTerms } from './worker-silence.js';
+import { CancellationView, cancellationViewLimitMs } from './partition/cancellation-view.js';
+import { DependencyTracker } from './dependencies/dependency-tracker.js';
+import { ExpectedDemand } from './scheduling/expected-demand.js';
+import { SchedulingLoop } from './scheduling/scheduling-loop.js';
+import type { Extension, TeamQuotaMap } from './extensions/extension.js';
+import { GangGate } from './admission/gang-gate.js';
+import { JobRecordWatcher } from './reconciliation/job-record-watcher.js';
+import { LongPoll } from './reconciliation/long-poll.js';
+import { MachineReconciler } from './reconciliation/machine-reconciler.js';
+import { longestHoldMs, HeartbeatHandler } from './reconciliation/heartbeat-handler.js';
+import { MachineLivenessLog } from './reconciliation/machine-liveness-log.js';
+import { TaskLifecycle } from './reconciliation/task-lifecycle.js';
+import { TaskStopper } from './reconciliation/task-stopper.js';
+import { QuotaWaitLog } from './scheduling/quota-wait-log.js';
+import { TermExtensions } from './extensions/term-extensions.js';
+import { RecordReadMonitor, type UnreadableTerms } from './leadership/record-read-monitor.js';
+import { WorkerLiveness, type WorkerlessTerms } from './leadership/worker-liveness.js';
 
-export interface LeaderParts {
+export interface LeaderDependencies {
   store: Store;
   cloud: Transport;
-  workers: Callers;
-  catalogue: Catalogue;
+  workers: WorkerTransports;
+  machineTypes: MachineTypeCatalog;
   membership: Membership;
   settings: Settings;
-  operator: Operator;
+  operator: OperatorSettings;
   runtime: Runtime;
   cloudTimeoutMs: number;
   cancellationQuery: CancellationQuery;
-  silentTerms: SilentTerms;
-  succession: Succession;
-  unreadTerms: UnreadTerms;
+  workerlessTerms: WorkerlessTerms;
+  successorPolicy: SuccessorPolicy;
+  unreadableTerms: UnreadableTerms;
   /** Whether the store serves another controller, which could lead. */
-  othersServed(): boolean;
+  isStoreAvailableToOthers(): boolean;
   /** Whom workers should report to rather than to this leader; null: nobody. */
-  betterLeader(): string | null;
+  preferredSuccessor(): string | null;
   /** Optional parts that are switched on. */
   extensions: readonly Extension[];
 }
 
 /** After what share of the leader lease without news of the job records the others are asked. */
-const SILENT_STORE_SHARE = 0.5;
+const UNRESPONSIVE_STORE_RATIO = 0.5;
 
 /** How many workers' leases a term lasts at least before office is handed over only to be safer. */
 const SETTLED_LEASES = 2;
 
 /** Prices move by up to a third and slowly; a call each half minute does not weigh on any cloud. */
-const PRICES_MS = 30_000;
+const PRICE_REFRESH_MS = 30_000;
 
 /**
  * All that a controller does while it leads. It lives for one term and is thrown away after it. This
@@ -75,101 +75,114 @@
 export class Leader {
   readonly jobs = new Map<string, Job>();
   readonly fleet: Fleet;
-  readonly rentals: Rentals;
-  readonly gate: GangGate;
+  readonly provisioner: MachineProvisioner;
+  readonly gangGate: GangGate;
   readonly reconciler: MachineReconciler;
   /** How long the leader lease lasts. */
-  readonly lifetimeMs: number;
-  readonly view: CancellationView;
-  readonly silence: WorkerSilence;
-  readonly unreadRecords: UnreadRecords;
-  readonly silentMachines: SilentMachines;
-  readonly teamLimits: TeamLimits;
+  readonly leaderLeaseMs: number;
+  readonly cancellationView: CancellationView;
+  readonly workerLiveness: WorkerLiveness;
+  readonly recordReadMonitor: RecordReadMonitor;
+  readonly machineLivenessLog: MachineLivenessLog;
+  readonly quotaWaitLog: QuotaWaitLog;
   /** Optional parts that are switched on, in this term. */
   readonly extensions: TermExtensions;
-  readonly ledger: Ledger;
+  readonly recordWriter: JobRecordWriter;
   private readonly rewriter: RunRewriter;
   readonly zoneDelegates: ZoneDelegateWatch;
   readonly longPoll: LongPoll;
   readonly stopCommands: StopCommands;
-  readonly stops: TaskStops;
-  readonly records = new JobRecords(this);
+  readonly taskStopper: TaskStopper;
+  readonly jobRecords = new JobRecordWatcher(this);
   readonly dependencies = new DependencyTracker(this);
-  readonly reports = new ReportHandler(this);
-  readonly progress = new TaskProgress(this);
-  readonly rounds = new DecisionRounds(this);
+  readonly heartbeatHandler = new HeartbeatHandler(this);
+  readonly taskLifecycle = new TaskLifecycle(this);
+  readonly schedulingLoop = new SchedulingLoop(this);
   readonly expectedDemand: ExpectedDemand;
   /** True once the cloud has listed its machines in this term. */
-  listedOnce = false;
+  hasListedMachines = false;
 
   constructor(
-    readonly parts: LeaderParts,
+    readonly context: LeaderDependencies,
     readonly term: Term,
     /** `successor`: whom the workers are sent to until the next leader is known. */
     readonly resign: (successor?: string) => void,
   ) {
-    const { settings, runtime, store } = parts;
-    this.lifetimeMs = settings.workers.leaseMs * parts.operator.election.lifetime;
-    this.view = new CancellationView(cancellationViewLimitMs(settings.workers, this.lifetimeMs));
-    this.silence = new WorkerSilence(term.startedAt, settings.workers, parts.silentTerms);
-    this.unreadRecords = new UnreadRecords(term.startedAt, this.lifetimeMs, parts.unreadTerms);
+    const { settings, runtime, store } = context;
+    this.leaderLeaseMs = settings.workers.leaseMs * context.operator.election.lifetime;
+    this.cancellationView = new CancellationView(
+      cancellationViewLimitMs(settings.workers, this.leaderLeaseMs),
+    );
+    this.workerLiveness = new WorkerLiveness(
+      term.startedAt,
+      settings.workers,
+      context.workerlessTerms,
+    );
+    this.recordReadMonitor = new RecordReadMonitor(
+      term.startedAt,
+      this.leaderLeaseMs,
+      context.unreadableTerms,
+    );
     this.zoneDelegates = new ZoneDelegateWatch(
       store,
       runtime,
-      zoneDelegateRightMs(this.lifetimeMs),
+      zoneDelegationMs(this.leaderLeaseMs),
     );
     this.fleet = new Fleet(
       {
-        running: (p) => this.progress.onRunning(p),
-        exited: (p, why, saved) => this.progress.onExited(p, why, saved),
-        lost: (p) => this.progress.onLost(p),
+        running: (placement) => this.taskLifecycle.onRunning(placement),
+        exited: (placement, exitReason, checkpointed) =>
+          this.taskLifecycle.onExited(placement, exitReason, checkpointed),
+        lost: (placement) => this.taskLifecycle.onLost(placement),
       },
-      term.token,
+      term.fencingToken,
       term.startedAt,
       settings.workers.leaseMs,
       this.zoneDelegates,
     );
-    this.silentMachines = new SilentMachines(runtime.log, settings.workers.leaseMs, (m, now) =>
-      this.fleet.leaseRanOut(m, now),
+    this.machineLivenessLog = new MachineLivenessLog(
+      runtime.log,
+      settings.workers.leaseMs,
+      (machine, now) => this.fleet.isLeaseExpired(machine, now),
     );
-    this.teamLimits = new TeamLimits(runtime.log, settings.workers.reportMs);
-    this.longPoll = new LongPoll(runtime, longestHoldMs(settings.workers.reportMs));
+    this.quotaWaitLog = new QuotaWaitLog(runtime.log, settings.workers.heartbeatIntervalMs);
+    this.longPoll = new LongPoll(runtime, longestHoldMs(settings.workers.heartbeatIntervalMs));
     this.stopCommands = new StopCommands(
-      parts.workers,
+      context.workers,
       runtime,
       term,
-      settings.workers.reportMs,
+      settings.workers.heartbeatIntervalMs,
       settings.machine.sockets,
-      (r) => {
-        this.fleet.direct(r);
+      (heartbeat) => {
+        this.fleet.applyDirectResponse(heartbeat);
       },
     );
-    this.stops = this.createStops();
+    this.taskStopper = this.createTaskStopper();
     this.extensions = this.beginExtensions();
     const layouts = this.layoutPolicy();
-    this.ledger = this.createLedger(layouts);
-    this.rewriter = new RunRewriter(store, runtime, this.ledger, this.jobs, layouts);
-    this.rentals = this.createRentals();
+    this.recordWriter = this.createRecordWriter(layouts);
+    this.rewriter = new RunRewriter(store, runtime, this.recordWriter, this.jobs, layouts);
+    this.provisioner = this.createProvisioner();
     this.expectedDemand = new ExpectedDemand(this.jobs, settings);
-    this.gate = new GangGate(parts.operator);
+    this.gangGate = new GangGate(context.operator);
     this.reconciler = new MachineReconciler(
       this.fleet,
-      this.rentals,
+      this.provisioner,
       settings,
-      parts.operator,
-      () => this.types,
+      context.operator,
+      () => this.machineTypes,
       term.startedAt,
     );
   }
 
-  private createStops(): TaskStops {
-    const { settings, runtime } = this.parts;
+  private createTaskStopper(): TaskStopper {
+    const { settings, runtime } = this.context;
     const { fleet, longPoll, stopCommands } = this;
-    return new TaskStops(fleet, longPoll, stopCommands, settings.workers, runtime.clock);
+    return new TaskStopper(fleet, longPoll, stopCommands, settings.workers, runtime.clock);
   }
 
   private layoutPolicy(): LayoutPolicy {
-    const { membership, store } = this.parts;
+    const { membership, store } = this.context;
     return {
       rangesReadable: () => membership.allRead(RECORD_FORMATS.rangedRuns),
       leftoversKnown: () => membership.allRead(RECORD_FORMATS.leftoverRuns),
@@ -177,11 +190,11 @@
     };
   }
 
-  private createLedger(layouts: LayoutPolicy): Ledger {
-    const { store, runtime, settings } = this.parts;
+  private createRecordWriter(layouts: LayoutPolicy): JobRecordWriter {
+    const { store, runtime, settings } = this.context;
     const { term } = this;
     const endsWaitMs = settings.workers.leaseMs;
-    return new Ledger(
+    return new JobRecordWriter(
       store,
       runtime,
       term,
@@ -189,21 +202,22 @@
       layouts,
       endsWaitMs,
       {
-        jobChanged: (job, version, record) => this.records.onJobRecord(job.id, version, record),
-        recorded: (placements) => {
-          for (const p of placements) if (p.stage === 'recording') p.stage = 'recorded';
-          for (const p of placements) this.longPoll.release(p.machine);
+        jobChanged: (job, version, record) => this.jobRecords.onJobRecord(job.id, version, record),
+        startsRecorded: (placements) => {
+          for (const placement of placements)
+            if (placement.stage === 'recording') placement.stage = 'recorded';
+          for (const placement of placements) this.longPoll.release(placement.machine);
         },
-        forgotten: (placements) => {
-          for (const p of placements) this.fleet.recorded(p);
+        exitsRecorded: (placements) => {
+          for (const placement of placements) this.fleet.acknowledgeExit(placement);
         },
         contradiction: (what) => {
           runtime.log.error({ what }, 'giving up leadership');
           term.end();
         },
-        ended: (job, phase) => this.dependencies.ended(job.id, phase, job.doneAt),
-        settled: (job) => {
-          job.failures.ended();
+        endRecorded: (job, phase) => this.dependencies.onJobEnded(job.id, phase, job.doneAt),
+        archived: (job) => {
+          job.failures.close();
           this.jobs.delete(job.id);
         },
       },
@@ -211,117 +225,127 @@
     );
   }
 
-  private createRentals(): Rentals {
-    const { cloud, store, runtime, settings, cloudTimeoutMs } = this.parts;
-    return new Rentals(cloud, store, runtime, settings, this.term, cloudTimeoutMs, {
-      rented: (ids, rent) => {
+  private createProvisioner(): MachineProvisioner {
+    const { cloud, store, runtime, settings, cloudTimeoutMs } = this.context;
+    return new MachineProvisioner(cloud, store, runtime, settings, this.term, cloudTimeoutMs, {
+      provisioned: (ids, rent) => {
         for (const id of ids) {
-          const m = this.fleet.machine(id, runtime.clock.now());
-          m.type ??= this.types.get(rent.type) ?? null;
-          m.zone = rent.zone;
-          m.spot = rent.spot;
-          m.listedState ??= 'booting';
+          const machine = this.fleet.getOrCreate(id, runtime.clock.now());
+          machine.type ??= this.machineTypes.get(rent.type) ?? null;
+          machine.zone = rent.zone;
+          machine.spot = rent.spot;
+          machine.cloudState ??= 'booting';
         }
-        this.touch();
+        this.requestSchedule();
       },
       listed: (machines) => {
-        this.reconciler.listed(machines, this.now);
-        this.touch();
+        this.reconciler.applyListing(machines, this.now);
+        this.requestSchedule();
       },
-      returned: (ids) => {
-        this.reconciler.returned(ids, this.now);
-        this.touch();
+      released: (ids) => {
+        this.reconciler.confirmReleased(ids, this.now);
+        this.requestSchedule();
       },
     });
   }
 
   private beginExtensions(): TermExtensions {
-    const { runtime, settings, extensions } = this.parts;
+    const { runtime, settings, extensions } = this.context;
     return new TermExtensions(extensions, {
-      ...{ runtime, settings, term: this.term, jobs: this.jobs, stops: this.stops },
+      ...{ runtime, settings, term: this.term, jobs: this.jobs, taskStopper: this.taskStopper },
       now: () => this.now,
-      ready: () => this.records.ready,
+      isReady: () => this.jobRecords.isRecovered,
       machine: (id) => this.fleet.machines.get(id),
-      isUsable: (id) => {
-        const m = this.fleet.machines.get(id);
-        return m !== undefined && this.fleet.isUsable(m, this.now);
+      isSchedulable: (id) => {
+        const machine = this.fleet.machines.get(id);
+        return machine !== undefined && this.fleet.isSchedulable(machine, this.now);
       },
-      startable: (job) => this.extensions.startable(job),
-      touch: () => this.touch(),
+      startableTasks: (job) => this.extensions.startableTasks(job),
+      requestSchedule: () => this.requestSchedule(),
     });
   }
 
   get now(): number {
-    return this.parts.runtime.clock.now();
+    return this.context.runtime.clock.now();
   }
 
   /** Whether a worker's lease may be renewed now. */
-  mayAnswer(now: number): boolean {
-    return this.term.active(now) && this.view.mayRenew(now);
+  mayRenewWorkerLeases(now: number): boolean {
+    return this.term.isActive(now) && this.cancellationView.mayRenewLeases(now);
   }
 
   /** How soon a request that failed is made again. */
   get retryMs(): number {
-    return this.parts.settings.workers.leaseMs / 50;
+    return this.context.settings.workers.leaseMs / 50;
   }
 
-  get types(): ReadonlyMap<string, MachineType> {
-    return this.parts.catalogue.types.value ?? new Map();
+  get machineTypes(): ReadonlyMap<string, MachineType> {
+    return this.context.machineTypes.types.value ?? new Map();
   }
 
   /** What each team may have now. */
-  teams(): TeamAmounts {
-    return this.extensions.teams() ?? this.parts.settings.teams;
+  quotas(): TeamQuotaMap {
+    return this.extensions.quotas() ?? this.context.settings.teams;
   }
 
   /** Something changed that the next round of decisions should see. */
-  touch(): void {
-    this.rounds.touch();
+  requestSchedule(): void {
+    this.schedulingLoop.request();
   }
 
   async run(): Promise<void> {
-    const { runtime } = this.parts;
+    const { runtime } = this.context;
     const { signal } = this.term;
-    const restartMs = this.parts.settings.workers.reportMs;
-    const office = duty(runtime, 'office', signal, restartMs, (s) => this.watchOffice(s));
-    await this.records.recover(signal);
+    const restartMs = this.context.settings.workers.heartbeatIntervalMs;
+    const office = supervise(runtime, 'office', signal, restartMs, (signal) =>
+      this.watchLeadership(signal),
+    );
+    await this.jobRecords.recover(signal);
     if (signal.aborted) return;
     await Promise.all([
       office,
-      duty(runtime, 'held reports', signal, restartMs, (s) => this.longPoll.run(s)),
-      duty(runtime, 'follow jobs', signal, restartMs, (s) => this.records.follow(s)),
-      duty(runtime, 'cancellation query', signal, restartMs, (s) => this.queryCancellations(s)),
-      duty(runtime, 'rounds', signal, restartMs, (s) => this.rounds.run(s)),
-      duty(runtime, 'rewrite runs', signal, restartMs, (s) => this.rewriter.run(restartMs, s)),
-      duty(runtime, 'leftover records', signal, restartMs, (s) =>
-        this.ledger.leftovers.run(restartMs / 4, s),
+      supervise(runtime, 'held reports', signal, restartMs, (signal) => this.longPoll.run(signal)),
+      supervise(runtime, 'follow jobs', signal, restartMs, (signal) =>
+        this.jobRecords.watch(signal),
+      ),
+      supervise(runtime, 'cancellation query', signal, restartMs, (signal) =>
+        this.queryCancellations(signal),
+      ),
+      supervise(runtime, 'rounds', signal, restartMs, (signal) => this.schedulingLoop.run(signal)),
+      supervise(runtime, 'rewrite runs', signal, restartMs, (signal) =>
+        this.rewriter.run(restartMs, signal),
       ),
-      duty(runtime, 'machine list', signal, restartMs, (s) => this.listMachines(s)),
-      duty(runtime, 'prices', signal, restartMs, (s) => this.refreshPrices(s)),
+      supervise(runtime, 'leftover records', signal, restartMs, (signal) =>
+        this.recordWriter.leftovers.run(restartMs / 4, signal),
+      ),
+      supervise(runtime, 'machine list', signal, restartMs, (signal) => this.listMachines(signal)),
+      supervise(runtime, 'prices', signal, restartMs, (signal) => this.refreshPrices(signal)),
       this.extensions.run(signal),
     ]);
   }
 
   /** What to answer a worker's report; null if its lease must not be renewed now. */
-  report(r: Report): Order[] | null | Promise<Order[] | null> {
-    return this.reports.report(r);
+  receiveHeartbeat(
+    heartbeat: WorkerHeartbeat,
+  ): WorkerCommand[] | null | Promise<WorkerCommand[] | null> {
+    return this.heartbeatHandler.receive(heartbeat);
   }
 
   /** A user was told that the job is cancelled; the store's own news of it may take longer. */
   announceCancelled(id: string): void {
-    this.records.announceCancelled(id);
+    this.jobRecords.announceCancelled(id);
   }
 
-  counts(id: string): Counts | null {
+  progressOf(id: string): TaskCounts | null {
     const job = this.jobs.get(id);
-    return job ? { done: job.doneCount, running: job.running } : null;
+    return job ? { done: job.doneCount, running: job.runningCount } : null;
   }
 
-  allCounts(): (Counts & { id: string })[] {
-    const list: (Counts & { id: string })[] = [];
+  progressOfOpenJobs(): (TaskCounts & { id: string })[] {
+    const list: (TaskCounts & { id: string })[] = [];
     for (const job of this.jobs.values()) {
       if (job.phase === 'open')
-        list.push({ id: job.id, done: job.doneCount, running: job.running });
+        list.push({ id: job.id, done: job.doneCount, running: job.runningCount });
     }
     return list;
   }
@@ -331,70 +355,75 @@
    * their users know to be cancelled.
    */
   private async queryCancellations(signal: AbortSignal): Promise<void> {
-    const { clock } = this.parts.runtime;
+    const { clock } = this.context.runtime;
     while (!signal.aborted) {
-      const silent = this.view.ageMs(this.now) > this.lifetimeMs * SILENT_STORE_SHARE;
-      if (silent && this.term.active(this.now)) await this.collectCancellations();
-      await clock.sleep(this.lifetimeMs / 8, signal);
+      const silent =
+        this.cancellationView.ageMs(this.now) > this.leaderLeaseMs * UNRESPONSIVE_STORE_RATIO;
+      if (silent && this.term.isActive(this.now)) await this.collectCancellations();
+      await clock.sleep(this.leaderLeaseMs / 8, signal);
     }
   }
 
   private async collectCancellations(): Promise<void> {
-    const known = await this.parts.cancellationQuery.collect(
-      this.view.completeAsOf,
-      this.lifetimeMs / 8,
+    const known = await this.context.cancellationQuery.collect(
+      this.cancellationView.completeAsOf,
+      this.leaderLeaseMs / 8,
     );
-    this.parts.runtime.log.debug(
+    this.context.runtime.log.debug(
       { jobs: known?.cancelled.size ?? null },
       'asked for cancellations',
     );
     if (!known) return;
     for (const id of known.cancelled) this.announceCancelled(id);
-    this.view.completeAt(known.asOf);
+    this.cancellationView.completeAt(known.asOf);
   }
 
   /** Gives office up if another controller can do what this one cannot, or is better placed. */
-  private async watchOffice(signal: AbortSignal): Promise<void> {
-    const { runtime, othersServed, unreadTerms } = this.parts;
+  private async watchLeadership(signal: AbortSignal): Promise<void> {
+    const {
+      runtime,
+      isStoreAvailableToOthers: isStoreAvailableToOthers,
+      unreadableTerms: unreadableTerms,
+    } = this.context;
     while (!signal.aborted) {
-      const unread = this.term.leased(this.now) && this.unreadRecords.isTooLong(this.now);
-      if (unread && othersServed()) {
+      const unread = this.term.holdsLease(this.now) && this.recordReadMonitor.hasTimedOut(this.now);
+      if (unread && isStoreAvailableToOthers()) {
         runtime.log.warn({}, 'the records cannot be read, resigning');
-        unreadTerms.resigned();
+        unreadableTerms.recordResignation();
         this.resign();
       }
-      this.handOver();
-      await runtime.clock.sleep(this.lifetimeMs / 10, signal);
+      this.transferLeadership();
+      await runtime.clock.sleep(this.leaderLeaseMs / 10, signal);
     }
   }
 
   /** Hands office over where silent controllers would cost the workers their leases if this one fell silent. */
-  private handOver(): void {
-    const { settings, runtime } = this.parts;
+  private transferLeadership(): void {
+    const { settings, runtime } = this.context;
     const settled = this.now - this.term.startedAt > settings.workers.leaseMs * SETTLED_LEASES;
-    if (!settled || !this.records.ready || !this.term.leased(this.now)) return;
-    const successor = this.parts.betterLeader();
+    if (!settled || !this.jobRecords.isRecovered || !this.term.holdsLease(this.now)) return;
+    const successor = this.context.preferredSuccessor();
     if (successor === null) return;
     runtime.log.info({ successor }, 'handing over, the next controllers are silent');
     this.resign(successor);
   }
 
   private async listMachines(signal: AbortSignal): Promise<void> {
-    const { settings, runtime } = this.parts;
+    const { settings, runtime } = this.context;
     while (!signal.aborted) {
-      if (await this.rentals.list()) this.listedOnce = true;
+      if (await this.provisioner.listMachines()) this.hasListedMachines = true;
       await runtime.clock.sleep(
-        this.listedOnce ? settings.cloud.listLagMs : settings.cloud.listLagMs / 10,
+        this.hasListedMachines ? settings.cloud.listLagMs : settings.cloud.listLagMs / 10,
         signal,
       );
     }
   }
 
   private async refreshPrices(signal: AbortSignal): Promise<void> {
-    const { catalogue, runtime } = this.parts;
+    const { machineTypes: machineTypes, runtime } = this.context;
     while (!signal.aborted) {
-      await catalogue.ask(signal).catch(() => false);
-      await runtime.clock.sleep(PRICES_MS, signal);
+      await machineTypes.refresh(signal).catch(() => false);
+      await runtime.clock.sleep(PRICE_REFRESH_MS, signal);
     }
   }
 }
--- a/src/control/self-watch.ts
+++ b/src/control/leadership/self-monitor.ts
@@ -2,14 +2,14 @@
 import type { Logger } from '@leverhatch/core/log';
 
 /** A look that is late by more than this many intervals is reported. */
-const LATE_INTERVALS = 1;
+const STALL_INTERVALS = 1;
 
 /**
  * Logs what a controller notices of itself: that it stood still (it was frozen, or short of
  * processor time), and whether it tells the load balancer that it can serve users. It decides
  * nothing.
  */
-export class SelfWatch {
+export class SelfMonitor {
   private dueAt: number | null = null;
   private wasReady = false;
 
@@ -23,7 +23,7 @@
   observe(ready: boolean): void {
     const now = this.clock.now();
     const lateMs = this.dueAt === null ? 0 : now - this.dueAt;
-    if (lateMs > this.intervalMs * LATE_INTERVALS) {
+    if (lateMs > this.intervalMs * STALL_INTERVALS) {
       this.log.warn({ ms: Math.round(lateMs) }, 'stood still');
     }
     this.dueAt = now + this.intervalMs;
--- a/src/control/cancellation-view.ts
+++ b/src/control/partition/cancellation-view.ts
@@ -1,8 +1,8 @@
-import { DRIFT } from '@leverhatch/core/clock';
-import type { Settings } from '../settings/deploy.js';
+import { MAX_CLOCK_DRIFT } from '@leverhatch/core/clock';
+import type { Settings } from '../../settings/deploy.js';
 
 /** Timers fire in steps of one or a few milliseconds. */
-const TICK_MS = 10;
+const TIMER_RESOLUTION_MS = 10;
 
 /**
  * How old knowledge of users' cancellations may be when a worker's lease is renewed. A task whose
@@ -11,7 +11,10 @@
  * the lease no bound on renewals can keep that for a machine that hangs; there the floor holds.
  */
 export function cancellationViewLimitMs(workers: Settings['workers'], floorMs: number): number {
-  const limit = workers.cancelMs * (1 - DRIFT) - workers.leaseMs * (1 + DRIFT) - TICK_MS;
+  const limit =
+    workers.cancelMs * (1 - MAX_CLOCK_DRIFT) -
+    workers.leaseMs * (1 + MAX_CLOCK_DRIFT) -
+    TIMER_RESOLUTION_MS;
   return Math.max(limit, floorMs);
 }
 
@@ -38,7 +41,7 @@
   }
 
   /** Whether a worker's lease may be renewed now. */
-  mayRenew(now: number): boolean {
+  mayRenewLeases(now: number): boolean {
     return this.ageMs(now) < this.limitMs;
   }
 }
--- a/src/control/partitioned-workers.ts
+++ b/src/control/partition/partitioned-workers.ts
@@ -1,11 +1,11 @@
-import type { ZoneDelegate } from '../election/zone-delegate.js';
-import type { ReportOutcome } from '../http/workers.js';
-import type { JobPhase } from '../jobs/job.js';
+import type { ZoneDelegate } from '../../election/zone-delegate.js';
+import type { HeartbeatOutcome } from '../../http/heartbeat-reader.js';
+import type { JobPhase } from '../../jobs/job.js';
 import type { Clock } from '@leverhatch/core/clock';
-import type { Order, Report } from '../wire/report.js';
-import { dropOldest } from '../runtime/drop-oldest.js';
+import type { WorkerCommand, WorkerHeartbeat } from '../../wire/worker-heartbeat.js';
+import { dropOldest } from '../../runtime/drop-oldest.js';
 
-export interface PartitionedLimits {
+export interface PartitionOptions {
   /** How often a job is asked about again. */
   refreshMs: number;
   /** How old the knowledge of a job may be when the lease of a worker with its tasks is renewed. */
@@ -13,7 +13,7 @@
   /** How long an answer is kept back for what the store says; workers wait 4 s. */
   waitMs: number;
   /** Of so many jobs it is remembered whether they are cancelled; the store is asked about the others. */
-  mostJobs: number;
+  maxJobs: number;
 }
 
 /**
@@ -31,7 +31,7 @@
     private readonly zoneDelegate: ZoneDelegate,
     private readonly phaseOf: (job: string) => Promise<JobPhase | null>,
     private readonly clock: Clock,
-    private readonly limits: PartitionedLimits,
+    private readonly limits: PartitionOptions,
   ) {}
 
   /** The leader is within reach again: these workers go back to it. */
@@ -40,20 +40,32 @@
     this.cancelled.clear();
   }
 
-  async report(report: Report, token: number, leader: string | null): Promise<ReportOutcome> {
-    const jobs = new Set(report.tasks.filter((t) => t.state !== 'exited').map((t) => t.job));
+  async receiveHeartbeat(
+    heartbeat: WorkerHeartbeat,
+    fencingToken: number,
+    leader: string | null,
+  ): Promise<HeartbeatOutcome> {
+    const jobs = new Set(
+      heartbeat.tasks.filter((status) => status.state !== 'exited').map((status) => status.job),
+    );
     const learned = Promise.all([...jobs].map((job) => this.refresh(job)));
     const waited = new AbortController();
     if (!this.knowsAll(jobs)) {
       await Promise.race([learned, this.clock.sleep(this.limits.waitMs, waited.signal)]);
       waited.abort();
     }
-    const mayAnswer = await this.zoneDelegate.holds(token);
-    if (!mayAnswer || !this.knowsAll(jobs)) return { kind: 'elsewhere', leader };
-    const orders: Order[] = report.tasks
-      .filter((t) => t.state !== 'exited' && this.cancelled.has(t.job))
-      .map((t) => ({ op: 'stop', job: t.job, task: t.task, attempt: t.attempt, graceMs: 0 }));
-    return { kind: 'orders', token, orders };
+    const mayAnswer = await this.zoneDelegate.holds(fencingToken);
+    if (!mayAnswer || !this.knowsAll(jobs)) return { kind: 'redirect', leader };
+    const commands: WorkerCommand[] = heartbeat.tasks
+      .filter((status) => status.state !== 'exited' && this.cancelled.has(status.job))
+      .map((status) => ({
+        kind: 'stop',
+        job: status.job,
+        task: status.task,
+        attempt: status.attempt,
+        graceMs: 0,
+      }));
+    return { kind: 'commands', fencingToken, commands };
   }
 
   private knowsAll(jobs: Iterable<string>): boolean {
@@ -78,8 +90,8 @@
           if (phase === 'cancelled') this.cancelled.add(job);
           else this.uncancelledAsOf.set(job, askedAt);
           // Nothing is answered on what is dropped: it is asked for again first.
-          dropOldest(this.uncancelledAsOf, this.limits.mostJobs);
-          dropOldest(this.cancelled, this.limits.mostJobs);
+          dropOldest(this.uncancelledAsOf, this.limits.maxJobs);
+          dropOldest(this.cancelled, this.limits.maxJobs);
         })
         .catch(() => undefined)
         .finally(() => this.asking.delete(job));
--- a/src/control/job-records.ts
+++ b/src/control/reconciliation/job-record-watcher.ts
@@ -1,45 +1,45 @@
 import { setMaxListeners } from 'node:events';
-import { Job, type StoredRuns } from '../jobs/tracked-job.js';
-import { parseJob, tasksPerRange, tasksPerRecord, type JobRecord } from '../jobs/records.js';
-import { readRuns } from '../jobs/run-reader.js';
-import { RECORD_FORMATS } from '../membership/membership.js';
-import { MOST_CANCELLATIONS } from '../peer/frames.js';
-import { jobOfKey, jobOfRunKey, KEYS } from '../state/keys.js';
-import { HistoryLost, type Entry } from '../state/store.js';
-import type { Leader } from './leader.js';
+import { Job, type StoredRuns } from '../../jobs/tracked-job.js';
+import { parseJob, tasksPerRange, tasksPerRecord, type JobRecord } from '../../jobs/records.js';
+import { readRuns } from '../../jobs/run-reader.js';
+import { RECORD_FORMATS } from '../../membership/membership.js';
+import { MAX_CANCELLATIONS } from '../../peer/frames.js';
+import { jobOfKey, jobOfRunKey, KEYS } from '../../state/keys.js';
+import { RevisionCompactedError, type Entry } from '../../state/store.js';
+import type { Leader } from '../leader.js';
 
 /** For how long one request waits for changes, as a share of the leader lease. */
-const WATCH_SHARE = 0.25;
+const WATCH_RATIO = 0.25;
 
 /** Reads the records of earlier leaders at the start of a term, and follows the users' changes. */
-export class JobRecords {
-  private readonly read = new AbortController();
+export class JobRecordWatcher {
+  private readonly recoveredController = new AbortController();
   /** The revision of the store up to which changes of job records have been acted on. */
   private revision = 0;
   /** Jobs announced as cancelled before the records were read. */
-  private readonly announced = new Set<string>();
+  private readonly announcedCancellations = new Set<string>();
   /** Jobs with run records when those were read. */
   private withRuns: ReadonlySet<string> = new Set();
   /** Those of them of which the store held only the final state. */
-  private readonly over = new Set<string>();
+  private readonly endedJobs = new Set<string>();
 
   constructor(private readonly leader: Leader) {
     // Every report that waits for the records listens to it.
-    setMaxListeners(0, this.read.signal);
+    setMaxListeners(0, this.recoveredController.signal);
   }
 
   /** True once the records are read: before, no report is believed or answered. */
-  get ready(): boolean {
-    return this.read.signal.aborted;
+  get isRecovered(): boolean {
+    return this.recoveredController.signal.aborted;
   }
 
   /** Aborted once the records are read. */
-  get readSignal(): AbortSignal {
-    return this.read.signal;
+  get recoveredSignal(): AbortSignal {
+    return this.recoveredController.signal;
   }
 
   async recover(signal: AbortSignal): Promise<void> {
-    const { runtime } = this.leader.parts;
+    const { runtime } = this.leader.context;
     for (;;) {
       try {
         // Nobody but us writes run records while our leader key is there, so they may be read before the
@@ -47,28 +47,28 @@
         const runs = await this.range(KEYS.runs, signal);
         const sentAt = this.leader.now;
         const revision = await this.readJobs(runs, signal);
-        const rentals = await this.range(KEYS.rentals, signal);
+        const rentals = await this.range(KEYS.provisioningRequests, signal);
         await this.leader.zoneDelegates.refresh(signal);
-        await this.leader.parts.membership.refresh(signal);
+        await this.leader.context.membership.refresh(signal);
         await this.leader.extensions.load(signal);
         this.restoreRuns(runs);
-        for (const e of rentals) this.leader.rentals.restore(e);
+        for (const entry of rentals) this.leader.provisioner.restore(entry);
         this.leader.reconciler.recovered(this.leader.jobs.size > 0);
-        for (const id of this.announced) this.announceCancelled(id);
+        for (const id of this.announcedCancellations) this.announceCancelled(id);
         this.revision = revision;
-        this.leader.view.completeAt(sentAt);
-        this.read.abort();
-        this.leader.unreadRecords.recovered(this.leader.now);
+        this.leader.cancellationView.completeAt(sentAt);
+        this.recoveredController.abort();
+        this.leader.recordReadMonitor.recordRecovery(this.leader.now);
         this.withRuns = new Set();
-        this.over.clear();
-        this.announced.clear();
+        this.endedJobs.clear();
+        this.announcedCancellations.clear();
         this.leader.dependencies.recovered();
-        for (const job of this.leader.jobs.values()) this.leader.ledger.flush(job);
+        for (const job of this.leader.jobs.values()) this.leader.recordWriter.flush(job);
         runtime.log.info({ jobs: this.leader.jobs.size, runs: runs.length }, 'recovered');
         return;
       } catch (error) {
         signal.throwIfAborted();
-        this.leader.unreadRecords.failed(error);
+        this.leader.recordReadMonitor.recordFailure(error);
         runtime.log.debug({ error: String(error) }, 'recovery repeated');
         await runtime.clock.sleep(this.leader.retryMs, signal);
       }
@@ -76,8 +76,8 @@
   }
 
   private async range(prefix: string, signal: AbortSignal): Promise<Entry[]> {
-    const { items } = await this.leader.parts.store.range(prefix, signal);
-    this.leader.unreadRecords.progressed();
+    const { items } = await this.leader.context.store.range(prefix, signal);
+    this.leader.recordReadMonitor.recordProgress();
     return items;
   }
 
@@ -85,68 +85,77 @@
   private async readJobs(runs: Entry[], signal: AbortSignal): Promise<number> {
     this.leader.jobs.clear();
     this.leader.dependencies.clear();
-    this.over.clear();
-    this.withRuns = new Set(runs.map((e) => jobOfRunKey(e.key)));
-    return this.leader.parts.store.eachPage(
+    this.endedJobs.clear();
+    this.withRuns = new Set(runs.map((entry) => jobOfRunKey(entry.key)));
+    return this.leader.context.store.forEachPage(
       KEYS.jobs,
       (page) => {
-        this.leader.unreadRecords.progressed();
-        page.forEach((e) => this.onJobEntry(e));
+        this.leader.recordReadMonitor.recordProgress();
+        page.forEach((entry) => this.onJobEntry(entry));
       },
       signal,
     );
   }
 
   private restoreRuns(entries: Entry[]): void {
-    const { runtime, store } = this.leader.parts;
+    const { runtime, store } = this.leader.context;
     const perRange = tasksPerRange(store.limits.smallest().valueBytes);
     const { runs, unreadable } = readRuns(entries, (id) => this.leader.jobs.get(id) ?? null);
     for (const { id, key, version, job } of unreadable) {
-      if (job === null && this.over.has(id)) {
-        this.leader.ledger.leftovers.add([{ key, version }]);
+      if (job === null && this.endedJobs.has(id)) {
+        this.leader.recordWriter.leftovers.add([{ key, version }]);
         continue;
       }
       // What cannot be read may still run: the job is left alone rather than started again.
       runtime.log.error({ key }, 'unreadable run record, left as occupied');
-      if (job) job.unreadable = true;
+      if (job) job.isUnreadable = true;
     }
     for (const [job, stored] of runs) this.restoreJob(job, stored, perRange);
   }
 
   private restoreJob(job: Job, stored: StoredRuns, perRange: number): void {
-    const { clock } = this.leader.parts.runtime;
-    for (const p of job.restore(stored, perRange, clock.now(), clock.wall())) {
-      this.leader.fleet.add(p, clock.now());
-      if (job.phase !== 'open') p.stop = { graceMs: 0 };
+    const { clock } = this.leader.context.runtime;
+    for (const placement of job.restore(stored, perRange, clock.now(), clock.wall())) {
+      this.leader.fleet.addPlacement(placement, clock.now());
+      if (job.phase !== 'open') placement.stop = { graceMs: 0 };
     }
-    const { membership } = this.leader.parts;
-    if (!job.foreignLayout || membership.allRead(RECORD_FORMATS.rangedRuns)) return;
+    const { membership } = this.leader.context;
+    if (!job.hasForeignLayout || membership.allRead(RECORD_FORMATS.rangedRuns)) return;
     // Only ranged records could go above them, and not every controller reads those.
-    this.leader.parts.runtime.log.error({ job: job.id }, 'records of another layout, left as is');
-    job.unreadable = true;
+    this.leader.context.runtime.log.error({ job: job.id }, 'records of another layout, left as is');
+    job.isUnreadable = true;
   }
 
   /**
    * Follows the job records. Each answer is complete as of when its request was sent, so the store is
    * asked to give one often, also when nothing has changed.
    */
-  async follow(signal: AbortSignal): Promise<void> {
-    const { store, runtime } = this.leader.parts;
-    const { view, unreadRecords, lifetimeMs } = this.leader;
+  async watch(signal: AbortSignal): Promise<void> {
+    const { store, runtime } = this.leader.context;
+    const {
+      cancellationView: cancellationView,
+      recordReadMonitor: recordReadMonitor,
+      leaderLeaseMs: leaderLeaseMs,
+    } = this.leader;
     while (!signal.aborted) {
       const sentAt = this.leader.now;
       try {
-        const news = await store.watch(KEYS.jobs, this.revision, lifetimeMs * WATCH_SHARE, signal);
+        const news = await store.watch(
+          KEYS.jobs,
+          this.revision,
+          leaderLeaseMs * WATCH_RATIO,
+          signal,
+        );
         for (const event of news.events) if (!('gone' in event)) this.onJobEntry(event);
         this.revision = news.revision;
-        view.completeAt(sentAt);
-        unreadRecords.succeeded(this.leader.now);
+        cancellationView.completeAt(sentAt);
+        recordReadMonitor.recordSuccess(this.leader.now);
       } catch (error) {
         if (signal.aborted) return;
-        unreadRecords.failed(error);
+        recordReadMonitor.recordFailure(error);
         // Where only watching fails, the records can still be read as a whole.
-        const stalled = unreadRecords.ageMs(this.leader.now) > lifetimeMs;
-        if (!(error instanceof HistoryLost || stalled) || !(await this.reread(signal))) {
+        const stalled = recordReadMonitor.ageMs(this.leader.now) > leaderLeaseMs;
+        if (!(error instanceof RevisionCompactedError || stalled) || !(await this.reread(signal))) {
           await runtime.clock.sleep(this.leader.retryMs, signal);
         }
       }
@@ -157,13 +166,13 @@
   private async reread(signal: AbortSignal): Promise<boolean> {
     const sentAt = this.leader.now;
     try {
-      this.revision = await this.leader.parts.store.eachPage(
+      this.revision = await this.leader.context.store.forEachPage(
         KEYS.jobs,
-        (page) => page.forEach((e) => this.onJobEntry(e)),
+        (page) => page.forEach((entry) => this.onJobEntry(entry)),
         signal,
       );
-      this.leader.view.completeAt(sentAt);
-      this.leader.unreadRecords.succeeded(this.leader.now);
+      this.leader.cancellationView.completeAt(sentAt);
+      this.leader.recordReadMonitor.recordSuccess(this.leader.now);
       return true;
     } catch {
       return false;
@@ -173,28 +182,29 @@
   /** A user was told that the job is cancelled; the store's own news of it may take longer. */
   announceCancelled(id: string): void {
     // Every one of them is in the store: what is dropped here is read there.
-    if (!this.ready && this.announced.size < MOST_CANCELLATIONS) this.announced.add(id);
+    if (!this.isRecovered && this.announcedCancellations.size < MAX_CANCELLATIONS)
+      this.announcedCancellations.add(id);
     const job = this.leader.jobs.get(id);
     if (job?.phase !== 'open') return;
-    job.cancelAnnounced = true;
-    this.leader.stops.stopAll(job, 0);
+    job.isCancellationAnnounced = true;
+    this.leader.taskStopper.stopAll(job, 0);
   }
 
-  onJobEntry(e: Entry): void {
-    const record = parseJob(e.value);
+  onJobEntry(entry: Entry): void {
+    const record = parseJob(entry.value);
     if (!record) {
-      this.leader.parts.runtime.log.error({ key: e.key }, 'unreadable job record');
+      this.leader.context.runtime.log.error({ key: entry.key }, 'unreadable job record');
       return;
     }
-    this.onJobRecord(jobOfKey(e.key), e.version, record);
+    this.onJobRecord(jobOfKey(entry.key), entry.version, record);
   }
 
   onJobRecord(id: string, version: number, record: JobRecord): void {
     const known = this.leader.jobs.get(id);
     if (!known) {
       if (!record.spec || record.at === undefined) {
-        if (record.phase !== 'open' && this.withRuns.has(id)) this.over.add(id);
-        this.leader.dependencies.ended(id, record.phase, record.doneAt ?? null);
+        if (record.phase !== 'open' && this.withRuns.has(id)) this.endedJobs.add(id);
+        this.leader.dependencies.onJobEnded(id, record.phase, record.doneAt ?? null);
         return;
       }
       const job = new Job(
@@ -202,27 +212,27 @@
         record.spec,
         record.at,
         version,
-        tasksPerRecord(this.leader.parts.settings.state.valueBytes),
-        this.leader.parts.settings.workers.reportMs,
+        tasksPerRecord(this.leader.context.settings.state.valueBytes),
+        this.leader.context.settings.workers.heartbeatIntervalMs,
       );
       job.phase = record.phase;
       job.doneAt = record.doneAt ?? null;
       this.leader.jobs.set(id, job);
       if (record.needs) this.leader.dependencies.add(job, record.needs);
-      this.leader.dependencies.ended(id, record.phase, job.doneAt);
+      this.leader.dependencies.onJobEnded(id, record.phase, job.doneAt);
       // Before the run records are read a cancelled job looks as if nothing of it could run.
-      if (this.ready) this.leader.ledger.flush(job);
-      this.leader.touch();
+      if (this.isRecovered) this.leader.recordWriter.flush(job);
+      this.leader.requestSchedule();
       return;
     }
     if (version <= known.version) return;
     known.version = version;
     known.phase = record.phase;
-    known.phaseStored = true;
+    known.isPhaseStored = true;
     known.doneAt ??= record.doneAt ?? null;
-    this.leader.dependencies.ended(id, record.phase, known.doneAt);
-    if (record.phase !== 'open') this.leader.stops.stopAll(known, 0);
-    this.leader.ledger.flush(known);
-    this.leader.touch();
+    this.leader.dependencies.onJobEnded(id, record.phase, known.doneAt);
+    if (record.phase !== 'open') this.leader.taskStopper.stopAll(known, 0);
+    this.leader.recordWriter.flush(known);
+    this.leader.requestSchedule();
   }
 }
--- a/src/control/long-poll.ts
+++ b/src/control/reconciliation/long-poll.ts
@@ -18,12 +18,12 @@
 
   constructor(
     private readonly runtime: Runtime,
-    private readonly longestMs: number,
+    private readonly maxWaitMs: number,
   ) {}
 
   /** Resolves when the report should be answered; false if a newer one has taken its place. */
   wait(machine: string, ms: number): Promise<boolean> {
-    const until = this.runtime.clock.now() + Math.min(ms, this.longestMs);
+    const until = this.runtime.clock.now() + Math.min(ms, this.maxWaitMs);
     return new Promise((answer) => this.held.set(machine, { until, answer }));
   }
 
@@ -40,7 +40,7 @@
   async run(signal: AbortSignal): Promise<void> {
     const { clock } = this.runtime;
     while (!signal.aborted) {
-      await clock.sleep(this.longestMs / CHECKS_PER_WAIT, signal);
+      await clock.sleep(this.maxWaitMs / CHECKS_PER_WAIT, signal);
       const now = clock.now();
       for (const [machine, { until }] of this.held) if (now >= until) this.release(machine);
     }
--- a/src/control/silent-machines.ts
+++ b/src/control/reconciliation/machine-liveness-log.ts
@@ -1,11 +1,11 @@
-import type { Machine } from '../fleet/machine.js';
+import type { Machine } from '../../fleet/machine.js';
 import type { Logger } from '@leverhatch/core/log';
 
 /** A machine that has not reported for this share of the workers' lease counts as silent. */
-const SILENT_LEASE_SHARE = 1 / 3;
+const UNRESPONSIVE_LEASE_RATIO = 1 / 3;
 
 /** How many machines a log line names at most. */
-const MOST_NAMED = 8;
+const MAX_LOGGED_MACHINES = 8;
 
 type Stage = 'reporting' | 'silent' | 'expired';
 
@@ -14,17 +14,17 @@
  * what was on them is given up. One line for all machines that change at once: a rack that hangs or
  * is cut off shows as one event. It decides nothing.
  */
-export class SilentMachines {
+export class MachineLivenessLog {
   private readonly stages = new Map<string, Stage>();
 
   /**
    * @param leaseMs the workers' lease
-   * @param leaseRanOut whether a silent machine's lease has run out for certain
+   * @param isLeaseExpired whether a silent machine's lease has run out for certain
    */
   constructor(
     private readonly log: Logger,
     private readonly leaseMs: number,
-    private readonly leaseRanOut: (machine: Machine, now: number) => boolean,
+    private readonly isLeaseExpired: (machine: Machine, now: number) => boolean,
   ) {}
 
   /** To be called before the starts on machines with expired leases are given up. */
@@ -48,14 +48,15 @@
   }
 
   private stageOf(machine: Machine, before: Stage, now: number): Stage {
-    if (machine.returning) return before;
-    const silentMs = now - (machine.heardAt ?? now);
-    const reporting = machine.heardAt !== null && silentMs <= this.leaseMs * SILENT_LEASE_SHARE;
+    if (machine.isReleasing) return before;
+    const silentMs = now - (machine.lastHeartbeatAt ?? now);
+    const reporting =
+      machine.lastHeartbeatAt !== null && silentMs <= this.leaseMs * UNRESPONSIVE_LEASE_RATIO;
     if (reporting) return 'reporting';
     const occupied = machine.placements.size > 0;
-    if (before === 'expired' || (occupied && this.leaseRanOut(machine, now))) return 'expired';
+    if (before === 'expired' || (occupied && this.isLeaseExpired(machine, now))) return 'expired';
     // Not heard in this term: it may still be on its way to this leader.
-    return machine.heardAt === null ? before : 'silent';
+    return machine.lastHeartbeatAt === null ? before : 'silent';
   }
 }
 
@@ -68,7 +69,7 @@
 function summary(machines: Machine[]): Summary {
   return {
     count: machines.length,
-    machines: machines.slice(0, MOST_NAMED).map((m) => m.id),
-    tasks: machines.reduce((n, m) => n + m.placements.size, 0),
+    machines: machines.slice(0, MAX_LOGGED_MACHINES).map((machine) => machine.id),
+    tasks: machines.reduce((sum, machine) => sum + machine.placements.size, 0),
   };
 }
--- /dev/null
+++ b/src/control/reconciliation/task-lifecycle.ts
@@ -0,0 +1,107 @@
+import type { Job, Placement } from '../../jobs/tracked-job.js';
+import type { ExitReason } from '../../wire/worker-heartbeat.js';
+import type { Leader } from '../leader.js';
+
+/** What it means for a job that one of its tasks runs, has ended or is proven gone. */
+export class TaskLifecycle {
+  constructor(private readonly leader: Leader) {}
+
+  onRunning(placement: Placement): void {
+    placement.runningSince = this.leader.now;
+    const { job } = placement;
+    job.failures.recordRunning(0);
+    if (job.gang && job.gang.phase === 'placed') {
+      let ready = job.doneCount;
+      for (const other of job.placements.values()) {
+        if (other.state === 'running' && !job.isDone(other.task)) ready++;
+      }
+      if (ready >= job.spec.tasks) {
+        job.gang.phase = 'started';
+        job.gang.holdsGate = false;
+        job.gang.suspensions = 0;
+        job.markDirty(0);
+        this.leader.recordWriter.flush(job);
+        this.leader.requestSchedule();
+      }
+    }
+  }
+
+  onExited(placement: Placement, exitReason: ExitReason, checkpointed: boolean): void {
+    const { job } = placement;
+    job.placements.delete(placement.task);
+    job.unrecordedExits.push(placement);
+    job.markDirty(placement.task);
+    if (exitReason === 'done') {
+      // The tasks of a gang complete together.
+      job.failures.recordCompletion();
+      if (job.gang) for (let task = 0; task < job.spec.tasks; task++) job.markDone(task);
+      else job.markDone(placement.task);
+    } else if (
+      exitReason === 'error' ||
+      exitReason === 'insufficient_capacity' ||
+      exitReason === 'unknown' ||
+      exitReason === 'already_running'
+    ) {
+      this.onFailure(placement, exitReason);
+    }
+    this.leader.context.runtime.log.debug(
+      {
+        task: `${job.id}/${placement.task}`,
+        attempt: placement.attempt,
+        machine: placement.machine,
+        why: exitReason,
+        saved: checkpointed,
+      },
+      'task ended',
+    );
+    this.afterEnd(job);
+  }
+
+  private onFailure(placement: Placement, exitReason: ExitReason): void {
+    const { now } = this.leader;
+    const { failures } = placement.job;
+    const ranMs = placement.runningSince === null ? 0 : now - placement.runningSince;
+    const failed = exitReason === 'error';
+    failures.record({ machine: failed ? placement.machine : null, ranMs, now });
+    if (failed) this.leader.fleet.machines.get(placement.machine)?.recordFailure(failures);
+  }
+
+  /** A job whose tasks failed is sound if others of its tasks run for longer than those did. */
+  reviewFailures(job: Job, now: number): void {
+    if (!job.failures.isUndecided) return;
+    if (job.placements.size === 0) job.failures.recordIdle(now);
+    for (const placement of job.placements.values()) {
+      if (placement.state === 'running' && placement.runningSince !== null) {
+        job.failures.recordRunning(now - placement.runningSince);
+      }
+    }
+  }
+
+  onLost(placement: Placement): void {
+    const { job } = placement;
+    job.placements.delete(placement.task);
+    job.markDirty(placement.task);
+    this.leader.context.runtime.log.debug(
+      {
+        task: `${job.id}/${placement.task}`,
+        attempt: placement.attempt,
+        machine: placement.machine,
+      },
+      'task gone',
+    );
+    this.afterEnd(job);
+  }
+
+  private afterEnd(job: Job): void {
+    if (job.phase === 'open' && job.isComplete) {
+      job.phase = 'done';
+      job.isPhaseStored = false;
+    }
+    if (job.gang && job.phase === 'open')
+      this.leader.gangGate.onMemberLost(job, (grace) =>
+        this.leader.taskStopper.stopAll(job, grace),
+      );
+    this.leader.recordWriter.flushExits(job);
+    this.leader.requestSchedule();
+  }
+}
--- a/src/control/expected-demand.ts
+++ b/src/control/scheduling/expected-demand.ts
@@ -1,11 +1,11 @@
-import type { Job } from '../jobs/tracked-job.js';
-import { Priority } from '../jobs/job.js';
+import type { Job } from '../../jobs/tracked-job.js';
+import { Priority } from '../../jobs/job.js';
 import {
   DemandForecast,
   type ClassDemand,
   type ExpectedTasks,
-} from '../scheduler/demand-forecast.js';
-import type { Settings } from '../settings/deploy.js';
+} from '../../scheduler/demand-forecast.js';
+import type { Settings } from '../../settings/deploy.js';
 
 /** Which work the leader expects to come before a machine that is rented now could be up. */
 export class ExpectedDemand {
--- a/src/control/opportunistic-work.ts
+++ b/src/control/scheduling/opportunistic-work.ts
@@ -1,6 +1,6 @@
-import { Priority } from '../jobs/job.js';
-import type { Job } from '../jobs/tracked-job.js';
-import type { Settings, Team } from '../settings/deploy.js';
+import { Priority } from '../../jobs/job.js';
+import type { Job } from '../../jobs/tracked-job.js';
+import type { Settings, Team } from '../../settings/deploy.js';
 
 /** Owners' estimates are often wrong by half. */
 const ESTIMATE_MARGIN = 1.5;
--- a/src/control/pipeline-steps.ts
+++ b/src/control/scheduling/pipeline-steps.ts
@@ -2,14 +2,14 @@
  * What the leader knows of open jobs as steps of pipelines: what each waits for, how long it still
  * takes, and by when its class is asked to be done.
  */
-import type { JobSpec } from '../jobs/job.js';
-import type { Job } from '../jobs/tracked-job.js';
-import type { PipelineStep } from '../scheduler/pipelines.js';
-import type { Settings } from '../settings/deploy.js';
-import type { Leader } from './leader.js';
+import type { JobSpec } from '../../jobs/job.js';
+import type { Job } from '../../jobs/tracked-job.js';
+import type { PipelineStep } from '../../scheduler/pipelines.js';
+import type { Settings } from '../../settings/deploy.js';
+import type { Leader } from '../leader.js';
 
 /** A step's start takes about so many report intervals: an end seen, a start recorded and sent. */
-const START_REPORTS = 2;
+const START_HEARTBEATS = 2;
 
 /** The jobs that are neither done nor cancelled. */
 export function* openJobs(leader: Leader): Iterable<Job> {
@@ -18,7 +18,7 @@
 
 /** All open jobs with what they wait for and how long they still take. */
 export function pipelineSteps(leader: Leader, now: number): PipelineStep[] {
-  const aims = deadlineSteps(leader.parts.settings);
+  const aims = deadlineSteps(leader.context.settings);
   const steps: PipelineStep[] = [];
   for (const job of openJobs(leader)) {
     steps.push({
@@ -42,13 +42,13 @@
   const { spec } = job;
   // A service is never done, and nobody may wait for it.
   if (spec.kind === 'service') return 0;
-  if (job.waiting > 0) return startMs(leader, spec) + spec.estimateMs;
+  if (job.waitingCount > 0) return startMs(leader, spec) + spec.estimateMs;
   let most = 0;
-  for (const p of job.placements.values()) {
+  for (const placement of job.placements.values()) {
     const left =
-      p.runningSince === null
+      placement.runningSince === null
         ? startMs(leader, spec) + spec.estimateMs
-        : spec.estimateMs - (now - p.runningSince);
+        : spec.estimateMs - (now - placement.runningSince);
     most = Math.max(most, left);
   }
   return most;
@@ -57,21 +57,21 @@
 /** From when a job is ready until its tasks run, where there is room for them. */
 function startMs(leader: Leader, spec: JobSpec): number {
   let fetchMs = 0;
-  for (const type of leader.types.values()) {
+  for (const type of leader.machineTypes.values()) {
     if (spec.types !== null && !spec.types.includes(type.name)) continue;
     fetchMs = Math.max(fetchMs, (spec.imageGb / type.fetchGbPerS) * 1000);
   }
-  return fetchMs + leader.parts.settings.workers.reportMs * START_REPORTS;
+  return fetchMs + leader.context.settings.workers.heartbeatIntervalMs * START_HEARTBEATS;
 }
 
 /** By which multiples of their deadline the jobs of a class should be done, smallest first. */
 function deadlineSteps(settings: Settings): Map<string, number[]> {
   const steps = new Map<string, number[]>();
-  for (const o of settings.objectives) {
-    if (o.kind !== 'deadline' || o.jobClass === null) continue;
+  for (const objective of settings.objectives) {
+    if (objective.kind !== 'deadline' || objective.jobClass === null) continue;
     steps.set(
-      o.jobClass,
-      [...(steps.get(o.jobClass) ?? []), o.times].sort((a, b) => a - b),
+      objective.jobClass,
+      [...(steps.get(objective.jobClass) ?? []), objective.deadlineMultiple].sort((a, b) => a - b),
     );
   }
   return steps;
--- a/src/control/team-limits.ts
+++ b/src/control/scheduling/quota-wait-log.ts
@@ -1,8 +1,8 @@
-import type { HeldBack, TeamView } from '../scheduler/model.js';
+import type { QuotaLimitedTasks, TeamView } from '../../scheduler/scheduling-model.js';
 import type { Logger } from '@leverhatch/core/log';
 
 /** For how many report intervals work has to wait, or not to, before the log says so. */
-const SETTLED_REPORTS = 3;
+const SETTLED_HEARTBEATS = 3;
 
 interface TeamState {
   /** Work of the team waits for its limit, as the log last said. */
@@ -17,34 +17,38 @@
  * Logs when work waits for nothing but the limit of its team, and when it no longer does. Without
  * these lines such work beside idle machines looks like a fleet that stalls. It decides nothing.
  */
-export class TeamLimits {
+export class QuotaWaitLog {
   private readonly states = new Map<string, TeamState>();
 
   constructor(
     private readonly log: Logger,
-    private readonly reportMs: number,
+    private readonly heartbeatIntervalMs: number,
   ) {}
 
   /**
-   * @param heldBack the teams whose limit held work back in this round
+   * @param quotaLimited the teams whose limit held work back in this round
    * @param teams what all teams use
    */
-  observe(heldBack: HeldBack, teams: ReadonlyMap<string, TeamView>, now: number): void {
+  observe(
+    quotaLimited: QuotaLimitedTasks,
+    teams: ReadonlyMap<string, TeamView>,
+    now: number,
+  ): void {
     for (const [name, team] of teams) {
       const state = this.states.get(name) ?? { said: false, changedAt: null, heldSince: now };
       this.states.set(name, state);
-      const tasks = heldBack.get(name) ?? 0;
+      const tasks = quotaLimited.get(name) ?? 0;
       if (tasks > 0 === state.said) {
         state.changedAt = null;
         continue;
       }
       state.changedAt ??= now;
-      if (now - state.changedAt < this.reportMs * SETTLED_REPORTS) continue;
-      this.say(name, team, tasks, state);
+      if (now - state.changedAt < this.heartbeatIntervalMs * SETTLED_HEARTBEATS) continue;
+      this.logChange(name, team, tasks, state);
     }
   }
 
-  private say(name: string, team: TeamView, tasks: number, state: TeamState): void {
+  private logChange(name: string, team: TeamView, tasks: number, state: TeamState): void {
     const changedAt = state.changedAt!;
     state.said = tasks > 0;
     state.changedAt = null;
--- a/src/control/snapshot.ts
+++ b/src/control/scheduling/snapshot.ts
@@ -1,29 +1,29 @@
-import type { Machine } from '../fleet/machine.js';
-import type { Job, Placement } from '../jobs/tracked-job.js';
-import type { MachineType } from '../fleet/types.js';
+import type { Machine } from '../../fleet/machine.js';
+import type { Job, Placement } from '../../jobs/tracked-job.js';
+import type { MachineType } from '../../fleet/resources.js';
 import type {
   JobView,
   MachineView,
-  Offer,
+  InstanceOffer,
   ReplicaView,
   Snapshot,
   TeamView,
-  VictimView,
-} from '../scheduler/model.js';
-import { pipelineUrgency, type StepUrgency } from '../scheduler/pipelines.js';
-import type { Leader } from './leader.js';
+  PreemptionCandidate,
+} from '../../scheduler/scheduling-model.js';
+import { pipelineUrgency, type StepUrgency } from '../../scheduler/pipelines.js';
+import type { Leader } from '../leader.js';
 import { tasksAtOnce } from './opportunistic-work.js';
 import { openJobs, pipelineSteps } from './pipeline-steps.js';
-import { teamUse } from './team-use.js';
+import { teamUsage } from './team-usage.js';
 
 /**
  * For what share of a boot work without GPUs waits for what its like leaves, unless it is pressed.
  * Such work runs for less than a machine boots: one that is rented for it comes too late.
  */
-const PATIENCE_BOOTS = 0.25;
+const BACKFILL_WAIT_BOOTS = 0.25;
 
 /** What runs for longer than estimated is expected to go on for this share of its estimate. */
-const LEAST_REMAINING = 0.25;
+const MIN_REMAINING_RATIO = 0.25;
 
 /** What all parts of one snapshot share, worked out once. */
 interface SnapshotContext {
@@ -41,9 +41,9 @@
 
 /** What the leader believes at one moment, for a round of decisions. */
 export function takeSnapshot(leader: Leader, now: number): Snapshot {
-  const wall = leader.parts.runtime.clock.wall();
+  const wall = leader.context.runtime.clock.wall();
   const urgencies = pipelineUrgency(pipelineSteps(leader, now), wall);
-  const types = [...leader.types.values()];
+  const types = [...leader.machineTypes.values()];
   const bootMs = types.map((type) => type.bootMs);
   const context = {
     ...{ leader, now, wall, urgencies, types },
@@ -53,77 +53,91 @@
   return {
     machines: machineViews(leader, now),
     jobs: jobViews(context),
-    upcoming: upcoming(context),
-    expected: leader.expectedDemand.observe(now, context.longestBootMs),
+    upcomingJobs: upcoming(context),
+    expectedTasks: leader.expectedDemand.observe(now, context.longestBootMs),
     leavingCpus: leavingCpus(leader),
     teams: teamViews(leader),
     types,
     offers: offers(context),
-    victims: victims(context),
-    movable: movable(leader),
-    gateShut: [...openJobs(leader)].some((job) => job.gang?.holdsGate),
+    preemptionCandidates: victims(context),
+    movableReplicas: movable(leader),
+    isGateClosed: [...openJobs(leader)].some((job) => job.gang?.holdsGate),
   };
 }
 
 /** The shortest boot where all machines have GPUs; null where some have none. */
 function gpuBootMs(types: readonly MachineType[]): number | null {
-  if (types.some((type) => type.room.gpus === 0)) return null;
+  if (types.some((type) => type.capacity.gpus === 0)) return null;
   return Math.min(...types.map((type) => type.bootMs));
 }
 
 function machineViews(leader: Leader, now: number): MachineView[] {
-  const { workers } = leader.parts.settings;
+  const { workers } = leader.context.settings;
   const views: MachineView[] = [];
-  for (const m of leader.fleet.machines.values()) {
-    if (!m.type || m.returning || m.noticeAt !== null || m.faulty || m.draining) continue;
-    const up = leader.fleet.isUsable(m, now);
-    const booting = m.coming(now, workers.leaseMs, leader.fleet.boots);
+  for (const machine of leader.fleet.machines.values()) {
+    if (
+      !machine.type ||
+      machine.isReleasing ||
+      machine.preemptionNoticeAt !== null ||
+      machine.isFaulty ||
+      machine.isDraining
+    )
+      continue;
+    const up = leader.fleet.isSchedulable(machine, now);
+    const booting = machine.isExpected(now, workers.leaseMs, leader.fleet.bootTimes);
     if (!up && !booting) continue;
-    views.push(machineView(m, m.type, up, leader.reconciler.keepMs(m.type)));
+    views.push(
+      machineView(machine, machine.type, up, leader.reconciler.idleTimeoutMs(machine.type)),
+    );
   }
-  leader.rentals.onOrder(now).forEach((r, i) => {
-    const type = leader.types.get(r.type);
+  leader.provisioner.pendingRequests(now).forEach((pendingRequest, i) => {
+    const type = leader.machineTypes.get(pendingRequest.type);
     if (!type) return;
-    for (let n = 0; n < r.count; n++) {
+    for (let count = 0; count < pendingRequest.count; count++) {
       views.push({
-        id: `order-${i}-${n}`,
+        id: `order-${i}-${count}`,
         type,
-        zone: r.zone,
-        spot: r.spot,
-        free: { ...type.room },
-        up: false,
+        zone: pendingRequest.zone,
+        spot: pendingRequest.spot,
+        free: { ...type.capacity },
+        isUp: false,
         images: new Set(),
         incomingGb: 0,
         tasksOf: new Map(),
         replicas: 0,
-        keepMs: leader.reconciler.keepMs(type),
+        idleTimeoutMs: leader.reconciler.idleTimeoutMs(type),
       });
     }
   });
   return views;
 }
 
-function machineView(m: Machine, type: MachineType, up: boolean, keepMs: number): MachineView {
+function machineView(
+  machine: Machine,
+  type: MachineType,
+  up: boolean,
+  idleTimeoutMs: number,
+): MachineView {
   const tasksOf = new Map<string, number>();
   let replicas = 0;
   let incomingGb = 0;
-  for (const image of m.images.values()) if (!image.here) incomingGb += image.gb;
-  for (const p of m.placements.values()) {
-    tasksOf.set(p.job.id, (tasksOf.get(p.job.id) ?? 0) + 1);
-    if (p.job.spec.kind === 'service') replicas++;
+  for (const image of machine.images.values()) if (!image.isPresent) incomingGb += image.gb;
+  for (const placement of machine.placements.values()) {
+    tasksOf.set(placement.job.id, (tasksOf.get(placement.job.id) ?? 0) + 1);
+    if (placement.job.spec.kind === 'service') replicas++;
   }
   return {
-    id: m.id,
+    id: machine.id,
     type,
-    zone: m.zone,
-    spot: m.spot,
-    free: m.free(),
-    up,
-    images: new Set(m.images.keys()),
+    zone: machine.zone,
+    spot: machine.spot,
+    free: machine.freeCapacity(),
+    isUp: up,
+    images: new Set(machine.images.keys()),
     incomingGb,
     tasksOf,
     replicas,
-    keepMs,
+    idleTimeoutMs,
   };
 }
 
@@ -142,7 +156,7 @@
   const views: JobView[] = [];
   if (gpuBootMs === null) return views;
   for (const job of openJobs(context.leader)) {
-    if (job.readyAt !== null || job.unreadable || job.spec.need.gpus > 0) continue;
+    if (job.readyAt !== null || job.isUnreadable || job.spec.need.gpus > 0) continue;
     const readyInMs = urgencies.get(job.id)?.readyInMs ?? Infinity;
     if (readyInMs <= gpuBootMs) views.push(jobView(context, job, wall + readyInMs));
   }
@@ -161,59 +175,66 @@
   const { leader, now, wall, gpuBootMs, longestBootMs } = context;
   const { spec, gang } = job;
   const zones = new Map<string, number>();
-  for (const p of job.placements.values()) zones.set(p.zone, (zones.get(p.zone) ?? 0) + 1);
+  for (const placement of job.placements.values())
+    zones.set(placement.zone, (zones.get(placement.zone) ?? 0) + 1);
   // A gang is placed anew only when nothing of its last attempt can be left.
   const gangMay = !gang || (job.placements.size === 0 && gang.phase !== 'suspended');
-  const urgency = context.urgencies.get(job.id);
+  const priority = context.urgencies.get(job.id);
   const waitedMs = wall - readyAt;
   return {
     id: job.id,
     spec,
-    priority: urgency?.priority ?? spec.priority,
+    priority: priority?.priority ?? spec.priority,
     readyAt,
-    dueAt: urgency?.dueAt ?? readyAt,
-    patient:
+    dueAt: priority?.dueAt ?? readyAt,
+    isBackfill:
       spec.kind !== 'service' &&
       spec.need.gpus === 0 &&
       gpuBootMs !== null &&
-      !(urgency?.pressed ?? false) &&
-      waitedMs < gpuBootMs * PATIENCE_BOOTS,
-    opportunistic: tasksAtOnce(leader.parts.settings, job, waitedMs, longestBootMs, leader.teams()),
-    waiting: leader.extensions.startable(job),
+      !(priority?.isPressed ?? false) &&
+      waitedMs < gpuBootMs * BACKFILL_WAIT_BOOTS,
+    opportunisticTasks: tasksAtOnce(
+      leader.context.settings,
+      job,
+      waitedMs,
+      longestBootMs,
+      leader.quotas(),
+    ),
+    waitingTasks: leader.extensions.startableTasks(job),
     // What waits of a job that fails everywhere takes nothing of its team's guarantee from the rest.
-    unfinished: job.failures.suspected
+    unfinishedTasks: job.failures.isSuspected
       ? job.placements.size
       : Math.min(spec.tasks - job.doneCount, leader.extensions.placementLimit(job.id)),
-    zones,
-    avoid: job.failures.avoided(now),
+    tasksByZone: zones,
+    avoidedMachines: job.failures.avoidedMachines(now),
     gang: gang ? { holdsGate: gang.holdsGate, suspensions: gang.suspensions } : null,
-    admissible: gangMay && !job.unreadable && job.failures.retryAt <= now,
-    onTrial: job.failures.suspected,
+    isAdmissible: gangMay && !job.isUnreadable && job.failures.retryAt <= now,
+    isLastResortRetry: job.failures.isSuspected,
   };
 }
 
 function teamViews(leader: Leader): Map<string, TeamView> {
-  const use = teamUse(leader.jobs.values());
+  const use = teamUsage(leader.jobs.values());
   const teams = new Map<string, TeamView>();
-  for (const [name, { guarantee, limit }] of leader.teams()) {
+  for (const [name, { guarantee, limit }] of leader.quotas()) {
     teams.set(name, { guarantee, limit, used: use.get(name) ?? { cpus: 0, gpus: 0 } });
   }
   return teams;
 }
 
 /** How much work of a task would have to be done again if it were stopped now without being saved. */
-export function lossMs({ job, runningSince }: Placement, now: number): number {
+export function lostWorkMs({ job, runningSince }: Placement, now: number): number {
   const ran = runningSince === null ? 0 : now - runningSince;
   const { checkpointMs } = job.spec;
   return checkpointMs > 0 ? Math.min(ran, checkpointMs) : ran;
 }
 
-function offers({ leader, types }: SnapshotContext): Offer[] {
-  const list: Offer[] = [];
+function offers({ leader, types }: SnapshotContext): InstanceOffer[] {
+  const list: InstanceOffer[] = [];
   for (const type of types) {
     for (const zone of type.zones) {
       for (const spot of [false, true]) {
-        if (leader.rentals.refused(type.name, zone, spot)) continue;
+        if (leader.provisioner.isBackedOff(type.name, zone, spot)) continue;
         list.push({ type, zone, spot, price: spot ? type.spotPrice : type.price });
       }
     }
@@ -221,26 +242,26 @@
   return list;
 }
 
-function victims({ leader, now, urgencies }: SnapshotContext): VictimView[] {
-  const list: VictimView[] = [];
+function victims({ leader, now, urgencies }: SnapshotContext): PreemptionCandidate[] {
+  const list: PreemptionCandidate[] = [];
   for (const job of leader.jobs.values()) {
     if (job.spec.kind === 'service') continue;
     const priority = urgencies.get(job.id)?.priority ?? job.spec.priority;
-    for (const p of job.placements.values()) {
-      const ran = p.runningSince === null ? 0 : now - p.runningSince;
+    for (const placement of job.placements.values()) {
+      const ran = placement.runningSince === null ? 0 : now - placement.runningSince;
       const { estimateMs } = job.spec;
       list.push({
         job: job.id,
-        task: p.task,
-        machine: p.machine,
+        task: placement.task,
+        machine: placement.machine,
         spec: job.spec,
         priority,
-        lossMs: lossMs(p, now),
-        unsavedStops: job.unsavedStops.get(p.task) ?? 0,
-        remainingMs: Math.max(estimateMs - ran, estimateMs * LEAST_REMAINING),
-        wholeGang: job.gang !== null,
+        lostWorkMs: lostWorkMs(placement, now),
+        stopsWithoutCheckpoint: job.stopsWithoutCheckpoint.get(placement.task) ?? 0,
+        remainingMs: Math.max(estimateMs - ran, estimateMs * MIN_REMAINING_RATIO),
+        isGangMember: job.gang !== null,
         // A trial of what fails everywhere is over soon: nothing is rented instead of its room.
-        stopping: p.stop !== null || job.phase !== 'open' || job.failures.suspected,
+        isStopping: placement.stop !== null || job.phase !== 'open' || job.failures.isSuspected,
       });
     }
   }
@@ -251,10 +272,10 @@
   const list: ReplicaView[] = [];
   for (const job of openJobs(leader)) {
     if (job.spec.kind !== 'service') continue;
-    for (const p of job.placements.values()) {
-      if (p.stop) return [];
-      if (p.state !== 'running' || !leader.extensions.mayMove(job.id)) continue;
-      list.push({ job: job.id, task: p.task, machine: p.machine, spec: job.spec });
+    for (const placement of job.placements.values()) {
+      if (placement.stop) return [];
+      if (placement.state !== 'running' || !leader.extensions.mayMove(job.id)) continue;
+      list.push({ job: job.id, task: placement.task, machine: placement.machine, spec: job.spec });
     }
   }
   return list;
--- a/src/election/election.ts
+++ b/src/election/leader-election.ts
@@ -1,51 +1,58 @@
+import { RequestPriority } from '@leverhatch/core/store';
 import { setMaxListeners } from 'node:events';
 import { BehaviorSubject } from 'rxjs';
 import { z } from 'zod/mini';
-import { NoAnswer } from '../http/client.js';
+import { NoResponseError } from '../http/client.js';
 import type { PeerTransport } from '../peer/peer-transport.js';
 import { LeaseExtensionVote } from '../peer/lease-extension-vote.js';
-import { DRIFT } from '@leverhatch/core/clock';
+import { MAX_CLOCK_DRIFT } from '@leverhatch/core/clock';
 import type { Runtime } from '@leverhatch/core/duty';
 import { jitter } from '@leverhatch/core/random';
 import { KEYS } from '../state/keys.js';
-import { HistoryLost, LeaseGone, type Entry, type Store } from '../state/store.js';
-import type { Succession } from './succession.js';
+import {
+  RevisionCompactedError,
+  LeaseNotFoundError,
+  type Entry,
+  type Store,
+} from '../state/store.js';
+import type { SuccessorPolicy } from './successor-policy.js';
 import { Term } from './term.js';
 
 const leaderValue = z.object({ term: z.string(), member: z.string() });
 
 export type Role =
-  { kind: 'leader'; term: Term } | { kind: 'follower'; leader: string | null; token: number };
+  | { kind: 'leader'; term: Term }
+  | { kind: 'follower'; leader: string | null; fencingToken: number };
 
 /** Holds or contests the leader key for as long as it runs. */
-export class Election {
-  readonly role = new BehaviorSubject<Role>({ kind: 'follower', leader: null, token: 0 });
+export class LeaderElection {
+  readonly role = new BehaviorSubject<Role>({ kind: 'follower', leader: null, fencingToken: 0 });
 
   private readonly extensionVote: LeaseExtensionVote;
   /** An attempt to take office is under way, or may still be carried out by the store. */
-  private contesting = false;
-  private contestFrom = 0;
+  private isCampaigning = false;
+  private campaignNotBefore = 0;
   /**
    * The version at which this process last read the leader key from the store; null once it has
    * contested after that. While it stands, no term of this process can be newer.
    */
-  private seenToken: number | null = null;
+  private lastReadToken: number | null = null;
 
   constructor(
     private readonly store: Store,
     private readonly peerTransport: PeerTransport,
     private readonly runtime: Runtime,
     private readonly member: string,
-    private readonly lifetimeMs: number,
-    private readonly succession: Succession,
+    private readonly leaderLeaseMs: number,
+    private readonly succession: SuccessorPolicy,
     /** Whether a controller is known to read vouches. */
-    readsVouches: (peer: string) => boolean,
+    supportsReinstatement: (peer: string) => boolean,
   ) {
     this.extensionVote = new LeaseExtensionVote(peerTransport, runtime, {
-      mayLead: () => this.role.value.kind === 'leader' || this.contesting,
-      storeServes: () => this.storeServes(),
-      knowsNoLater: (token) => this.seenToken === token,
-      readsVouches,
+      mayBeLeader: () => this.role.value.kind === 'leader' || this.isCampaigning,
+      isStoreAvailable: () => this.isStoreAvailable(),
+      isLatestKnownToken: (fencingToken) => this.lastReadToken === fencingToken,
+      supportsReinstatement,
     });
   }
 
@@ -55,28 +62,28 @@
     signal.addEventListener('abort', () => subscription.unsubscribe(), { once: true });
     while (!signal.aborted) {
       try {
-        const entry = await this.store.get(KEYS.leader, 0, signal);
-        if (entry) await this.follow(entry, signal);
-        await this.untilFree(signal);
-        await this.letOthersFirst(signal);
-        const term = await this.contest(signal);
-        if (term) await this.hold(term.term, term.lease, signal);
+        const entry = await this.store.get(KEYS.leader, RequestPriority.Critical, signal);
+        if (entry) await this.watchLeaderKey(entry, signal);
+        await this.waitForPromises(signal);
+        await this.delayCampaign(signal);
+        const term = await this.campaign(signal);
+        if (term) await this.renewLease(term.term, term.lease, signal);
       } catch (error) {
         if (signal.aborted) return;
         log.debug({ error: String(error) }, 'election: the store does not serve');
-        await clock.sleep(jitter(this.lifetimeMs / 16, random), signal);
+        await clock.sleep(jitter(this.leaderLeaseMs / 16, random), signal);
       }
     }
   }
 
   /** Returns once the leader key is gone. */
-  private async follow(entry: Entry, signal: AbortSignal): Promise<void> {
+  private async watchLeaderKey(entry: Entry, signal: AbortSignal): Promise<void> {
     let current: Entry | null = entry;
     let revision = entry.version;
-    this.announce(entry);
+    this.becomeFollower(entry);
     while (current) {
       try {
-        const news = await this.store.watch(KEYS.leader, revision, this.lifetimeMs * 2, signal);
+        const news = await this.store.watch(KEYS.leader, revision, this.leaderLeaseMs * 2, signal);
         revision = news.revision;
         for (const event of news.events) {
           if (event.key !== KEYS.leader) continue;
@@ -84,22 +91,25 @@
         }
       } catch (error) {
         if (signal.aborted) throw error;
-        if (!(error instanceof HistoryLost)) {
-          await this.runtime.clock.sleep(jitter(this.lifetimeMs / 16, this.runtime.random), signal);
+        if (!(error instanceof RevisionCompactedError)) {
+          await this.runtime.clock.sleep(
+            jitter(this.leaderLeaseMs / 16, this.runtime.random),
+            signal,
+          );
         }
-        current = await this.store.get(KEYS.leader, 0, signal);
+        current = await this.store.get(KEYS.leader, RequestPriority.Critical, signal);
         if (current) revision = current.version;
       }
-      if (current) this.announce(current);
+      if (current) this.becomeFollower(current);
     }
   }
 
-  private announce(entry: Entry): void {
+  private becomeFollower(entry: Entry): void {
     const value = z.parse(leaderValue, entry.value);
-    this.seenToken = entry.version;
+    this.lastReadToken = entry.version;
     const before = this.role.value;
-    if (before.kind === 'follower' && before.token === entry.version) return;
-    this.role.next({ kind: 'follower', leader: value.member, token: entry.version });
+    if (before.kind === 'follower' && before.fencingToken === entry.version) return;
+    this.role.next({ kind: 'follower', leader: value.member, fencingToken: entry.version });
   }
 
   /**
@@ -107,17 +117,20 @@
    * pledged before its end: it waits as long as any pledge lasts, or until all others say that
    * there is nothing to wait for.
    */
-  private async untilFree(signal: AbortSignal): Promise<void> {
+  private async waitForPromises(signal: AbortSignal): Promise<void> {
     const { clock } = this.runtime;
-    const forgotten = this.runtime.startedAt + this.pledgeMs * (1 + DRIFT);
+    const forgotten = this.runtime.startedAt + this.extensionMs * (1 + MAX_CLOCK_DRIFT);
     while (!signal.aborted && clock.now() < forgotten) {
-      if (await this.extensionVote.allFree(this.lifetimeMs / 20)) break;
-      await clock.sleep(this.lifetimeMs / 20, signal);
+      if (await this.extensionVote.confirmNoPromises(this.leaderLeaseMs / 20)) break;
+      await clock.sleep(this.leaderLeaseMs / 20, signal);
     }
     for (;;) {
-      const wait = Math.max(this.extensionVote.heldForMs, this.contestFrom - clock.now());
+      const wait = Math.max(
+        this.extensionVote.campaignBlockedForMs,
+        this.campaignNotBefore - clock.now(),
+      );
       if (wait <= 0 || signal.aborted) return;
-      await clock.sleep(Math.min(wait, this.lifetimeMs / 10), signal);
+      await clock.sleep(Math.min(wait, this.leaderLeaseMs / 10), signal);
     }
   }
 
@@ -128,74 +141,76 @@
    * workers, if it fell silent, would spend their leases on silent controllers; and a part of it whoever
    * should not as those of another zone would if the zones were cut off from each other.
    */
-  private async letOthersFirst(signal: AbortSignal): Promise<void> {
+  private async delayCampaign(signal: AbortSignal): Promise<void> {
     const { clock, startedAt } = this.runtime;
     const role = this.role.value;
     const last = role.kind === 'follower' ? role.leader : null;
     const younger = this.peerTransport.peers.some(
-      (p) =>
-        p !== last && (this.peerTransport.startedAt(p) ?? -Infinity) > startedAt + this.lifetimeMs,
+      (peer) =>
+        peer !== last &&
+        (this.peerTransport.startedAt(peer) ?? -Infinity) > startedAt + this.leaderLeaseMs,
     );
     const waits =
       Number(younger) +
-      2 * Number(this.succession.othersFirst(last)) +
-      0.7 * Number(this.succession.othersFirstAcrossZones(last));
-    if (waits > 0) await clock.sleep((waits * this.lifetimeMs) / 10, signal);
+      2 * Number(this.succession.shouldYield(last)) +
+      0.7 * Number(this.succession.shouldYieldAcrossZones(last));
+    if (waits > 0) await clock.sleep((waits * this.leaderLeaseMs) / 10, signal);
   }
 
-  private async contest(signal: AbortSignal): Promise<{ term: Term; lease: number } | null> {
+  private async campaign(signal: AbortSignal): Promise<{ term: Term; lease: number } | null> {
     const { clock, random } = this.runtime;
     const value = { term: random.unique(), member: this.member };
     const sentAt = clock.now();
-    const lease = await this.store.grant(this.lifetimeMs, signal);
+    const lease = await this.store.grantLease(this.leaderLeaseMs, signal);
     // From here on until the store's definite answer nothing may be pledged, and nothing is.
-    if (this.extensionVote.heldForMs > 0) return null;
-    this.contesting = true;
-    this.seenToken = null;
+    if (this.extensionVote.campaignBlockedForMs > 0) return null;
+    this.isCampaigning = true;
+    this.lastReadToken = null;
     try {
-      const token = await this.create(value, lease, signal);
-      if (token !== null) return { term: this.take(value.term, token, sentAt), lease };
+      const fencingToken = await this.createLeaderKey(value, lease, signal);
+      if (fencingToken !== null)
+        return { term: this.becomeLeader(value.term, fencingToken, sentAt), lease };
     } finally {
-      this.contesting = false;
+      this.isCampaigning = false;
     }
-    await this.store.revoke(lease).catch(() => undefined);
+    await this.store.revokeLease(lease).catch(() => undefined);
     return null;
   }
 
   /** The leader key's version if it is now ours; null if it certainly is not. */
-  private async create(
+  private async createLeaderKey(
     value: { term: string; member: string },
     lease: number,
     signal: AbortSignal,
   ): Promise<number | null> {
-    let doubtful = false;
+    let ambiguous = false;
     for (;;) {
       signal.throwIfAborted();
       try {
-        const outcome = await this.store.txn(
+        const outcome = await this.store.tryCommit(
           [{ key: KEYS.leader, version: 0 }],
           [{ put: KEYS.leader, value, lease }],
-          0,
+          RequestPriority.Critical,
           signal,
         );
         if (outcome.ok) return outcome.revision;
-        if (!doubtful) return null;
-        const entry = await this.store.read(KEYS.leader, signal);
+        if (!ambiguous) return null;
+        const entry = await this.store.readWithRetry(KEYS.leader, signal);
         if (!entry) continue;
         return z.parse(leaderValue, entry.value).term === value.term ? entry.version : null;
       } catch (error) {
-        if (error instanceof LeaseGone) return null;
-        if (error instanceof NoAnswer) doubtful = true;
+        if (error instanceof LeaseNotFoundError) return null;
+        if (error instanceof NoResponseError) ambiguous = true;
         // A refusal was not carried out; a copy without an answer still may be.
-        else if (!doubtful) return null;
+        else if (!ambiguous) return null;
       }
-      await this.runtime.clock.sleep(jitter(this.lifetimeMs / 20, this.runtime.random), signal);
+      await this.runtime.clock.sleep(jitter(this.leaderLeaseMs / 20, this.runtime.random), signal);
     }
   }
 
-  private async storeServes(): Promise<boolean> {
+  private async isStoreAvailable(): Promise<boolean> {
     try {
-      await this.store.get(KEYS.leader, 0);
+      await this.store.get(KEYS.leader, RequestPriority.Critical);
       return true;
     } catch {
       return false;
@@ -207,28 +222,28 @@
    * so at once; if no other controller is heard there may be none, and an office that stays vacant
    * would turn away every worker that comes here.
    */
-  resign(term: Term, successorHeard: boolean): void {
-    const leases = successorHeard ? RESIGNED_LEASES : ALONE_LEASES;
-    this.contestFrom = this.runtime.clock.now() + this.lifetimeMs * leases;
+  resign(term: Term, isSuccessorReachable: boolean): void {
+    const leases = isSuccessorReachable ? RESIGN_BACKOFF_LEASES : LONE_RESIGN_BACKOFF_LEASES;
+    this.campaignNotBefore = this.runtime.clock.now() + this.leaderLeaseMs * leases;
     term.end();
   }
 
-  private take(id: string, token: number, sentAt: number): Term {
+  private becomeLeader(id: string, fencingToken: number, sentAt: number): Term {
     const { clock, log } = this.runtime;
-    const term = new Term(id, token, clock.now(), this.bound(sentAt));
-    log.info({ token }, 'leading');
+    const term = new Term(id, fencingToken, clock.now(), this.leaseExpiry(sentAt));
+    log.info({ token: fencingToken }, 'leading');
     this.role.next({ kind: 'leader', term });
     return term;
   }
 
   /** Until when a lease counts that was asked for at `sentAt`. */
-  private bound(sentAt: number): number {
-    return sentAt + this.lifetimeMs * (1 - DRIFT) - TICK_MS;
+  private leaseExpiry(sentAt: number): number {
+    return sentAt + this.leaderLeaseMs * (1 - MAX_CLOCK_DRIFT) - TIMER_RESOLUTION_MS;
   }
 
   /** Shorter than the lease, since a controller that has just started must wait it out. */
-  private get pledgeMs(): number {
-    return this.lifetimeMs * PLEDGE_SHARE;
+  private get extensionMs(): number {
+    return this.leaderLeaseMs * EXTENSION_RATIO;
   }
 
   /**
@@ -236,29 +251,30 @@
    * goes on asking, would keep the key from those who hear the store's answers. A refusal was not
    * carried out, and keeps nothing from anybody.
    */
-  private longLapsed(term: Term): boolean {
-    return !term.active(this.runtime.clock.now() - this.lifetimeMs * LAPSED_SHARE);
+  private hasLongExpired(term: Term): boolean {
+    return !term.isActive(this.runtime.clock.now() - this.leaderLeaseMs * EXPIRED_WAIT_RATIO);
   }
 
   /**
    * Asks the others for votes. Once the right has lapsed a promise for the time to come is not
    * enough, since another may have come and gone: they have to vouch that none did.
    */
-  private async askVotes(term: Term): Promise<void> {
+  private async requestVotes(term: Term): Promise<void> {
     const { clock, log } = this.runtime;
     const sentAt = clock.now();
-    const until = sentAt + this.pledgeMs * (1 - DRIFT) - TICK_MS;
-    const withinMs = this.pledgeMs / 2;
-    const lapsed = !term.active(sentAt);
+    const until = sentAt + this.extensionMs * (1 - MAX_CLOCK_DRIFT) - TIMER_RESOLUTION_MS;
+    const withinMs = this.extensionMs / 2;
+    const lapsed = !term.isActive(sentAt);
     const granted = lapsed
-      ? await this.extensionVote.collectVouches(term.token, this.pledgeMs, withinMs)
-      : await this.extensionVote.collect(term.token, this.pledgeMs, withinMs);
+      ? await this.extensionVote.requestReinstatement(term.fencingToken, this.extensionMs, withinMs)
+      : await this.extensionVote.requestExtension(term.fencingToken, this.extensionMs, withinMs);
     log.debug({ granted, lapsed }, 'asked for votes');
     if (!granted) return;
-    if (!lapsed) term.pledged(clock.now(), until);
+    if (!lapsed) term.extendByVotes(clock.now(), until);
     else if (!term.signal.aborted) {
-      if (!term.active(clock.now())) log.info({ token: term.token }, 'lapsed right taken up again');
-      term.vouched(until);
+      if (!term.isActive(clock.now()))
+        log.info({ token: term.fencingToken }, 'lapsed right taken up again');
+      term.reinstate(until);
     }
   }
 
@@ -267,9 +283,9 @@
    * renews the lease after all, the key was ours all the time and the term goes on; but where no
    * answer comes for long it is given up, see `longLapsed`.
    */
-  private async hold(term: Term, lease: number, signal: AbortSignal): Promise<void> {
+  private async renewLease(term: Term, lease: number, signal: AbortSignal): Promise<void> {
     const { clock, random, log } = this.runtime;
-    const everyMs = this.lifetimeMs / 5;
+    const everyMs = this.leaderLeaseMs / 5;
     const either = AbortSignal.any([signal, term.signal]);
     setMaxListeners(0, either);
     let failing = false;
@@ -277,48 +293,51 @@
     let unanswered = 0;
     try {
       while (!signal.aborted) {
-        await clock.sleep(jitter(failing ? this.pledgeMs / 4 : everyMs, random), either);
+        await clock.sleep(jitter(failing ? this.extensionMs / 4 : everyMs, random), either);
         // A silent store must not hold up the asking.
-        if (failing) void this.askVotes(term);
+        if (failing) void this.requestVotes(term);
         // The leader gives up by itself when the store contradicts its records.
         if (either.aborted) break;
         const sentAt = clock.now();
         try {
-          await this.store.renew(lease, everyMs, signal);
+          await this.store.renewLease(lease, everyMs, signal);
           failing = false;
           unanswered = 0;
-          term.extend(this.bound(sentAt));
+          term.renewLease(this.leaseExpiry(sentAt));
         } catch (error) {
-          if (error instanceof LeaseGone) {
-            log.warn({ token: term.token }, 'leadership lost');
+          if (error instanceof LeaseNotFoundError) {
+            log.warn({ token: term.fencingToken }, 'leadership lost');
             return;
           }
           log.debug({ error: String(error) }, 'renewal failed');
-          unanswered = error instanceof NoAnswer ? unanswered + 1 : 0;
-          if (unanswered > 1 && this.longLapsed(term)) {
-            log.warn({ token: term.token }, 'leadership given up, the store does not answer');
+          unanswered = error instanceof NoResponseError ? unanswered + 1 : 0;
+          if (unanswered > 1 && this.hasLongExpired(term)) {
+            log.warn(
+              { token: term.fencingToken },
+              'leadership given up, the store does not answer',
+            );
             break;
           }
-          if (!failing) void this.askVotes(term);
+          if (!failing) void this.requestVotes(term);
           failing = true;
         }
       }
-      await this.store.revoke(lease).catch(() => undefined);
+      await this.store.revokeLease(lease).catch(() => undefined);
     } finally {
       term.end();
-      this.role.next({ kind: 'follower', leader: null, token: term.token });
+      this.role.next({ kind: 'follower', leader: null, fencingToken: term.fencingToken });
     }
   }
 }
 
-const PLEDGE_SHARE = 0.45;
+const EXTENSION_RATIO = 0.45;
 /** How long a leader without answers waits for the term to go on, as a share of its lease. */
-const LAPSED_SHARE = 0.5;
+const EXPIRED_WAIT_RATIO = 0.5;
 /** For how many leader leases a controller that resigned does not contest. */
-const RESIGNED_LEASES = 3;
+const RESIGN_BACKOFF_LEASES = 3;
 
 /** The same where no other controller is heard: more than one that watches the key needs to take it. */
-const ALONE_LEASES = 0.25;
+const LONE_RESIGN_BACKOFF_LEASES = 0.25;
 
 /** Timers fire in steps of one or a few milliseconds. */
-const TICK_MS = 10;
+const TIMER_RESOLUTION_MS = 10;
--- a/src/election/succession.ts
+++ b/src/election/successor-policy.ts
@@ -2,24 +2,24 @@
 import type { Clock } from '@leverhatch/core/clock';
 
 /** What a worker spends on a controller that says nothing: the wait for an answer, and a pause. */
-const ANSWER_WAIT_MS = 4000;
-const PAUSE_MS = 1000;
+const WORKER_TIMEOUT_MS = 4000;
+const WORKER_RETRY_DELAY_MS = 1000;
 
 /** Reports come at their interval give or take a quarter. */
-const LATEST_REPORT = 1.25;
+const MAX_HEARTBEAT_JITTER = 1.25;
 
 /** A controller speaks to the others once a report interval; after so many it counts as silent. */
-const SILENT_REPORTS = 1.5;
+const UNRESPONSIVE_INTERVALS = 1.5;
 
 /** For what share of the workers' lease the controllers behind the leader are silent before it hands over. */
-const HAND_OVER_SHARE = 0.5;
+const TRANSFER_RATIO = 0.5;
 
 /** What is needed to tell which controllers a worker passes, and for how long it may. */
-export interface SuccessionFacts {
+export interface SuccessorPolicyOptions {
   self: string;
   /** The zone of each controller, this one included. */
   zones: ReadonlyMap<string, string>;
-  reportMs: number;
+  heartbeatIntervalMs: number;
   leaseMs: number;
 }
 
@@ -31,60 +31,73 @@
  *
  * The order is taken to be that of the controllers' names. Nothing but a short wait rests on it.
  */
-export class Succession {
+export class SuccessorPolicy {
   private readonly order: string[];
 
   constructor(
     private readonly clock: Clock,
     private readonly peerTransport: PeerTransport,
-    private readonly facts: SuccessionFacts,
+    private readonly options: SuccessorPolicyOptions,
   ) {
-    this.order = [facts.self, ...peerTransport.peers].sort((a, b) =>
+    this.order = [options.self, ...peerTransport.peers].sort((a, b) =>
       a.localeCompare(b, 'en', { numeric: true }),
     );
   }
 
   /** A controller that has ended, so that connections to it are refused at once, is not silent. */
-  private isSilent(member: string, forMs = this.facts.reportMs * SILENT_REPORTS): boolean {
-    if (member === this.facts.self) return false;
+  private isUnresponsive(
+    member: string,
+    forMs = this.options.heartbeatIntervalMs * UNRESPONSIVE_INTERVALS,
+  ): boolean {
+    if (member === this.options.self) return false;
     const heardAt = this.peerTransport.lastHeardAt(member);
     return heardAt !== null && this.clock.now() - heardAt > forMs;
   }
 
   /** Whether it is heard now; one whose connection was closed neither speaks nor is silent. */
-  private speaks(member: string): boolean {
-    return this.peerTransport.lastHeardAt(member) !== null && !this.isSilent(member);
+  private isResponsive(member: string): boolean {
+    return this.peerTransport.lastHeardAt(member) !== null && !this.isUnresponsive(member);
   }
 
   /** How long a worker takes at most to pass so many silent controllers, from its last answered report. */
-  private passingMs(silent: number): number {
-    return this.facts.reportMs * LATEST_REPORT + silent * (ANSWER_WAIT_MS + PAUSE_MS);
+  private failoverMs(unresponsive: number): number {
+    return (
+      this.options.heartbeatIntervalMs * MAX_HEARTBEAT_JITTER +
+      unresponsive * (WORKER_TIMEOUT_MS + WORKER_RETRY_DELAY_MS)
+    );
   }
 
   /**
    * How long workers may take to come here, past every controller that is silent now. The leader
    * before may speak to us and be silent to them alone; those that speak cost them a pause each.
    */
-  get searchMs(): number {
+  get workerFailoverMs(): number {
     const others = this.order.length - 1;
-    const silent = Math.max(1, this.order.filter((member) => this.isSilent(member)).length);
-    return this.passingMs(silent) + Math.max(0, others - silent) * PAUSE_MS;
+    const unresponsive = Math.max(
+      1,
+      this.order.filter((member) => this.isUnresponsive(member)).length,
+    );
+    return (
+      this.failoverMs(unresponsive) + Math.max(0, others - unresponsive) * WORKER_RETRY_DELAY_MS
+    );
   }
 
   /** The other controllers in the order in which workers try them after this one. */
-  private after(member: string): string[] {
+  private failoverOrder(member: string): string[] {
     const at = this.order.indexOf(member);
     return [...this.order.slice(at + 1), ...this.order.slice(0, at)];
   }
 
   /** Whether a worker comes in time to the controller at this place of its walk; -1: there is none. */
-  private isInTime(place: number): boolean {
-    return place >= 0 && this.passingMs(place + 1) < this.facts.leaseMs;
+  private isWithinLease(place: number): boolean {
+    return place >= 0 && this.failoverMs(place + 1) < this.options.leaseMs;
   }
 
   /** Whether the workers of this controller would find the next in time if it fell silent. */
-  private isCovered(member: string): boolean {
-    return this.isInTime(this.after(member).findIndex((m) => !this.isSilent(m)));
+  private hasBackup(member: string): boolean {
+    return this.isWithinLease(
+      this.failoverOrder(member).findIndex((member) => !this.isUnresponsive(member)),
+    );
   }
 
   /**
@@ -92,29 +105,35 @@
    * behind a cut between zones: workers there are kept by a delegate of their zone, which would lose
    * them with a change of leader.
    */
-  private isCoveredForNow(): boolean {
-    const { self, leaseMs } = this.facts;
-    const forMs = leaseMs * HAND_OVER_SHARE;
-    const next = this.after(self).findIndex((m) => !this.isSilent(m, forMs) || this.isCutOff(m));
-    return this.isInTime(next);
+  private hasBackupForNow(): boolean {
+    const { self, leaseMs } = this.options;
+    const forMs = leaseMs * TRANSFER_RATIO;
+    const next = this.failoverOrder(self).findIndex(
+      (member) => !this.isUnresponsive(member, forMs) || this.isPartitioned(member),
+    );
+    return this.isWithinLease(next);
   }
 
   /** Whether nobody in the zone of this controller is heard: another zone, perhaps behind a cut. */
-  private isCutOff(member: string): boolean {
-    const { zones } = this.facts;
-    return this.order.every((m) => zones.get(m) !== zones.get(member) || this.isSilent(m));
+  private isPartitioned(member: string): boolean {
+    const { zones } = this.options;
+    return this.order.every(
+      (method) => zones.get(method) !== zones.get(member) || this.isUnresponsive(method),
+    );
   }
 
   /**
    * Whether the workers of each other zone, if they could reach none but their own, would find a
    * controller there in time. All others are silent to them then, those beside this one as well.
    */
-  private isCoveredAcrossZones(member: string): boolean {
-    const { zones } = this.facts;
-    const after = this.after(member);
-    const others = new Set(after.map((m) => zones.get(m)).filter((z) => z !== zones.get(member)));
+  private hasBackupInEveryZone(member: string): boolean {
+    const { zones } = this.options;
+    const after = this.failoverOrder(member);
+    const others = new Set(
+      after.map((member) => zones.get(member)).filter((z) => z !== zones.get(member)),
+    );
     return [...others].every((zone) =>
-      this.isInTime(after.findIndex((m) => zones.get(m) === zone)),
+      this.isWithinLease(after.findIndex((member) => zones.get(member) === zone)),
     );
   }
 
@@ -123,11 +142,14 @@
    * if it fell silent and that one's would; null: it should not. `serves`: whether the state service
    * serves a controller.
    */
-  handOverTo(serves: (member: string) => boolean): string | null {
-    const { self } = this.facts;
-    if (this.isCoveredForNow()) return null;
-    const better = (m: string): boolean =>
-      m !== self && this.speaks(m) && serves(m) && this.isCovered(m);
+  preferredSuccessor(isStoreAvailableTo: (member: string) => boolean): string | null {
+    const { self } = this.options;
+    if (this.hasBackupForNow()) return null;
+    const better = (member: string): boolean =>
+      member !== self &&
+      this.isResponsive(member) &&
+      isStoreAvailableTo(member) &&
+      this.hasBackup(member);
     return this.order.find(better) ?? null;
   }
 
@@ -135,18 +157,21 @@
    * Whether another controller should lead rather than this one, since its workers would find the
    * next one in time and ours would not. `except`: the last leader, which does not contest.
    */
-  othersFirst(except: string | null): boolean {
-    return this.othersFit((m) => this.isCovered(m), except);
+  shouldYield(except: string | null): boolean {
+    return this.isOutranked((member) => this.hasBackup(member), except);
   }
 
   /** The same for workers of other zones, if the zones were cut off from each other. */
-  othersFirstAcrossZones(except: string | null): boolean {
-    return this.othersFit((m) => this.isCoveredAcrossZones(m), except);
+  shouldYieldAcrossZones(except: string | null): boolean {
+    return this.isOutranked((member) => this.hasBackupInEveryZone(member), except);
   }
 
-  private othersFit(fits: (member: string) => boolean, except: string | null): boolean {
-    const { self } = this.facts;
-    if (fits(self)) return false;
-    return this.order.some((m) => m !== self && m !== except && this.speaks(m) && fits(m));
+  private isOutranked(qualifies: (member: string) => boolean, except: string | null): boolean {
+    const { self } = this.options;
+    if (qualifies(self)) return false;
+    return this.order.some(
+      (member) =>
+        member !== self && member !== except && this.isResponsive(member) && qualifies(member),
+    );
   }
 }
--- a/src/election/term.ts
+++ b/src/election/term.ts
@@ -5,53 +5,55 @@
  * tokens only rise, and the key is not written again during the term.
  */
 export class Term {
-  private readonly over = new AbortController();
-  private until: number;
-  private pledgedUntil = -Infinity;
+  private readonly ended = new AbortController();
+  private leaseExpiresAt: number;
+  private extensionExpiresAt = -Infinity;
 
   constructor(
     readonly id: string,
-    readonly token: number,
+    readonly fencingToken: number,
     readonly startedAt: number,
     until: number,
   ) {
-    this.until = until;
+    this.leaseExpiresAt = until;
     // Every request of the term listens to it.
-    setMaxListeners(0, this.over.signal);
+    setMaxListeners(0, this.ended.signal);
   }
 
   /** True while no other controller can have taken office: by the store's lease or others' votes. */
-  active(now: number): boolean {
-    return !this.over.signal.aborted && now < Math.max(this.until, this.pledgedUntil);
+  isActive(now: number): boolean {
+    return (
+      !this.ended.signal.aborted && now < Math.max(this.leaseExpiresAt, this.extensionExpiresAt)
+    );
   }
 
   /** True while the store's lease alone is enough; only then may anything new be started. */
-  leased(now: number): boolean {
-    return !this.over.signal.aborted && now < this.until;
+  holdsLease(now: number): boolean {
+    return !this.ended.signal.aborted && now < this.leaseExpiresAt;
   }
 
-  extend(until: number): void {
-    this.until = Math.max(this.until, until);
+  renewLease(expiresAt: number): void {
+    this.leaseExpiresAt = Math.max(this.leaseExpiresAt, expiresAt);
   }
 
   /** Votes only prolong a right that has not lapsed: in a gap another may have come and gone. */
-  pledged(now: number, until: number): void {
-    if (this.active(now)) this.pledgedUntil = Math.max(this.pledgedUntil, until);
+  extendByVotes(now: number, expiresAt: number): void {
+    if (this.isActive(now)) this.extensionExpiresAt = Math.max(this.extensionExpiresAt, expiresAt);
   }
 
   /**
    * All other controllers have promised not to contest and vouch that nobody has led since this term
    * began: the right is taken up, also where it had lapsed.
    */
-  vouched(until: number): void {
-    this.pledgedUntil = Math.max(this.pledgedUntil, until);
+  reinstate(expiresAt: number): void {
+    this.extensionExpiresAt = Math.max(this.extensionExpiresAt, expiresAt);
   }
 
   end(): void {
-    this.over.abort(new Error('the term is over'));
+    this.ended.abort(new Error('the term is over'));
   }
 
   get signal(): AbortSignal {
-    return this.over.signal;
+    return this.ended.signal;
   }
 }
--- a/src/election/zone-delegate.ts
+++ b/src/election/zone-delegate.ts
@@ -1,5 +1,6 @@
+import { RequestPriority } from '@leverhatch/core/store';
 import { z } from 'zod/mini';
-import { DRIFT } from '@leverhatch/core/clock';
+import { MAX_CLOCK_DRIFT } from '@leverhatch/core/clock';
 import type { Runtime } from '@leverhatch/core/duty';
 import { KEYS } from '../state/keys.js';
 import type { Store } from '../state/store.js';
@@ -7,9 +8,9 @@
 const zoneDelegateValue = z.object({ member: z.string(), token: z.number() });
 
 /** How long one write of the zone delegate key is good for, as a share of the leader lease. */
-const RIGHT_SHARE = 0.5;
+const DELEGATION_RATIO = 0.5;
 
-export const zoneDelegateRightMs = (lifetimeMs: number): number => lifetimeMs * RIGHT_SHARE;
+export const zoneDelegationMs = (leaderLeaseMs: number): number => leaderLeaseMs * DELEGATION_RATIO;
 
 /**
  * A follower's right to keep alive the workers of its own zone that cannot reach the leader. It
@@ -18,8 +19,8 @@
  * silent machine for gone.
  */
 export class ZoneDelegate {
-  private until = -Infinity;
-  private token = 0;
+  private expiresAt = -Infinity;
+  private fencingToken = 0;
   private version: number | null = null;
   private writing: Promise<void> | null = null;
 
@@ -28,43 +29,43 @@
     private readonly runtime: Runtime,
     private readonly member: string,
     private readonly zone: string,
-    private readonly rightMs: number,
+    private readonly delegationMs: number,
   ) {}
 
   /** Resolves to true if workers that know `token` may be answered now. */
-  async holds(token: number): Promise<boolean> {
+  async holds(fencingToken: number): Promise<boolean> {
     const now = this.runtime.clock.now();
-    const left = this.token === token ? this.until - now : 0;
-    if (left < this.rightMs / 2) {
-      this.writing ??= this.write(token).finally(() => (this.writing = null));
+    const left = this.fencingToken === fencingToken ? this.expiresAt - now : 0;
+    if (left < this.delegationMs / 2) {
+      this.writing ??= this.write(fencingToken).finally(() => (this.writing = null));
       // A right that still holds is prolonged in the background.
       if (left <= 0) await this.writing;
     }
-    return this.token === token && this.runtime.clock.now() < this.until;
+    return this.fencingToken === fencingToken && this.runtime.clock.now() < this.expiresAt;
   }
 
-  private async write(token: number): Promise<void> {
+  private async write(fencingToken: number): Promise<void> {
     const { clock, log, random } = this.runtime;
     const key = KEYS.zoneDelegate(this.zone);
     try {
-      this.version ??= (await this.store.get(key, 0))?.version ?? 0;
+      this.version ??= (await this.store.get(key, RequestPriority.Critical))?.version ?? 0;
       const sentAt = clock.now();
-      const value = { w: random.unique(), member: this.member, token };
-      const outcome = await this.store.txn(
+      const value = { w: random.unique(), member: this.member, token: fencingToken };
+      const outcome = await this.store.tryCommit(
         [
-          { key: KEYS.leader, version: token },
+          { key: KEYS.leader, version: fencingToken },
           { key, version: this.version },
         ],
         [{ put: key, value }],
-        0,
+        RequestPriority.Critical,
       );
       if (!outcome.ok) {
         this.version = null;
         return;
       }
       this.version = outcome.revision;
-      this.token = token;
-      this.until = sentAt + this.rightMs * (1 - DRIFT);
+      this.fencingToken = fencingToken;
+      this.expiresAt = sentAt + this.delegationMs * (1 - MAX_CLOCK_DRIFT);
     } catch (error) {
       // Whether it was written is read again before the next try; nothing is answered on a guess.
       this.version = null;
@@ -76,21 +77,21 @@
 /** The leader's view of the zone delegates: until when one may have answered a zone's workers. */
 export class ZoneDelegateWatch {
   private readonly versions = new Map<string, number>();
-  private readonly bounds = new Map<string, number>();
+  private readonly expiries = new Map<string, number>();
   /** When the last complete refresh began. */
-  confirmedFrom = -Infinity;
+  confirmedAsOf = -Infinity;
   private refreshing = false;
 
   constructor(
     private readonly store: Store,
     private readonly runtime: Runtime,
-    private readonly rightMs: number,
+    private readonly delegationMs: number,
   ) {}
 
   /** Until when a zone delegate may have answered; for an unknown zone the latest of all. */
-  boundOf(zone: string): number {
-    if (zone !== '') return this.bounds.get(zone) ?? -Infinity;
-    return Math.max(-Infinity, ...this.bounds.values());
+  expiryOf(zone: string): number {
+    if (zone !== '') return this.expiries.get(zone) ?? -Infinity;
+    return Math.max(-Infinity, ...this.expiries.values());
   }
 
   async refresh(signal: AbortSignal): Promise<void> {
@@ -106,11 +107,11 @@
           !z.safeParse(zoneDelegateValue, item.value).success ||
           this.versions.get(zone) !== item.version
         ) {
-          this.bounds.set(zone, now + this.rightMs * (1 + DRIFT));
+          this.expiries.set(zone, now + this.delegationMs * (1 + MAX_CLOCK_DRIFT));
         }
         this.versions.set(zone, item.version);
       }
-      this.confirmedFrom = sentAt;
+      this.confirmedAsOf = sentAt;
     } finally {
       this.refreshing = false;
     }
--- a/src/fleet/boot-times.ts
+++ b/src/fleet/boot-times.ts
@@ -1,17 +1,17 @@
 import type { Machine } from './machine.js';
-import type { MachineType } from './types.js';
+import type { MachineType } from './resources.js';
 
 /** After how many boot times a machine is late: it is not counted on, and another takes its place. */
 const LATE_BOOTS = 1.8;
 
 /** After how many boot times a late machine is given up without further evidence. */
-const DEAD_BOOTS = 3;
+const FAILED_BOOTS = 3;
 
 /** The same while several machines of its type are late: then the whole cloud boots slowly. */
-const DEAD_BOOTS_OF_SLOW_CLOUD = 6;
+const SLOW_CLOUD_FAILED_BOOTS = 6;
 
 /** How many late machines of a type tell a slow cloud from a machine that never comes up. */
-const LATE_MACHINES_OF_SLOW_CLOUD = 2;
+const SLOW_CLOUD_LATE_MACHINES = 2;
 
 /** The machine of a type that was rented last among those that have come up. */
 interface Boot {
@@ -30,7 +30,7 @@
   private readonly latest = new Map<string, Boot>();
 
   /** The first report of a machine that was booting has come. */
-  cameUp(type: string, rentedAt: number, now: number): void {
+  recordBoot(type: string, rentedAt: number, now: number): void {
     const before = this.latest.get(type);
     if (before && before.rentedAt > rentedAt) return;
     this.latest.set(type, { rentedAt, tookMs: now - rentedAt });
@@ -42,34 +42,39 @@
   }
 
   /** It has been booting for longer than usual. */
-  late(m: Machine, now: number): boolean {
-    return m.booting && m.type !== null && now - m.rentedAt > this.expectedMs(m.type) * LATE_BOOTS;
+  isLate(machine: Machine, now: number): boolean {
+    return (
+      machine.isBooting &&
+      machine.type !== null &&
+      now - machine.provisionedAt > this.expectedMs(machine.type) * LATE_BOOTS
+    );
   }
 
   /** It is late, and nothing shows yet that others come up sooner. */
-  mayStillCome(m: Machine, now: number, machines: Iterable<Machine>): boolean {
-    return this.late(m, now) && !this.dead(m, now, machines);
+  mayStillBoot(machine: Machine, now: number, machines: Iterable<Machine>): boolean {
+    return this.isLate(machine, now) && !this.hasFailed(machine, now, machines);
   }
 
   /** It is paid for and will not come up. */
-  dead(m: Machine, now: number, machines: Iterable<Machine>): boolean {
-    if (m.type === null || !this.late(m, now)) return false;
-    if (this.overtaken(m, m.type)) return true;
-    const slow = this.isCloudSlow(m.type, now, machines);
-    const patience = slow ? DEAD_BOOTS_OF_SLOW_CLOUD : DEAD_BOOTS;
-    return now - m.rentedAt > this.expectedMs(m.type) * patience;
+  hasFailed(machine: Machine, now: number, machines: Iterable<Machine>): boolean {
+    if (machine.type === null || !this.isLate(machine, now)) return false;
+    if (this.isOvertaken(machine, machine.type)) return true;
+    const slow = this.isCloudSlow(machine.type, now, machines);
+    const patience = slow ? SLOW_CLOUD_FAILED_BOOTS : FAILED_BOOTS;
+    return now - machine.provisionedAt > this.expectedMs(machine.type) * patience;
   }
 
   /** One that was rented no earlier has come up. */
-  private overtaken(m: Machine, type: MachineType): boolean {
-    return (this.latest.get(type.name)?.rentedAt ?? -Infinity) >= m.rentedAt;
+  private isOvertaken(machine: Machine, type: MachineType): boolean {
+    return (this.latest.get(type.name)?.rentedAt ?? -Infinity) >= machine.provisionedAt;
   }
 
   private isCloudSlow(type: MachineType, now: number, machines: Iterable<Machine>): boolean {
     let count = 0;
-    for (const m of machines) {
-      if (m.type?.name !== type.name || m.returning || !this.late(m, now)) continue;
-      if (!this.overtaken(m, type) && ++count >= LATE_MACHINES_OF_SLOW_CLOUD) return true;
+    for (const machine of machines) {
+      if (machine.type?.name !== type.name || machine.isReleasing || !this.isLate(machine, now))
+        continue;
+      if (!this.isOvertaken(machine, type) && ++count >= SLOW_CLOUD_LATE_MACHINES) return true;
     }
     return false;
   }
--- a/src/fleet/types.ts
+++ b/src/fleet/resources.ts
@@ -1,5 +1,5 @@
 /** What one task takes of its machine. */
-export interface Need {
+export interface Resources {
   cpus: number;
   gpus: number;
   memoryGb: number;
@@ -7,7 +7,7 @@
 
 export interface MachineType {
   name: string;
-  room: Need;
+  capacity: Resources;
   cacheGb: number;
   fetchGbPerS: number;
   price: number;
@@ -19,7 +19,7 @@
 /** Sums of decimal amounts may be off in the last digits; this much is not a lack of room. */
 const EPSILON = 1e-6;
 
-export function fits(need: Need, room: Need): boolean {
+export function fits(need: Resources, room: Resources): boolean {
   return (
     need.cpus <= room.cpus + EPSILON &&
     need.gpus <= room.gpus + EPSILON &&
@@ -27,14 +27,14 @@
   );
 }
 
-export function take(room: Need, need: Need, times = 1): void {
+export function subtract(room: Resources, need: Resources, times = 1): void {
   room.cpus -= need.cpus * times;
   room.gpus -= need.gpus * times;
   room.memoryGb -= need.memoryGb * times;
 }
 
 /** How many tasks of `need` go into `room`. */
-export function howMany(need: Need, room: Need): number {
+export function copiesThatFit(need: Resources, room: Resources): number {
   // Asked for every machine many times a round, and most have no room at all.
   if (!fits(need, room)) return 0;
   return Math.min(
--- a/src/http/workers.ts
+++ b/src/http/heartbeat-reader.ts
@@ -1,19 +1,22 @@
 import type { Socket } from 'node:net';
 import {
-  parseReport,
-  redirectAnswer,
-  reportAnswer,
-  type Order,
-  type Report,
-} from '../wire/report.js';
+  parseHeartbeat,
+  redirectResponse,
+  heartbeatResponse,
+  type WorkerCommand,
+  type WorkerHeartbeat,
+} from '../wire/worker-heartbeat.js';
 
-export type ReportOutcome =
-  { kind: 'orders'; token: number; orders: Order[] } | { kind: 'elsewhere'; leader: string | null };
+export type HeartbeatOutcome =
+  | { kind: 'commands'; fencingToken: number; commands: WorkerCommand[] }
+  | { kind: 'redirect'; leader: string | null };
 
-export type Reporter = (report: Report) => ReportOutcome | Promise<ReportOutcome>;
+export type HeartbeatReceiver = (
+  heartbeat: WorkerHeartbeat,
+) => HeartbeatOutcome | Promise<HeartbeatOutcome>;
 
-export const REPORT_PATH = '/v1/report';
-const FIRST_LINE = Buffer.from(`POST ${REPORT_PATH} HTTP/1.1\r\n`);
+export const HEARTBEAT_PATH = '/v1/report';
+const FIRST_LINE = Buffer.from(`POST ${HEARTBEAT_PATH} HTTP/1.1\r\n`);
 const HEADERS_END = '\r\n\r\n';
 /** Longer headers than this are not a worker's. */
 const MAX_HEADERS = 8 * 1024;
@@ -21,7 +24,7 @@
 export const MAX_BODY = 64 * 1024;
 
 /** So many bytes of earlier answers may wait for a worker to read them when it asks again. */
-const MOST_UNREAD = MAX_BODY;
+const MAX_UNREAD_BYTES = MAX_BODY;
 
 /**
  * Reports make up nearly all requests: one a second from every machine, to a leader that has an
@@ -29,10 +32,10 @@
  * much for each as all of our own work on it, and express doubles that. What is not plainly a report
  * is handed, connection and all, to the server for everything else.
  */
-export function readReports(
+export function readHeartbeats(
   socket: Socket,
-  reporter: Reporter,
-  handOver: (socket: Socket, rest: Buffer) => void,
+  receive: HeartbeatReceiver,
+  passOn: (socket: Socket, rest: Buffer) => void,
 ): void {
   let rest: Buffer = Buffer.alloc(0);
   /** A report is being answered: nobody pipelines, but whoever does has to wait, unread. */
@@ -44,38 +47,38 @@
     if (request === 'partial') return;
     if (request === 'other') {
       socket.removeListener('data', onData);
-      handOver(socket, rest);
+      passOn(socket, rest);
       return;
     }
     const { body, end, close } = request;
     rest = rest.subarray(end);
-    const parsed = parseReport(parseJson(body));
+    const parsed = parseHeartbeat(parseJson(body));
     if (!parsed) return reply(400, { error: 'malformed report' }, close);
-    const outcome = reporter(parsed);
+    const outcome = receive(parsed);
     if (!(outcome instanceof Promise)) return answer(outcome, close);
     busy = true;
-    void outcome.then((o) => {
+    void outcome.then((result) => {
       busy = false;
       socket.resume();
-      answer(o, close);
+      answer(result, close);
     });
   };
 
-  const answer = (outcome: ReportOutcome, close: boolean): void => {
-    if (outcome.kind === 'elsewhere') reply(421, redirectAnswer(outcome.leader), close);
-    else reply(200, reportAnswer(outcome.token, outcome.orders), close);
+  const answer = (outcome: HeartbeatOutcome, close: boolean): void => {
+    if (outcome.kind === 'redirect') reply(421, redirectResponse(outcome.leader), close);
+    else reply(200, heartbeatResponse(outcome.fencingToken, outcome.commands), close);
   };
 
   const reply = (status: Status, body: object, close: boolean): void => {
     if (socket.destroyed) return;
     // It asks on and on, and does not read what it is answered.
-    if (socket.writableLength > MOST_UNREAD) return void socket.destroy();
+    if (socket.writableLength > MAX_UNREAD_BYTES) return void socket.destroy();
     const payload = JSON.stringify(body);
     // One write for head and body: each is a system call and a packet.
-    const head = `HTTP/1.1 ${status} ${REASONS[status]}\r\ncontent-type: application/json\r\ncontent-length: ${Buffer.byteLength(payload)}\r\n${close ? 'connection: close\r\n' : ''}\r\n`;
-    if (close) socket.end(head + payload);
+    const manifest = `HTTP/1.1 ${status} ${REASONS[status]}\r\ncontent-type: application/json\r\ncontent-length: ${Buffer.byteLength(payload)}\r\n${close ? 'connection: close\r\n' : ''}\r\n`;
+    if (close) socket.end(manifest + payload);
     else {
-      socket.write(head + payload);
+      socket.write(manifest + payload);
       take();
     }
   };
--- a/src/jobs/cancellation-log.ts
+++ b/src/jobs/cancellation-log.ts
@@ -7,7 +7,7 @@
  */
 export class CancellationLog {
   /** When each job was first told to be cancelled, oldest first. */
-  private readonly toldAt = new Map<string, number>();
+  private readonly announcedAt = new Map<string, number>();
   /** From when on no entry is missing. */
   private completeFrom: number;
 
@@ -15,34 +15,34 @@
   constructor(
     private readonly clock: Clock,
     startedAt: number,
-    private readonly keepMs: number,
-    private readonly most: number,
+    private readonly retentionMs: number,
+    private readonly maxEntries: number,
   ) {
     this.completeFrom = startedAt;
   }
 
   /** To be called before a user is told; true if no user has been told here lately. */
   add(id: string): boolean {
-    if (this.toldAt.has(id)) return false;
-    this.toldAt.set(id, this.clock.now());
-    this.drop();
+    if (this.announcedAt.has(id)) return false;
+    this.announcedAt.set(id, this.clock.now());
+    this.dropExpired();
     return true;
   }
 
   /** Every job told to be cancelled at or after `from`; null if that is not known for certain. */
   since(from: number): string[] | null {
-    this.drop();
+    this.dropExpired();
     if (from < this.completeFrom) return null;
     const ids: string[] = [];
-    for (const [id, at] of this.toldAt) if (at >= from) ids.push(id);
+    for (const [id, at] of this.announcedAt) if (at >= from) ids.push(id);
     return ids;
   }
 
-  private drop(): void {
-    const old = this.clock.now() - this.keepMs;
-    for (const [id, at] of this.toldAt) {
-      if (at >= old && this.toldAt.size <= this.most) return;
-      this.toldAt.delete(id);
+  private dropExpired(): void {
+    const old = this.clock.now() - this.retentionMs;
+    for (const [id, at] of this.announcedAt) {
+      if (at >= old && this.announcedAt.size <= this.maxEntries) return;
+      this.announcedAt.delete(id);
       this.completeFrom = Math.max(this.completeFrom, at);
     }
   }
--- a/src/jobs/done-tasks.ts
+++ b/src/jobs/completed-tasks.ts
@@ -2,7 +2,7 @@
 export type TaskRanges = [number, number][];
 
 /** Which tasks of a job are done: one byte for each, as arrays may have 100,000. */
-export class DoneTasks {
+export class CompletedTasks {
   private readonly flags: Uint8Array;
   private total = 0;
 
@@ -30,7 +30,7 @@
   /** Those in `ranges` are done as well; numbers beyond the job's tasks mean nothing. */
   addRanges(ranges: TaskRanges): void {
     for (const [from, to] of ranges) {
-      for (let t = from; t <= to && t < this.flags.length; t++) this.add(t);
+      for (let task = from; task <= to && task < this.flags.length; task++) this.add(task);
     }
   }
 
@@ -43,11 +43,11 @@
   /** The tasks from `from` up to but without `to` that are done. */
   ranges(from: number, to: number): TaskRanges {
     const ranges: TaskRanges = [];
-    for (let t = from; t < to; t++) {
-      if (!this.has(t)) continue;
+    for (let task = from; task < to; task++) {
+      if (!this.has(task)) continue;
       const last = ranges[ranges.length - 1];
-      if (last && last[1] === t - 1) last[1] = t;
-      else ranges.push([t, t]);
+      if (last && last[1] === task - 1) last[1] = task;
+      else ranges.push([task, task]);
     }
     return ranges;
   }
--- a/src/jobs/dependencies.ts
+++ b/src/jobs/dependencies.ts
@@ -1,7 +1,7 @@
 import { createHash } from 'node:crypto';
 import { KEYS } from '../state/keys.js';
 import type { Change, Store } from '../state/store.js';
-import { parseNeedsPiece, type NeedsRecord } from './records.js';
+import { parseDependencyChunk, type DependenciesRecord } from './records.js';
 
 /**
  * How the jobs that a job waits for are stored. A few of them go into the job's own record: no
@@ -16,12 +16,12 @@
  */
 export interface StoredDependencies {
   /** What the job's record says; undefined: it waits for nothing. */
-  needs: NeedsRecord | undefined;
+  needs: DependenciesRecord | undefined;
   /** What has to be in the store before the job's record is. */
-  pieces: Piece[];
+  chunks: DependencyChunk[];
 }
 
-export type Piece = Extract<Change, { put: string }> & { bytes: number };
+export type DependencyChunk = Extract<Change, { put: string }> & { bytes: number };
 
 /** The store's limits, as far as they bound what is written here. */
 export interface WriteLimits {
@@ -30,13 +30,13 @@
 }
 
 /** Which share of a value's limit dependencies may take in the job's own record. */
-const INLINE_SHARE = 1 / 8;
+const INLINE_RATIO = 1 / 8;
 
 /** Which share of a value's limit a piece fills; the rest leaves room for how a store counts. */
-const PIECE_SHARE = 0.8;
+const CHUNK_FILL_RATIO = 0.8;
 
 /** What all changes of one transaction may hold together: the limit is 64 KiB with its conditions. */
-const TXN_BYTES = 48 * 1024;
+const MAX_TRANSACTION_BYTES = 48 * 1024;
 
 /** Quotes and a comma. */
 const BYTES_BESIDE_ID = 3;
@@ -49,18 +49,18 @@
   dependencies: readonly string[],
   limits: WriteLimits,
 ): StoredDependencies {
-  if (dependencies.length === 0) return { needs: undefined, pieces: [] };
-  if (bytesOf(dependencies) <= limits.valueBytes * INLINE_SHARE) {
-    return { needs: { ids: [...dependencies] }, pieces: [] };
+  if (dependencies.length === 0) return { needs: undefined, chunks: [] };
+  if (bytesOf(dependencies) <= limits.valueBytes * INLINE_RATIO) {
+    return { needs: { ids: [...dependencies] }, chunks: [] };
   }
-  const lists = split(dependencies, limits.valueBytes * PIECE_SHARE);
+  const lists = split(dependencies, limits.valueBytes * CHUNK_FILL_RATIO);
   const mark = createHash('sha256').update(JSON.stringify(lists)).digest('hex').slice(0, 32);
   const pieces = lists.map((ids, i) => ({
-    put: KEYS.need(id, mark, i),
+    put: KEYS.dependencyChunk(id, mark, i),
     value: { ids },
     bytes: bytesOf(ids),
   }));
-  return { needs: { mark, pieces: pieces.length }, pieces };
+  return { needs: { mark, pieces: pieces.length }, chunks: pieces };
 }
 
 function split(ids: readonly string[], mostBytes: number): string[][] {
@@ -79,12 +79,15 @@
 }
 
 /** Groups of pieces that fit into one transaction each. */
-export function groupPieces(pieces: readonly Piece[], limits: WriteLimits): Piece[][] {
-  const groups: Piece[][] = [];
+export function groupChunks(
+  pieces: readonly DependencyChunk[],
+  limits: WriteLimits,
+): DependencyChunk[][] {
+  const groups: DependencyChunk[][] = [];
   let bytes = 0;
   for (const piece of pieces) {
     const group = groups[groups.length - 1];
-    if (!group || group.length >= limits.txnOps || bytes + piece.bytes > TXN_BYTES) {
+    if (!group || group.length >= limits.txnOps || bytes + piece.bytes > MAX_TRANSACTION_BYTES) {
       groups.push([piece]);
       bytes = piece.bytes;
     } else {
@@ -103,16 +106,16 @@
 export async function readDependencies(
   store: Store,
   id: string,
-  needs: NeedsRecord | undefined,
+  needs: DependenciesRecord | undefined,
   signal?: AbortSignal,
 ): Promise<string[] | null> {
   if (!needs) return [];
   if ('ids' in needs) return needs.ids;
-  const { items } = await store.range(KEYS.needsOf(id, needs.mark), signal);
-  const values = new Map(items.map((e) => [e.key, e.value]));
+  const { items } = await store.range(KEYS.dependencyChunks(id, needs.mark), signal);
+  const values = new Map(items.map((entry) => [entry.key, entry.value]));
   const all: string[] = [];
   for (let i = 0; i < needs.pieces; i++) {
-    const ids = parseNeedsPiece(values.get(KEYS.need(id, needs.mark, i)));
+    const ids = parseDependencyChunk(values.get(KEYS.dependencyChunk(id, needs.mark, i)));
     if (!ids) return null;
     // One by one: spreading thousands of arguments has a limit.
     for (const dependency of ids) all.push(dependency);
--- a/src/jobs/feasible.ts
+++ b/src/jobs/feasibility.ts
@@ -1,9 +1,9 @@
-import { fits, type MachineType } from '../fleet/types.js';
+import { fits, type MachineType } from '../fleet/resources.js';
 import type { Team } from '../settings/deploy.js';
 import type { JobSpec } from './job.js';
 
 /** Why a job can never run; null if it can. */
-export function whyInfeasible(
+export function infeasibleReason(
   spec: JobSpec,
   teams: ReadonlyMap<string, Pick<Team, 'limit'>>,
   types: ReadonlyMap<string, MachineType>,
@@ -11,10 +11,10 @@
   const team = teams.get(spec.team);
   if (!team) return `unknown team ${spec.team}`;
   const fitting = [...types.values()].some(
-    (t) =>
-      (spec.types === null || spec.types.includes(t.name)) &&
-      (spec.zone === null || t.zones.includes(spec.zone)) &&
-      fits(spec.need, t.room),
+    (type) =>
+      (spec.types === null || spec.types.includes(type.name)) &&
+      (spec.zone === null || type.zones.includes(spec.zone)) &&
+      fits(spec.need, type.capacity),
   );
   if (!fitting) return 'a task fits no allowed machine type';
   const atOnce = spec.kind === 'array' ? 1 : spec.tasks;
--- a/src/jobs/job-reader.ts
+++ b/src/jobs/job-reader.ts
@@ -1,19 +1,20 @@
+import { RequestPriority } from '@leverhatch/core/store';
 import { KEYS } from '../state/keys.js';
 import type { Entry, RequestClass, Store } from '../state/store.js';
 
 /** Up to so many records are read one by one, at the cost of a request each. */
-export const MOST_SINGLE_READS = 4;
+export const MAX_SINGLE_READS = 4;
 
 /** Pages hold at least so many records: jobs that were submitted together have close names. */
-const LEAST_PAGE = 200;
-const MOST_PAGE = 1000;
+const MIN_PAGE = 200;
+const MAX_PAGE = 1000;
 
 export interface ReadOptions {
   signal?: AbortSignal;
   /** On whose behalf the store is asked; the most urgent work unless given. */
-  from?: RequestClass;
+  requestClass?: RequestClass;
   /** Is told of all other records on the pages, which are as large as can be then. */
-  alsoRead?(entry: Entry): void;
+  onOtherEntry?(entry: Entry): void;
 }
 
 /**
@@ -24,19 +25,23 @@
 export async function readJobEntries(
   store: Store,
   ids: readonly string[],
-  { signal, from = 0, alsoRead }: ReadOptions = {},
+  {
+    signal,
+    requestClass: requestClass = RequestPriority.Critical,
+    onOtherEntry: onOtherEntry,
+  }: ReadOptions = {},
 ): Promise<Map<string, Entry>> {
-  if (ids.length <= MOST_SINGLE_READS) return readOneByOne(store, ids, from, signal);
-  const leastPage = alsoRead ? MOST_PAGE : LEAST_PAGE;
+  if (ids.length <= MAX_SINGLE_READS) return readOneByOne(store, ids, requestClass, signal);
+  const leastPage = onOtherEntry ? MAX_PAGE : MIN_PAGE;
   const found = new Map<string, Entry>();
   const wanted = new Set(ids.map(KEYS.job));
   const keys = [...wanted].sort();
   for (let next = 0; next < keys.length;) {
-    const limit = Math.min(MOST_PAGE, Math.max(leastPage, keys.length - next));
-    const page = await store.page(KEYS.jobs, justBefore(keys[next]!), limit, signal, from);
-    for (const e of page.items) {
-      if (wanted.has(e.key)) found.set(e.key.slice(KEYS.jobs.length), e);
-      else alsoRead?.(e);
+    const limit = Math.min(MAX_PAGE, Math.max(leastPage, keys.length - next));
+    const page = await store.page(KEYS.jobs, justBefore(keys[next]!), limit, signal, requestClass);
+    for (const entry of page.items) {
+      if (wanted.has(entry.key)) found.set(entry.key.slice(KEYS.jobs.length), entry);
+      else onOtherEntry?.(entry);
     }
     const last = page.items[page.items.length - 1]?.key;
     if (!page.more || last === undefined) break;
@@ -53,8 +58,8 @@
 ): Promise<Map<string, Entry>> {
   const entries = await Promise.all(ids.map((id) => store.get(KEYS.job(id), from, signal)));
   const found = new Map<string, Entry>();
-  entries.forEach((e, i) => {
-    if (e) found.set(ids[i]!, e);
+  entries.forEach((entry, i) => {
+    if (entry) found.set(ids[i]!, entry);
   });
   return found;
 }
--- a/src/jobs/ledger.ts
+++ b/src/jobs/job-record-writer.ts
@@ -1,20 +1,20 @@
 import type { Term } from '../election/term.js';
 import type { Runtime } from '@leverhatch/core/duty';
 import { KEYS } from '../state/keys.js';
-import { jsonBytes, type StoreLimits } from '../state/limits.js';
-import type { Change, Refused, Store } from '../state/store.js';
+import { jsonBytes, type StoreLimits } from '../state/store-limits.js';
+import type { Change, RequestRejectedError, Store } from '../state/store.js';
 import type { JobPhase } from './job.js';
 import type { StartFence } from './start-fence.js';
-import { canClose, TransactionBuilder, type JobTransaction } from './job-transaction.js';
+import { canArchive, TransactionBuilder, type JobTransaction } from './job-transaction.js';
 import type { Job, Placement } from './tracked-job.js';
 import { LeftoverRecords } from './leftover-records.js';
 import { tasksPerRange, type JobRecord } from './records.js';
 import type { LayoutPolicy } from './run-layout.js';
 import { recordRemoved, TransactionCommitter } from './transaction-committer.js';
-import { WriteRefusals } from './write-refusals.js';
+import { WriteRejections } from './write-rejections.js';
 
 /** How many times the ends of a job's tasks wait while writes queue. */
-const MOST_ENDS_WAITS = 4;
+const MAX_EXIT_BATCHES = 4;
 
 /** A transaction that is about to be written. */
 interface JobWrite {
@@ -24,22 +24,22 @@
   /** Starts that it records. */
   starts: Placement[];
   /** Exited starts whose end it records. */
-  ends: Placement[];
+  exits: Placement[];
 }
 
-export interface LedgerEvents {
+export interface JobRecordEvents {
   /** The job's own record was changed by another node: cancelled by its user. */
   jobChanged(job: Job, version: number, record: JobRecord): void;
   /** These starts are in the store and may be sent. */
-  recorded(placements: Placement[]): void;
+  startsRecorded(placements: Placement[]): void;
   /** The end of these starts is in the store and may be forgotten. */
-  forgotten(placements: Placement[]): void;
+  exitsRecorded(placements: Placement[]): void;
   /** The store holds something that only another leader could have written. */
   contradiction(what: string): void;
   /** The store holds the job's final state. */
-  ended(job: Job, phase: JobPhase): void;
+  endRecorded(job: Job, phase: JobPhase): void;
   /** Nothing of the job is left to be written. */
-  settled(job: Job): void;
+  archived(job: Job): void;
 }
 
 /**
@@ -47,9 +47,9 @@
  * conditioned on the leader key and on the records it replaces; one that adds starts also on the
  * job's own record, so that a cancelled job cannot start.
  */
-export class Ledger {
+export class JobRecordWriter {
   private writes = 0;
-  private readonly refusals: WriteRefusals;
+  private readonly refusals: WriteRejections;
   readonly leftovers: LeftoverRecords;
   private readonly builder: TransactionBuilder;
   private readonly committer: TransactionCommitter;
@@ -59,41 +59,49 @@
     private readonly runtime: Runtime,
     private readonly term: Term,
     limits: StoreLimits,
-    private readonly layouts: LayoutPolicy,
-    private readonly endsWaitMs: number,
-    private readonly events: LedgerEvents,
+    private readonly layoutPolicy: LayoutPolicy,
+    private readonly exitBatchMs: number,
+    private readonly events: JobRecordEvents,
     private readonly startFences: readonly StartFence[] = [],
   ) {
-    this.refusals = new WriteRefusals(limits, endsWaitMs);
+    this.refusals = new WriteRejections(limits, exitBatchMs);
     this.leftovers = new LeftoverRecords(store, runtime, term);
     // A leader of an earlier version would take them for records that it cannot read.
     this.builder = new TransactionBuilder(
       runtime,
       term,
       this.refusals,
-      () => layouts.leftoversKnown() && store.writesWaiting > 0 && !this.leftovers.full,
+      () => layoutPolicy.leftoversKnown() && store.queuedWrites > 0 && !this.leftovers.isFull,
     );
     this.committer = new TransactionCommitter(store, term, {
       jobChanged: (job, version, record) => events.jobChanged(job, version, record),
-      refused: (job, changes, error) => this.refused(job, changes, error),
+      rejected: (job, changes, error) => this.onRejected(job, changes, error),
       startConditionFailed: async (condition) => {
-        const fence = startFences.find((f) => f.condition().key === condition.key);
+        const fence = startFences.find(
+          (startFence) => startFence.condition().key === condition.key,
+        );
         await fence?.conditionFailed(condition);
       },
     });
   }
 
   flush(job: Job): void {
-    if (job.writing || job.unreadable || this.term.signal.aborted || !this.needsWrite(job)) return;
+    if (
+      job.isWriteInFlight ||
+      job.isUnreadable ||
+      this.term.signal.aborted ||
+      !this.needsWrite(job)
+    )
+      return;
     if (this.refusals.retryAt(job) > this.runtime.clock.now()) return;
-    job.writing = true;
+    job.isWriteInFlight = true;
     void this.write(job)
       .catch((error: unknown) => {
         if (this.term.signal.aborted) return;
         this.events.contradiction(`${job.id}: ${String(error)}`);
       })
       .finally(() => {
-        job.writing = false;
+        job.isWriteInFlight = false;
         this.flush(job);
       });
   }
@@ -103,12 +111,12 @@
    * successor learns them from there. So the ends of a large array share a few writes, and while
    * writes queue they wait longer: a write that is under way would hold up the job's next starts.
    */
-  flushEnds(job: Job): void {
+  flushExits(job: Job): void {
     if (job.phase !== 'open') return this.flush(job);
-    if (job.endsWait) return;
-    job.endsWait = true;
-    void this.collectEnds(job).then(() => {
-      job.endsWait = false;
+    if (job.isExitFlushPending) return;
+    job.isExitFlushPending = true;
+    void this.collectExits(job).then(() => {
+      job.isExitFlushPending = false;
       this.flush(job);
     });
   }
@@ -118,43 +126,43 @@
    * `rewriting` is false again once it is done.
    */
   rewrite(job: Job): void {
-    if (job.phase !== 'open' || job.unreadable || job.closed) return;
-    job.rewriting = true;
+    if (job.phase !== 'open' || job.isUnreadable || job.isArchived) return;
+    job.isRewriting = true;
     this.flush(job);
   }
 
-  private async collectEnds(job: Job): Promise<void> {
-    for (let i = 0; i < MOST_ENDS_WAITS; i++) {
-      await this.runtime.clock.sleep(this.endsWaitMs, this.term.signal);
-      if (this.store.writesWaiting === 0 || !job.dirty) return;
+  private async collectExits(job: Job): Promise<void> {
+    for (let i = 0; i < MAX_EXIT_BATCHES; i++) {
+      await this.runtime.clock.sleep(this.exitBatchMs, this.term.signal);
+      if (this.store.queuedWrites === 0 || !job.dirty) return;
     }
   }
 
   private needsWrite(job: Job): boolean {
     // Of a closed job nothing is written again: its records would come back without their job.
-    if (job.closed) return false;
-    if (job.phase === 'open') return job.dirty || job.rewriting;
+    if (job.isArchived) return false;
+    if (job.phase === 'open') return job.dirty || job.isRewriting;
     // Of a job that is over, what still runs is recorded already, and more than that does no harm.
-    return !job.phaseStored || canClose(job);
+    return !job.isPhaseStored || canArchive(job);
   }
 
-  private tag(): string {
+  private nextWriteId(): string {
     return `${this.term.id}/${++this.writes}`;
   }
 
   private async write(job: Job): Promise<void> {
-    const w = this.tag();
+    const writeId = this.nextWriteId();
     this.chooseLayout(job);
-    const write = this.prepare(job, w);
+    const write = this.prepare(job, writeId);
     const { transaction } = write;
-    if (transaction.then.length === 0) {
-      job.rewriting = false;
+    if (transaction.changes.length === 0) {
+      job.isRewriting = false;
       return;
     }
-    const wasDirty = transaction.sections.filter((s) => s.dirty);
-    transaction.background = job.rewriting && wasDirty.length === 0;
+    const wasDirty = transaction.sections.filter((section) => section.dirty);
+    transaction.background = job.isRewriting && wasDirty.length === 0;
     for (const section of transaction.sections) section.dirty = false;
-    const revision = await this.committer.commit(job, w, transaction);
+    const revision = await this.committer.commit(job, writeId, transaction);
     if (revision === null) {
       for (const section of wasDirty) section.dirty = true;
       return;
@@ -163,29 +171,33 @@
   }
 
   /** The next transaction of a job, and the starts and ends of its tasks that it stores. */
-  private prepare(job: Job, w: string): JobWrite {
-    const transaction = this.builder.build(job, w);
-    const fresh = [...job.placements.values()].filter((p) => p.stage === 'recording');
+  private prepare(job: Job, writeId: string): JobWrite {
+    const transaction = this.builder.build(job, writeId);
+    const fresh = [...job.placements.values()].filter(
+      (placement) => placement.stage === 'recording',
+    );
     // Starts in sections that did not fit into this transaction stay unsent until theirs is written.
-    const inside = (p: Placement): boolean =>
-      transaction.sections.some((s) => p.task >= s.from && p.task < s.to);
+    const inside = (placement: Placement): boolean =>
+      transaction.sections.some(
+        (section) => placement.task >= section.from && placement.task < section.to,
+      );
     const starts = fresh.filter(inside);
-    const ends = transaction.closes ? job.exited : job.exited.filter(inside);
+    const ends = transaction.archives ? job.unrecordedExits : job.unrecordedExits.filter(inside);
     const { jobRecord } = transaction;
     if (jobRecord !== null || starts.length > 0) {
-      transaction.when.push({ key: KEYS.job(job.id), version: job.version });
+      transaction.conditions.push({ key: KEYS.job(job.id), version: job.version });
     }
     if (starts.length > 0) {
       transaction.startConditions = this.startFences.map((fence) => fence.condition());
-      transaction.when.push(...transaction.startConditions);
+      transaction.conditions.push(...transaction.startConditions);
     }
-    if (jobRecord !== null) transaction.then.push({ put: KEYS.job(job.id), value: jobRecord });
-    return { transaction, phase: job.phase, starts, ends };
+    if (jobRecord !== null) transaction.changes.push({ put: KEYS.job(job.id), value: jobRecord });
+    return { transaction, phase: job.phase, starts, exits: ends };
   }
 
   /** The store holds what was written. */
   private applied(job: Job, write: JobWrite, revision: number): void {
-    const { transaction, phase, starts, ends } = write;
+    const { transaction, phase, starts, exits: exits } = write;
     for (const section of transaction.sections) {
       section.version = revision;
       section.inherited = false;
@@ -193,23 +205,23 @@
     for (const record of transaction.removed) recordRemoved(job, record);
     if (transaction.jobRecord !== null) {
       job.version = revision;
-      if (phase === job.phase) job.phaseStored = true;
-      if (transaction.closes) job.closed = true;
+      if (phase === job.phase) job.isPhaseStored = true;
+      if (transaction.archives) job.isArchived = true;
       this.leftovers.add(transaction.leftovers);
-      this.events.ended(job, phase);
+      this.events.endRecorded(job, phase);
     }
-    const ended = new Set(ends);
-    job.exited = job.exited.filter((p) => !ended.has(p));
-    this.events.recorded(starts);
-    this.events.forgotten(ends);
-    if (job.closed) this.events.settled(job);
+    const ended = new Set(exits);
+    job.unrecordedExits = job.unrecordedExits.filter((placement) => !ended.has(placement));
+    this.events.startsRecorded(starts);
+    this.events.exitsRecorded(exits);
+    if (job.isArchived) this.events.archived(job);
   }
 
   /** Ranged records where all controllers read them and records must shrink, or one was refused. */
   private chooseLayout(job: Job): void {
     if (job.layout.kind === 'ranged' || job.phase !== 'open') return;
-    if (!this.layouts.rangesReadable()) return;
-    if (!this.layouts.rangesWanted() && !this.refusals.has(job)) return;
+    if (!this.layoutPolicy.rangesReadable()) return;
+    if (!this.layoutPolicy.rangesWanted() && !this.refusals.has(job)) return;
     const perRange = tasksPerRange(this.refusals.limitsFor(job).valueBytes);
     job.useRangedRecords(perRange);
     this.refusals.layoutChanged(job);
@@ -217,14 +229,16 @@
   }
 
   /** The store refuses this write for good, which stops the progress of this job alone. */
-  private refused(job: Job, changes: Change[], error: Refused): void {
+  private onRejected(job: Job, changes: Change[], error: RequestRejectedError): void {
     const { clock, log } = this.runtime;
     const first = !this.refusals.has(job);
     const waitMs = this.refusals.add(job, clock.now());
-    job.rewriting = false;
+    job.isRewriting = false;
     if (first) {
-      const sizes = changes.map((c) =>
-        'put' in c ? { key: c.put, bytes: jsonBytes(c.value) } : { key: c.delete },
+      const sizes = changes.map((change) =>
+        'put' in change
+          ? { key: change.put, bytes: jsonBytes(change.value) }
+          : { key: change.delete },
       );
       log.error({ job: job.id, error: String(error), changes: sizes }, 'job cannot be written');
     }
