--- a/src/http/connection-tracker.ts
+++ b/src/http/connection-tracker.ts
@@ -1,22 +1,25 @@
+/** Bounds on the connections from outside. */
 import type { Socket } from 'node:net';
 
-/** Nobody pipelines requests: a connection with more of them without an answer is closed. */
+/** Clients do not pipeline requests: a connection with more unanswered requests is closed. */
 const MAX_PIPELINED_REQUESTS = 4;
 
 /**
- * Connections from outside, kept within what the machine allows. Whoever comes last is refused by a
- * machine without free sockets, and after a failure that would be workers, whose leases run: so
- * users' connections on which nothing is asked give way, the longest idle first; and while there are
- * too many all the same, each of them is closed with its next answer.
+ * Connections from outside, kept within what the machine allows. A machine without free sockets refuses
+ * new connections, and after a failover these are workers', whose leases run out. So users' idle
+ * connections are closed, the longest idle first, and while there are still too many connections each
+ * user's is closed after its next answer.
  */
 export class ConnectionTracker {
   private readonly open = new Set<Socket>();
+  /** Users' connections without a request, the longest idle first. */
   private readonly idle = new Set<Socket>();
-  /** Users' requests without an answer, on each connection that has any. */
+  /** Users' unanswered requests, for each connection that has any. */
   private readonly unanswered = new Map<Socket, number>();
 
   constructor(private readonly maxConnections: number) {}
 
+  /** A connection was opened. */
   add(socket: Socket): void {
     this.open.add(socket);
     socket.once('close', () => {
@@ -25,19 +28,18 @@
       this.unanswered.delete(socket);
     });
     if (!this.isOverCapacity) return;
-    for (const longest of this.idle) {
-      this.idle.delete(longest);
-      longest.destroy();
-      break;
-    }
+    const [longestIdle] = this.idle;
+    if (longestIdle === undefined) return;
+    this.idle.delete(longestIdle);
+    longestIdle.destroy();
   }
 
-  /** There are more than the machine has room for. */
+  /** There are more connections than the machine has room for. */
   get isOverCapacity(): boolean {
     return this.open.size > this.maxConnections;
   }
 
-  /** A user asks something on it; false if it has been closed for asking too much at once. */
+  /** A user's request arrived; false if its connection is closed for too many of them at once. */
   requestStarted(socket: Socket): boolean {
     this.idle.delete(socket);
     const unanswered = (this.unanswered.get(socket) ?? 0) + 1;
@@ -47,17 +49,18 @@
     return false;
   }
 
-  /** The user has an answer and keeps the connection. */
+  /** A user's request was answered, and its connection stays open. */
   requestEnded(socket: Socket): void {
-    const left = (this.unanswered.get(socket) ?? 1) - 1;
-    if (left > 0) {
-      this.unanswered.set(socket, left);
+    const remaining = (this.unanswered.get(socket) ?? 1) - 1;
+    if (remaining > 0) {
+      this.unanswered.set(socket, remaining);
       return;
     }
     this.unanswered.delete(socket);
     if (this.open.has(socket)) this.idle.add(socket);
   }
 
+  /** Closes all connections. */
   closeAll(): void {
     for (const socket of this.open) socket.destroy();
   }
--- a/src/http/server.ts
+++ b/src/http/server.ts
@@ -1,43 +1,45 @@
+/** HTTP server of a controller: workers, users and health checks. */
 import {
   createServer,
   type IncomingMessage,
   type RequestListener,
+  type Server as HttpServer,
   type ServerResponse,
 } from 'node:http';
-import { createServer as createNetServer, type Server } from 'node:net';
+import { createServer as createNetServer, type Server, type Socket } from 'node:net';
 import express, { type ErrorRequestHandler, type Express, type Response } from 'express';
 import type { ApiResponse, JobApi } from '../jobs/job-api.js';
 import type { Logger } from '@leverhatch/core/log';
-import {
-  parseHeartbeat,
-  redirectResponse,
-  heartbeatResponse,
-  type WorkerHeartbeat,
-} from '../wire/worker-heartbeat.js';
+import { parseHeartbeat, type WorkerHeartbeat } from '../wire/worker-heartbeat.js';
 import { ConnectionTracker } from './connection-tracker.js';
 import {
-  MAX_BODY,
-  readHeartbeats,
+  answerOf,
   HEARTBEAT_PATH,
+  MALFORMED_HEARTBEAT,
+  MAX_BODY_BYTES,
+  readHeartbeats,
   type HeartbeatOutcome,
 } from './heartbeat-reader.js';
+import { parseHostPort } from './host-port.js';
 
+/** What the server needs of a controller. */
 export interface ControllerService {
   jobApi: JobApi;
   receiveHeartbeat(heartbeat: WorkerHeartbeat): HeartbeatOutcome | Promise<HeartbeatOutcome>;
+  /** Whether the load balancer should send users here. */
   ready(): boolean;
 }
 
 const READY_PATH = '/ready';
 
-/** A question about a job in its ordinary form. */
+/** The path of a query in its ordinary form. */
 const JOB_QUERY = /^\/work\/(req-\d{1,20})$/;
 
 /**
- * What users, workers and health checks see of a controller. Questions about jobs are by far the most
- * of what users send, and in a storm all that counts is what one costs: they are answered with
- * `node:http` alone, at 8 microseconds of processor time on a developer's machine against 58 through
- * express, the work behind the answer apart.
+ * Answers the requests of users and health checks, and heartbeats of unusual form. Queries are by far
+ * the most frequent requests of users, and in a storm their cost decides: they are answered with
+ * `node:http` alone, which takes 8 microseconds of processor time on a developer's machine against 58
+ * through express, without the work behind the answer.
  */
 export function createApp(
   service: ControllerService,
@@ -48,9 +50,12 @@
   const app = createExpress(service, log);
   return (req, res) => {
     const id = req.method === 'GET' ? JOB_QUERY.exec(req.url ?? '')?.[1] : undefined;
-    if (id === undefined) return app(req, res);
+    if (id === undefined) {
+      app(req, res);
+      return;
+    }
     service.jobApi.query(id, isOverCapacity()).then(
-      (a) => sendAnswer(res, service, a),
+      (answer) => sendAnswer(res, service, answer),
       (error: unknown) => sendInternalError(res, log, error),
     );
   };
@@ -60,7 +65,7 @@
   const app = express();
   app.disable('x-powered-by');
   app.disable('etag');
-  const json = express.json({ limit: MAX_BODY, strict: false, type: () => true });
+  const json = express.json({ limit: MAX_BODY_BYTES, strict: false, type: () => true });
 
   app
     .route(READY_PATH)
@@ -81,15 +86,15 @@
     .route('/work/:id/abort')
     .post(async (req, res) => sendAnswer(res, service, await service.jobApi.cancel(req.params.id)))
     .all(sendWrongMethod);
-  // Reports of unusual form; the others are read from the socket.
+  // Heartbeats of unusual form; the others are read from the socket.
   app
     .route(HEARTBEAT_PATH)
     .post(json, async (req, res) => {
-      const report = parseHeartbeat(req.body);
-      if (!report) return sendJson(res, 400, { error: 'malformed report' });
-      const outcome = await service.receiveHeartbeat(report);
-      if (outcome.kind === 'redirect') sendJson(res, 421, redirectResponse(outcome.leader));
-      else sendJson(res, 200, heartbeatResponse(outcome.fencingToken, outcome.commands));
+      const heartbeat = parseHeartbeat(req.body);
+      const answer = heartbeat
+        ? answerOf(await service.receiveHeartbeat(heartbeat))
+        : MALFORMED_HEARTBEAT;
+      sendJson(res, answer.status, answer.body);
     })
     .all(sendWrongMethod);
   app.use((_req, res) => void sendJson(res, 404, { error: 'no such path' }));
@@ -98,13 +103,13 @@
 }
 
 /**
- * A controller that calls itself unable lets its users go with the refusal: the load balancer looks
- * at new connections only, and would move the others seconds later.
+ * A controller that is not ready closes users' connections with its 503: the load balancer chooses a
+ * controller for new connections only, and would keep the others here for seconds.
  */
-function sendAnswer(res: ServerResponse, service: ControllerService, a: ApiResponse): void {
-  if (a.status === 503 && !service.ready()) res.setHeader('connection', 'close');
-  if (a.retryAfter !== undefined) res.setHeader('retry-after', String(a.retryAfter));
-  sendJson(res, a.status, a.body);
+function sendAnswer(res: ServerResponse, service: ControllerService, answer: ApiResponse): void {
+  if (answer.status === 503 && !service.ready()) res.setHeader('connection', 'close');
+  if (answer.retryAfter !== undefined) res.setHeader('retry-after', String(answer.retryAfter));
+  sendJson(res, answer.status, answer.body);
 }
 
 function sendWrongMethod(_req: unknown, res: Response): void {
@@ -128,16 +133,21 @@
   sendJson(res, 500, { error: 'internal error' });
 }
 
-/** Connections stay open until a side says otherwise; users come back about every 5 s. */
+/** How long an idle connection is kept, in milliseconds; users send a request about every 5 s. */
 const KEEP_ALIVE_MS = 75_000;
 
+/** Bounds on connections from outside. */
 export interface ServerLimits {
   /** Connections from outside that the machine has room for. */
   connections: number;
-  /** A worker that has been silent for so long has lost its lease, and comes again on a new one. */
+  /**
+   * How long a worker's connection may be silent, in milliseconds: its lease has expired then, and the
+   * worker returns on a new connection.
+   */
   workerIdleMs: number;
 }
 
+/** Listens on `address` (`HOST:PORT`) until `signal` is aborted; resolves once it accepts connections. */
 export function listen(
   service: ControllerService,
   log: Logger,
@@ -145,54 +155,77 @@
   limits: ServerLimits,
   signal: AbortSignal,
 ): Promise<Server> {
-  const colon = address.lastIndexOf(':');
   const connections = new ConnectionTracker(limits.connections);
+  const http = createHttpServer(service, log, connections);
+  const server = createNetServer({ allowHalfOpen: true, noDelay: true }, (socket) => {
+    connections.add(socket);
+    accept(socket, service, limits.workerIdleMs, (rest) => {
+      socket.unshift(rest);
+      // Until its request is complete the connection counts as idle.
+      connections.requestEnded(socket);
+      http.emit('connection', socket);
+    });
+  });
+  const close = (): void => {
+    server.close();
+    connections.closeAll();
+  };
+  signal.addEventListener('abort', close, { once: true });
+  server.once('close', () => signal.removeEventListener('abort', close));
+  const { host, port } = parseHostPort(address);
+  return new Promise((resolve, reject) => {
+    server.once('error', reject);
+    server.listen(port, host, () => resolve(server));
+  });
+}
+
+/** The general server; it does not listen but is given connections. */
+function createHttpServer(
+  service: ControllerService,
+  log: Logger,
+  connections: ConnectionTracker,
+): HttpServer {
   const app = createApp(service, log, () => connections.isOverCapacity);
   const http = createServer((req: IncomingMessage, res: ServerResponse) => {
     const { socket } = req;
     if (!connections.requestStarted(socket)) return;
     res.once('close', () => connections.requestEnded(socket));
-    // A probe of the load balancer tells nothing about the connections of users.
+    // Connections of the load balancer's health checks are few and not users'.
     if (connections.isOverCapacity && req.url !== READY_PATH) res.setHeader('connection', 'close');
     app(req, res);
   });
   http.keepAliveTimeout = KEEP_ALIVE_MS;
   // A request that stops halfway holds its connection no longer than one that never begins.
   http.timeout = KEEP_ALIVE_MS;
-  const server = createNetServer({ allowHalfOpen: true, noDelay: true }, (socket) => {
-    connections.add(socket);
-    const drop = (): void => void socket.destroy();
-    socket.on('error', drop);
-    socket.on('end', drop);
-    socket.setTimeout(KEEP_ALIVE_MS, drop);
-    let worker = false;
-    readHeartbeats(
-      socket,
-      (heartbeat) => {
-        // Behind a cut its connection stays open on our side while it comes again on others.
-        if (!worker) socket.setTimeout(limits.workerIdleMs);
-        worker = true;
-        return service.receiveHeartbeat(heartbeat);
-      },
-      (socket, rest) => {
-        for (const event of ['error', 'end', 'timeout'] as const)
-          socket.removeListener(event, drop);
-        socket.setTimeout(0);
-        socket.unshift(rest);
-        // Until its request is complete it is as good as idle.
-        connections.requestEnded(socket);
-        http.emit('connection', socket);
-      },
-    );
-  });
-  signal.addEventListener('abort', () => {
-    server.close();
-    connections.closeAll();
-  });
-  return new Promise((resolve, reject) => {
-    server.once('error', reject);
-    server.listen(Number(address.slice(colon + 1)), address.slice(0, colon), () => resolve(server));
-  });
+  return http;
+}
+
+/** Reads heartbeats from a new connection until `passOn` takes it for other requests. */
+function accept(
+  socket: Socket,
+  service: ControllerService,
+  workerIdleMs: number,
+  passOn: (rest: Buffer) => void,
+): void {
+  const drop = (): void => void socket.destroy();
+  socket.on('error', drop);
+  socket.on('end', drop);
+  socket.setTimeout(KEEP_ALIVE_MS, drop);
+  let isWorker = false;
+  readHeartbeats(
+    socket,
+    (heartbeat) => {
+      // After a partition the old connection stays open on this side while the worker uses new ones.
+      if (!isWorker) socket.setTimeout(workerIdleMs);
+      isWorker = true;
+      return service.receiveHeartbeat(heartbeat);
+    },
+    (_socket, rest) => {
+      for (const event of ['error', 'end', 'timeout'] as const) socket.removeListener(event, drop);
+      socket.setTimeout(0);
+      passOn(rest);
+    },
+  );
 }
 
 function sendJson(res: ServerResponse, status: number, body: object): void {
