--- a/src/control/admission/gang-gate.ts
+++ b/src/control/admission/gang-gate.ts
@@ -1,4 +1,4 @@
-/** Bookkeeping of the all-or-nothing gate; when its time runs out is decided in gang-timeouts.ts. */
+/** State changes of the all-or-nothing gang gate; gang-timeouts.ts decides when a gang times out. */
 import {
   markGangAdmitted,
   markGangPlaced,
@@ -18,35 +18,39 @@
 }
 
 /**
- * How often the wait on the inadmissible list is doubled at most. Nothing tells that what kept a gang
- * from being ready is over, and one that waits for minutes beside free room is not served.
+ * Maximum number of times the wait of a suspended gang is doubled. No event reports that the reason
+ * for the timeout is gone, so a longer backoff could keep a gang waiting for minutes beside free
+ * capacity.
  */
 const MAX_WAIT_DOUBLINGS = 1;
 
 /**
- * The all-or-nothing gate's bookkeeping (KEP-349): admission, readiness, timeout and the
- * inadmissible list. Which gang passes is decided by the scheduler.
+ * Tracks the all-or-nothing gang gate (KEP-349): admission, placement, loss of members and
+ * suspension after a timeout. The scheduler decides which gang is admitted.
  */
 export class GangGate {
   constructor(private readonly operatorSettings: OperatorSettings) {}
 
-  /** The gang holds the gate until it is ready; its time runs from here. */
+  /** Admits the gang: it holds the gate until all its tasks run, and its timeout starts now. */
   admit(job: GangJob, now: number): void {
     markGangAdmitted(job.gang, now);
     job.markDirty(0);
   }
 
   /**
-   * It has its machines. However long it waited for them, what is left of its timeout from here on
-   * is never less than the fetch of its image and the slack: a gang whose machines came late would
-   * else be stopped while it fetches. `bootMs`: the boot time that its timeout counts with.
+   * Marks the gang as placed on machines. However long it waited for them, the remaining timeout
+   * still covers its image fetch and the slack; otherwise a gang whose machines arrived late would
+   * be stopped while it fetches. `bootMs`: the boot time that is included in its timeout.
    */
   onPlaced(job: GangJob, now: number, bootMs: number): void {
     markGangPlaced(job.gang, now, bootMs);
     job.markDirty(0);
   }
 
-  /** A gang that lost a task cannot go on: the rest is stopped, and it queues again when all are gone. */
+  /**
+   * Handles the loss of a task, after which the gang cannot continue: stops the remaining tasks, and
+   * requeues the gang once all of them are gone.
+   */
   onMemberLost(job: GangJob, stopAll: (graceMs: number) => void): void {
     const { gang } = job;
     if (job.placements.size > 0) {
@@ -64,6 +68,7 @@
     }
   }
 
+  /** Suspends the gang after a timeout; its wait doubles with repeated suspensions. */
   suspend(job: GangJob, now: number): void {
     const { gang } = job;
     const doublings = Math.min(gang.suspensions, MAX_WAIT_DOUBLINGS);
--- a/src/control/admission/gang-timeouts.ts
+++ b/src/control/admission/gang-timeouts.ts
@@ -1,7 +1,7 @@
 /**
- * When a gang that holds the gate has waited for too long. The timeout counts only while the cloud
- * could have served the gang, so it needs to see the fleet and the provisioner; the bookkeeping of
- * the gate itself is in gang-gate.ts.
+ * Timeouts of admitted gangs. A timeout counts only while the cloud could have served the gang, so
+ * this needs access to the fleet and the provisioner; the state changes of the gate itself are in
+ * gang-gate.ts.
  */
 import { requeueGang } from '../../jobs/gang-phase.js';
 import type { Runtime } from '@leverhatch/core/duty';
@@ -15,7 +15,7 @@
 import type { TaskStopper } from '../reconciliation/task-stopper.js';
 import type { GangGate, GangJob } from './gang-gate.js';
 
-/** What `GangTimeouts` works with. */
+/** Dependencies of `GangTimeouts`. */
 export interface GangTimeoutsContext {
   readonly runtime: Pick<Runtime, 'log'>;
   readonly operator: OperatorSettings;
@@ -27,11 +27,11 @@
   machineTypes(): ReadonlyMap<string, MachineType>;
 }
 
-/** Suspends gangs that hold the gate beyond their timeout. */
+/** Suspends gangs that are not ready within their timeout. */
 export class GangTimeouts {
   constructor(private readonly context: GangTimeoutsContext) {}
 
-  /** Suspends a gang that is past its timeout, and lets a suspended one queue again after its wait. */
+  /** Suspends a gang that has timed out, and requeues a suspended one after its wait. */
   check(job: GangJob, now: number): void {
     const { gang } = job;
     if (job.phase !== 'open') return;
@@ -40,22 +40,23 @@
       return;
     }
     if (gang.phase !== 'admitted' && gang.phase !== 'placed') return;
-    // While the cloud refuses, is unresponsive or boots slowly, a gang that waits for machines is not to blame.
-    const excused = gang.phase === 'admitted' && this.isCloudInTrouble(job, now);
-    if (!excused) gang.countedMs += now - gang.countedAt;
+    // The timeout is paused while a gang waits for machines of a cloud that refuses requests, is
+    // unresponsive or boots machines slowly: the delay is not the gang's fault.
+    const isPaused = gang.phase === 'admitted' && this.isCloudImpaired(job, now);
+    if (!isPaused) gang.countedMs += now - gang.countedAt;
     gang.countedAt = now;
     if (gang.countedMs <= this.timeoutMs(job)) return;
     this.context.runtime.log.info(
       { job: job.id, waitedMs: gang.countedMs },
-      'gang past its timeout',
+      'gang timed out, suspending it',
     );
     this.context.gangGate.suspend(job, now);
     this.context.taskStopper.stopAll(job, 0);
     this.context.recordWriter.flush(job);
   }
 
-  /** Machines that the gang may wait for cannot be had, or are late and may still come. */
-  private isCloudInTrouble(job: Job, now: number): boolean {
+  /** Whether machines the gang may wait for cannot be provisioned, or are late but may still boot. */
+  private isCloudImpaired(job: Job, now: number): boolean {
     if (this.context.provisioner.unavailableSince !== null) return true;
     const { machines, bootTimes } = this.context.fleet;
     const types = new Set(this.usableTypes(job.spec).map((type) => type.name));
@@ -66,24 +67,24 @@
     return false;
   }
 
-  /** Boot and fetch of the slowest machine type that the gang may get, and some slack. */
+  /** Boot and image fetch time of the slowest machine type that the gang may get, plus slack. */
   private timeoutMs(job: Job): number {
-    let most = 0;
+    let longestMs = 0;
     for (const type of this.usableTypes(job.spec)) {
       const fetchMs = (job.spec.imageGb / type.fetchGbPerS) * 1000;
-      most = Math.max(most, this.context.fleet.bootTimes.expectedMs(type) + fetchMs);
+      longestMs = Math.max(longestMs, this.context.fleet.bootTimes.expectedMs(type) + fetchMs);
     }
-    return most + this.context.operator.gate.slackSeconds * 1000;
+    return longestMs + this.context.operator.gate.slackSeconds * 1000;
   }
 
-  /** The boot time that a gang's timeout counts with at least, whatever type it gets. */
+  /** The boot time that a gang's timeout includes at least, whichever machine type it gets. */
   bootMs(job: Job): number {
     return Math.min(
       ...this.usableTypes(job.spec).map((type) => this.context.fleet.bootTimes.expectedMs(type)),
     );
   }
 
-  /** The machine types on which a task of the job may run. */
+  /** The machine types on which a task of the job may run and fits. */
   private usableTypes(spec: JobSpec): MachineType[] {
     const types = [...this.context.machineTypes().values()];
     return types.filter(
--- a/src/control/dependencies/dependency-tracker.ts
+++ b/src/control/dependencies/dependency-tracker.ts
@@ -1,4 +1,4 @@
-/** Which jobs wait for others, and what becomes of them when those end. */
+/** Tracks which jobs wait for dependencies, and starts or cancels them when those end. */
 import type { Runtime } from '@leverhatch/core/duty';
 import { RequestPriority } from '@leverhatch/core/store';
 import type { Term } from '../../election/term.js';
@@ -15,18 +15,18 @@
 
 type ChunkedDependencies = Extract<DependenciesRecord, { mark: string }>;
 
-/** What a `DependencyTracker` works with. */
+/** Dependencies of `DependencyTracker`. */
 export interface DependencyTrackerContext {
   readonly runtime: Runtime;
   readonly store: Store;
   readonly term: Pick<Term, 'fencingToken' | 'signal'>;
-  /** The controller's memory; it bounds how many ended jobs are remembered. */
+  /** The controller's memory; it bounds the number of ended jobs that are cached. */
   readonly memoryMb: number;
-  /** How soon a request that failed is made again. */
+  /** Delay before a failed request is retried, in milliseconds. */
   readonly retryMs: number;
   readonly jobs: ReadonlyMap<string, Job>;
   readonly recordWriter: Pick<JobRecordWriter, 'flush'>;
-  /** A job record has been read that no watch has brought. */
+  /** Called with a job record that was read directly, without a watch event for it. */
   onJobEntry(entry: Entry): void;
   requestSchedule(): void;
 }
@@ -34,48 +34,50 @@
 /** The stored final state of a job. */
 interface EndedJob {
   phase: Exclude<JobPhase, 'open'>;
-  /** Time of day at which it was stored as done; null where no record says so. */
+  /** Time of day at which it was stored as done; null if its record has no such time. */
   doneAt: number | null;
 }
 
+/** The pending dependencies of one job. */
 interface Wait {
-  /** Jobs that are not known to be stored as done. */
+  /** Dependencies that are not known to be stored as done. */
   missing: Set<string>;
-  /** Time of day at which the last of the others was done; at first that of the submission. */
+  /** Time of day at which the latest completed dependency was done, initially the submission. */
   since: number;
 }
 
 /**
- * How many jobs that are over the leader remembers for each MB of its memory, at some 100 bytes
- * each; it reads the others from the store when a new job names them.
+ * Ended jobs that the leader caches for each MB of its memory, at about 100 bytes each. It reads
+ * evicted ones from the store when a new job depends on them.
  */
 const ENDED_JOBS_PER_MB = 50;
 
-/** A read that failed is repeated after waits that double up to this many times the first. */
+/** Maximum retry delay of a failed read, as a multiple of the first delay. */
 const MAX_BACKOFF = 32;
 
 /**
- * Which jobs still wait for others, at the leader. A job that waits has no `readyAt`, and so takes
- * no part in the scheduling cycles. It gets one only when every job that it needs is known to be
- * *stored* as done: from a record read from the store, or from the store's answer to our own write.
- * That state is final, so what is known of it never has to be taken back; a new leader reads it
- * again. Where anything cannot be read, the job waits.
+ * Tracks, on the leader, the jobs that wait for dependencies. A waiting job has no `readyAt` and is
+ * left out of scheduling cycles. It becomes ready only when all its dependencies are known to be
+ * *stored* as done, either from a record read from the store or from the store's response to the
+ * leader's own write. That state is final, so it never has to be revoked; a new leader reads it
+ * again. While any of it cannot be read, the job keeps waiting.
  *
- * A job whose dependency is stored as cancelled is cancelled too, with all that wait for it. Users are
- * told so by every node as soon as the first cancellation is stored; here the records follow.
+ * A job whose dependency is stored as cancelled is cancelled as well, and so are its own dependents.
+ * All controllers report this to users as soon as the first cancellation is stored; this class only
+ * updates the job records accordingly.
  */
 export class DependencyTracker {
   private readonly waits = new Map<Job, Wait>();
-  /** The jobs that wait for a job, by its id. */
+  /** The jobs that wait for a dependency, by the id of that dependency. */
   private readonly dependents = new Map<string, Set<Job>>();
   private readonly endedJobs = new Map<string, EndedJob>();
   private readonly chunks = new Map<string, ChunkedDependencies>();
-  /** Jobs read during recovery: what they need is looked at when all records have been read. */
+  /** Jobs read during recovery; their dependencies are resolved once all records have been read. */
   private recovering: [Job, DependenciesRecord][] | null = [];
 
   constructor(private readonly context: DependencyTrackerContext) {}
 
-  /** Recovery begins anew. */
+  /** Resets all state because recovery starts over. */
   clear(): void {
     this.waits.clear();
     this.dependents.clear();
@@ -84,32 +86,32 @@
     this.recovering = [];
   }
 
-  /** All job records have been read. */
+  /** Resolves the dependencies of all recovered jobs, once all job records have been read. */
   recovered(): void {
     const jobs = this.recovering ?? [];
     this.recovering = null;
-    for (const [job, needs] of jobs) this.begin(job, needs);
+    for (const [job, needs] of jobs) this.startResolving(job, needs);
   }
 
-  /** A job whose record names dependencies: it waits until they are known to be done. */
+  /** Adds a job with dependencies; it waits until they are known to be done. */
   add(job: Job, needs: DependenciesRecord): void {
     if ('mark' in needs) this.chunks.set(job.id, needs);
     if (job.phase !== 'open') return;
     job.readyAt = null;
     if (this.recovering) this.recovering.push([job, needs]);
-    else this.begin(job, needs);
+    else this.startResolving(job, needs);
   }
 
-  /** The store holds the final state of this job. */
+  /** Handles a job whose final state is in the store. */
   onJobEnded(id: string, phase: JobPhase, doneAt: number | null): void {
     if (phase === 'open') return;
     this.endedJobs.delete(id);
     this.endedJobs.set(id, { phase, doneAt });
-    // Also while the records are read: what is dropped is read again where a job needs it.
+    // Also during recovery: evicted entries are read again when a job depends on them.
     this.trim();
     if (this.recovering) return;
     const tracked = this.context.jobs.get(id);
-    if (tracked) this.forget(tracked);
+    if (tracked) this.removeWait(tracked);
     this.removeChunks(id);
     const waiting = this.dependents.get(id);
     this.dependents.delete(id);
@@ -123,16 +125,16 @@
     dropOldest(this.endedJobs, this.context.memoryMb * ENDED_JOBS_PER_MB);
   }
 
-  private begin(job: Job, needs: DependenciesRecord): void {
+  private startResolving(job: Job, needs: DependenciesRecord): void {
     if ('ids' in needs) this.resolve(job, needs.ids);
-    else void this.load(job, needs);
+    else void this.loadChunks(job, needs);
   }
 
-  /** Reads the chunks of a long list, however long it takes. */
-  private async load(job: Job, needs: ChunkedDependencies): Promise<void> {
+  /** Reads a dependency list that is stored in chunks, with unlimited retries. */
+  private async loadChunks(job: Job, needs: ChunkedDependencies): Promise<void> {
     const { store } = this.context;
     const { signal } = this.context.term;
-    await this.repeat(job, 'dependencies cannot be read, the job waits', async () => {
+    await this.retryWhileWaiting(job, 'dependencies unreadable, job keeps waiting', async () => {
       const ids = await readDependencies(store, job.id, needs, signal);
       if (ids && job.phase === 'open') this.resolve(job, ids);
       return ids !== null;
@@ -163,22 +165,25 @@
     }
     this.startIfReady(job, wait);
     if (wait.missing.size > 0) this.logWait(job, wait);
-    if (unknown.length > 0) void this.lookUp(job, unknown);
+    if (unknown.length > 0) void this.loadMissingRecords(job, unknown);
   }
 
   private logWait(job: Job, { missing }: Wait): void {
     const [first] = missing;
     this.context.runtime.log.info(
       { job: job.id, class: job.spec.jobClass, waitsFor: first, dependencies: missing.size },
-      'waits for other jobs to be done',
+      'job waits for its dependencies',
     );
   }
 
-  /** Jobs that are over since long, or that the store's news have not shown yet. */
-  private async lookUp(job: Job, ids: readonly string[]): Promise<void> {
+  /**
+   * Reads the records of dependencies that are not cached: they ended long ago, or the watch has not
+   * reported them yet.
+   */
+  private async loadMissingRecords(job: Job, ids: readonly string[]): Promise<void> {
     const { store } = this.context;
     const { signal } = this.context.term;
-    await this.repeat(job, 'a dependency has no record, the job waits', async () => {
+    await this.retryWhileWaiting(job, 'dependency has no record, job keeps waiting', async () => {
       const open = ids.filter((id) => this.waits.get(job)?.missing.has(id));
       const entries = await readJobEntries(store, open, { signal });
       for (const [id, entry] of entries) {
@@ -188,24 +193,24 @@
     });
   }
 
-  /** Repeats `attempt` while the job waits and the term lasts, until it says that it is done. */
-  private async repeat(
+  /** Repeats `attempt` until it resolves to true, while the job is open and the term lasts. */
+  private async retryWhileWaiting(
     job: Job,
-    complaint: string,
+    errorMessage: string,
     attempt: () => Promise<boolean>,
   ): Promise<void> {
     const { clock, log, random } = this.context.runtime;
     const { signal } = this.context.term;
-    let hasComplained = false;
+    let isErrorLogged = false;
     let backoff = 1;
     while (!signal.aborted && job.phase === 'open') {
       try {
         if (await attempt()) return;
-        if (!hasComplained) log.error({ job: job.id }, complaint);
-        hasComplained = true;
+        if (!isErrorLogged) log.error({ job: job.id }, errorMessage);
+        isErrorLogged = true;
       } catch (error) {
         if (signal.aborted) return;
-        log.debug({ job: job.id, error: String(error) }, 'dependencies not read, retrying');
+        log.debug({ job: job.id, error: String(error) }, 'reading dependencies failed, retrying');
       }
       await clock.sleep(jitter(this.context.retryMs * backoff, random), signal);
       backoff = Math.min(backoff * 2, MAX_BACKOFF);
@@ -224,26 +229,26 @@
     if (wait.missing.size > 0 || job.phase !== 'open') return;
     this.waits.delete(job);
     job.readyAt = wait.since;
-    this.context.runtime.log.debug({ job: job.id }, 'all jobs that it needs are done');
+    this.context.runtime.log.debug({ job: job.id }, 'all dependencies done');
     this.context.requestSchedule();
   }
 
-  /** Cancels a job that waits; those that wait for it follow once that is stored. */
-  private cancel(job: Job, because: string): void {
+  /** Cancels a waiting job; its dependents are cancelled once that is stored. */
+  private cancel(job: Job, dependency: string): void {
     if (job.phase !== 'open') return;
     this.context.runtime.log.info(
-      { job: job.id, class: job.spec.jobClass, cancelled: because },
-      'cancelled with a job that it needs',
+      { job: job.id, class: job.spec.jobClass, cancelled: dependency },
+      'job cancelled because of a cancelled dependency',
     );
     job.phase = 'cancelled';
     job.isPhaseStored = false;
-    job.cancelledBecauseOf = because;
-    this.forget(job);
+    job.cancelledBecauseOf = dependency;
+    this.removeWait(job);
     this.context.recordWriter.flush(job);
     this.context.requestSchedule();
   }
 
-  private forget(job: Job): void {
+  private removeWait(job: Job): void {
     for (const id of this.waits.get(job)?.missing ?? []) {
       const waiting = this.dependents.get(id);
       waiting?.delete(job);
@@ -253,8 +258,8 @@
   }
 
   /**
-   * Of a job that is stored as over nobody reads the dependencies any more. If this leader ends
-   * before they are removed they stay, and nothing ever looks at them.
+   * Deletes the dependency chunks of a job whose final state is stored; they are not read again. If
+   * the term ends before that they stay in the store, unused.
    */
   private removeChunks(id: string): void {
     const needs = this.chunks.get(id);
@@ -264,26 +269,31 @@
       if (this.context.term.signal.aborted) return;
       this.context.runtime.log.warn(
         { job: id, error: String(error) },
-        'dependency chunks left behind',
+        'deleting dependency chunks failed, leaving them in the store',
       );
     });
   }
 
   private async deleteChunks(id: string, { mark, pieces }: ChunkedDependencies): Promise<void> {
     const { store, term } = this.context;
-    const when = [{ key: KEYS.leader, version: term.fencingToken }];
+    const conditions = [{ key: KEYS.leader, version: term.fencingToken }];
     const keys = [...Array(pieces).keys()].map((i) => KEYS.dependencyChunk(id, mark, i));
     const { chunkChanges } = store.limits;
     while (keys.length > 0) {
-      const then = keys.slice(0, chunkChanges.current).map((key) => ({ delete: key }));
+      const changes = keys.slice(0, chunkChanges.current).map((key) => ({ delete: key }));
       try {
-        const outcome = await store.commit(when, then, RequestPriority.Normal, term.signal);
+        const outcome = await store.commit(
+          conditions,
+          changes,
+          RequestPriority.Normal,
+          term.signal,
+        );
         if (!outcome.ok) return;
-        keys.splice(0, then.length);
+        keys.splice(0, changes.length);
       } catch (error) {
-        // The store takes fewer changes than any limit that was announced.
-        if (!isSizeRejection(error) || then.length === 1) throw error;
-        chunkChanges.reduceBelow(then.length);
+        // The store accepts fewer changes than its announced limit.
+        if (!isSizeRejection(error) || changes.length === 1) throw error;
+        chunkChanges.reduceBelow(changes.length);
       }
     }
   }
