--- a/src/control/scheduling/cycle-sizer.ts
+++ b/src/control/scheduling/cycle-sizer.ts
@@ -1,43 +1,44 @@
-/** Bounds how long one scheduling cycle takes, so that it does not cost the leader its lease. */
+/** Limits the duration of a scheduling cycle, so that the leader does not lose its lease meanwhile. */
 import { inSchedulingOrder, withinGuarantee } from '../../scheduler/job-order.js';
 import type { Snapshot } from '../../scheduler/scheduling-model.js';
 
-/** After a cycle that takes more than this share of the leader lease the next takes in half as many jobs. */
+/** A cycle that takes more than this fraction of the leader lease halves the limit on jobs. */
 const LONG_CYCLE_RATIO = 1 / 8;
 
-/** After a cycle that takes less than this share the next takes in twice as many. */
+/** A cycle that takes less than this fraction doubles the limit. */
 const SHORT_CYCLE_RATIO = 1 / 20;
 
 /**
- * However slow a controller is, each cycle takes in this many waiting jobs; and this many more than
- * the one before it if that was neither long nor short.
+ * Minimum of the limit on waiting jobs, however slow the controller is, and the increment after a
+ * cycle that was neither long nor short.
  */
 const STEP_JOBS = 25;
 
-/** More than any store of jobs holds: no bound. */
+/** More jobs than any store holds, so effectively unlimited. */
 const MAX_JOBS = 2 ** 20;
 
-/** Jobs in a new leader's first cycle: it does not know yet how fast it is. */
+/** Limit in the first cycle of a new leader, whose speed is not known yet. */
 const INITIAL_JOBS = 50;
 
 /**
- * How many of the waiting jobs one scheduling cycle takes in. A cycle runs without interruption, and
- * until it ends nothing renews the leader lease and no heartbeat is answered. A controller that is
- * short of processor time would lose the lease meanwhile, and so would the next leader: none of them
- * would lead long enough to start anything, and ever more jobs would wait.
+ * Limits the number of waiting jobs that one scheduling cycle considers. A cycle blocks the event
+ * loop: until it ends the leader lease is not renewed and no heartbeat is answered. A controller that
+ * is short of CPU time would lose the lease meanwhile, and so would the next leader: none would lead
+ * long enough to start anything, and the number of waiting jobs would keep growing.
  *
- * The jobs that are left out come last in the scheduling order. They are taken in as soon as those
- * before them have started, or as cycles turn out to be short.
+ * The jobs that are left out are the last ones in scheduling order. They are considered once earlier
+ * ones have started, or once cycles prove to be short.
  */
 export class CycleSizer {
   private maxJobs = INITIAL_JOBS;
 
-  /** @param leaderLeaseMs how long the leader lease lasts, in milliseconds */
+  /** @param leaderLeaseMs duration of the leader lease, in milliseconds */
   constructor(private readonly leaderLeaseMs: () => number) {}
 
   /**
-   * The snapshot with only the first of its waiting jobs, or itself if it has no more than a cycle
-   * takes in. The others stay in it without waiting tasks: they count for their team's guarantee.
+   * Returns the snapshot limited to the first waiting jobs in scheduling order, or the snapshot itself
+   * if it does not exceed the limit. The other jobs stay in it without waiting tasks, since they count
+   * towards their team's guarantee.
    */
   limit(snapshot: Snapshot): Snapshot {
     const waiting = snapshot.jobs.filter((job) => job.waitingTasks > 0 && job.isAdmissible);
@@ -49,8 +50,8 @@
   }
 
   /**
-   * Records how long a cycle took, in milliseconds. Jobs that find no capacity cost little, so that
-   * they do not keep those behind them from their turn for long.
+   * Records the duration of a cycle, in milliseconds, and adjusts the limit. Jobs that find no
+   * capacity take little time, so they do not delay the jobs after them for long.
    */
   recordDuration(durationMs: number): void {
     const leaseMs = this.leaderLeaseMs();
--- a/src/control/scheduling/expected-demand.ts
+++ b/src/control/scheduling/expected-demand.ts
@@ -1,4 +1,4 @@
-/** Demand that is expected of job classes that cannot wait for a machine to boot. */
+/** Expected demand of job classes that cannot wait for a machine to boot. */
 import type { Job } from '../../jobs/tracked-job.js';
 import { Priority } from '../../jobs/job.js';
 import {
@@ -8,10 +8,10 @@
 } from '../../scheduler/demand-forecast.js';
 import type { Settings } from '../../settings/deploy.js';
 
-/** Work whose objective allows it to wait for this many boot times can wait for a machine. */
+/** A class with a wait objective of at least this many boot times can wait for a machine to boot. */
 const MAX_WAIT_BOOTS = 2;
 
-/** Work that the leader expects to come before a machine provisioned now could be up. */
+/** Forecasts the tasks that will arrive before a machine provisioned now could be up. */
 export class ExpectedDemand {
   private readonly forecast = new DemandForecast();
 
@@ -20,13 +20,13 @@
     private readonly settings: Settings,
   ) {}
 
-  /** Records what is open at `now` (milliseconds, monotonic), and answers what is expected. */
+  /** Records the demand at `now` (monotonic, in milliseconds), and returns the expected tasks. */
   observe(now: number, bootMs: number): ExpectedTasks[] {
     this.forecast.observe(now, bootMs, () => this.demand(bootMs));
     return this.forecast.expected();
   }
 
-  /** Open tasks of the classes that cannot wait for a boot, nor begin on a spot instance. */
+  /** Open tasks of classes that can neither wait for a boot nor start on a spot instance. */
   private demand(bootMs: number): Map<string, ClassDemand> {
     const classes = new Map<string, ClassDemand & { readyAt: number }>();
     for (const job of this.jobs.values()) {
--- a/src/control/scheduling/pipeline-steps.ts
+++ b/src/control/scheduling/pipeline-steps.ts
@@ -1,6 +1,6 @@
 /**
- * What the leader knows of open jobs as steps of pipelines: what each waits for, how long it still
- * takes, and by when its class is asked to be done.
+ * Open jobs as pipeline steps: their dependencies, their remaining time, and the deadlines of their
+ * class.
  */
 import type { MachineType } from '../../fleet/resources.js';
 import type { JobSpec } from '../../jobs/job.js';
@@ -8,14 +8,17 @@
 import type { PipelineStep } from '../../scheduler/pipelines.js';
 import type { Settings } from '../../settings/deploy.js';
 
-/** What the steps of pipelines are worked out from. */
+/** The state from which pipeline steps are computed. */
 export interface PipelineSources {
   readonly jobs: ReadonlyMap<string, Job>;
   readonly settings: Pick<Settings, 'objectives' | 'workers'>;
   machineTypes(): ReadonlyMap<string, MachineType>;
 }
 
-/** A step's start takes about so many heartbeat intervals: an end seen, a start recorded and sent. */
+/**
+ * Approximate start latency of a step, in heartbeat intervals: until the end of its dependency is
+ * seen, and its start is recorded and sent.
+ */
 const START_HEARTBEATS = 2;
 
 /** The jobs that are neither done nor cancelled. */
@@ -23,7 +26,7 @@
   for (const job of jobs.values()) if (job.phase === 'open') yield job;
 }
 
-/** All open jobs with what they wait for and how long they still take. */
+/** All open jobs with their dependencies and remaining time. */
 export function pipelineSteps(sources: PipelineSources, now: number): PipelineStep[] {
   const deadlines = deadlineSteps(sources.settings);
   const steps: PipelineStep[] = [];
@@ -42,12 +45,12 @@
 }
 
 /**
- * Expected time until a job is done once it is ready: its estimate and, if some of it is still to
- * be started, the image's fetch and the time to record and send its starts.
+ * Expected time until a ready job is done: its remaining estimate and, if any of its tasks has not
+ * started yet, the image fetch and the start latency.
  */
 function remainingMs(sources: PipelineSources, job: Job, now: number): number {
   const { spec } = job;
-  // A service is never done, and nobody may wait for it.
+  // A service is never done, and no job may depend on it.
   if (spec.kind === 'service') return 0;
   if (job.waitingCount > 0) return startMs(sources, spec) + spec.estimateMs;
   let longestMs = 0;
@@ -61,7 +64,7 @@
   return longestMs;
 }
 
-/** From when a job is ready until its tasks run, where there is room for them. */
+/** Time from when a job is ready until its tasks run, if there is free capacity. */
 function startMs(sources: PipelineSources, spec: JobSpec): number {
   let fetchMs = 0;
   for (const type of sources.machineTypes().values()) {
@@ -71,7 +74,7 @@
   return fetchMs + sources.settings.workers.heartbeatIntervalMs * START_HEARTBEATS;
 }
 
-/** By which multiples of their deadline the jobs of a class should be done, smallest first. */
+/** The multiples of the deadline by which jobs of each class should be done, in ascending order. */
 function deadlineSteps(settings: PipelineSources['settings']): Map<string, number[]> {
   const steps = new Map<string, number[]>();
   for (const objective of settings.objectives) {
--- a/src/control/scheduling/plan-applier.ts
+++ b/src/control/scheduling/plan-applier.ts
@@ -1,4 +1,4 @@
-/** How the plan of a scheduling cycle is carried out. */
+/** Applies the plan of a scheduling cycle to the leader's state. */
 import type { Runtime } from '@leverhatch/core/duty';
 import type { Fleet } from '../../fleet/fleet.js';
 import type { MachineProvisioner } from '../../fleet/machine-provisioner.js';
@@ -10,7 +10,7 @@
 import type { MachineReconciler } from '../reconciliation/machine-reconciler.js';
 import type { TaskStopper } from '../reconciliation/task-stopper.js';
 
-/** What a `PlanApplier` works with. */
+/** Dependencies of `PlanApplier`. */
 export interface PlanApplierContext {
   readonly runtime: Pick<Runtime, 'clock' | 'log'>;
   readonly jobs: ReadonlyMap<string, Job>;
@@ -23,37 +23,37 @@
   readonly recordWriter: Pick<JobRecordWriter, 'flush'>;
 }
 
-/** A plan names a job, task or machine that the leader no longer has: snapshot and state disagree. */
+/** The plan refers to something the leader does not have: the snapshot differs from the state. */
 export class StalePlanError extends Error {
   constructor(
     readonly kind: 'job' | 'task' | 'machine' | 'gang',
     readonly subject: string,
   ) {
-    super(`the plan names an unknown ${kind}: ${subject}`);
+    super(`scheduling plan refers to unknown ${kind}: ${subject}`);
   }
 }
 
-/** Places tasks, admits gangs, stops what makes way, and rents and gives back machines. */
+/** Places tasks, admits gangs, stops preempted tasks, and provisions and releases machines. */
 export class PlanApplier {
   constructor(private readonly context: PlanApplierContext) {}
 
-  /** `mayScaleOut`: enough is known of the fleet to rent and give back machines. */
-  apply(result: SchedulingPlan, now: number, mayScaleOut: boolean): void {
+  /** `mayScaleOut`: the fleet is known well enough to provision and release machines. */
+  apply(plan: SchedulingPlan, now: number, mayScaleOut: boolean): void {
     const touched = new Set<Job>();
-    for (const start of result.starts) {
+    for (const start of plan.starts) {
       const job = this.jobOf(start.job);
-      // Such a job is in no snapshot; should it ever get here, its tasks still must not start.
+      // Snapshots leave out jobs that wait for dependencies; the tasks of one must never start.
       if (job.readyAt === null) continue;
       this.place(job, start.assignments, now);
       touched.add(job);
     }
-    if (result.admittedGang !== null) {
-      const job = this.jobOf(result.admittedGang);
+    if (plan.admittedGang !== null) {
+      const job = this.jobOf(plan.admittedGang);
       if (!isGangJob(job)) throw new StalePlanError('gang', job.id);
       this.context.gangGate.admit(job, now);
       touched.add(job);
     }
-    for (const { job, task } of result.stops) {
+    for (const { job, task } of plan.stops) {
       const placement = this.context.jobs.get(job)?.placements.get(task);
       if (placement)
         this.context.taskStopper.stop(
@@ -63,8 +63,8 @@
     }
     for (const job of touched) this.context.recordWriter.flush(job);
     if (!mayScaleOut) return;
-    for (const rent of result.scaleOut) this.context.provisioner.provision(rent);
-    this.context.reconciler.scaleIn(result, now);
+    for (const rent of plan.scaleOut) this.context.provisioner.provision(rent);
+    this.context.reconciler.scaleIn(plan, now);
   }
 
   private jobOf(id: string): Job {
@@ -73,11 +73,11 @@
     return job;
   }
 
-  private place(job: Job, on: { machine: string; count: number }[], now: number): void {
-    const tasks = job.waitingTasks(taskCount(on));
+  private place(job: Job, assignments: { machine: string; count: number }[], now: number): void {
+    const tasks = job.waitingTasks(taskCount(assignments));
     job.attempt++;
     let next = 0;
-    for (const { machine, count } of on) {
+    for (const { machine, count } of assignments) {
       const host = this.context.fleet.machines.get(machine);
       if (!host) throw new StalePlanError('machine', machine);
       for (let i = 0; i < count; i++) {
@@ -108,7 +108,7 @@
         class: job.spec.jobClass,
         attempt: job.attempt,
         waitedMs: Math.round(clock.wall() - (job.readyAt ?? job.submittedAt)),
-        on,
+        on: assignments,
       },
       'placed',
     );
@@ -117,7 +117,7 @@
   }
 }
 
-/** How many tasks are assigned in all. */
+/** The total number of tasks in these assignments. */
 export function taskCount(assignments: readonly { count: number }[]): number {
   return assignments.reduce((sum, { count }) => sum + count, 0);
 }
--- a/src/control/scheduling/quota-wait-log.ts
+++ b/src/control/scheduling/quota-wait-log.ts
@@ -1,22 +1,23 @@
-/** Tells operators when work waits for its team's quota. */
+/** Logging of work that waits only because of the quota limit of its team. */
 import type { QuotaLimitedTasks, TeamView } from '../../scheduler/scheduling-model.js';
 import type { Logger } from '@leverhatch/core/log';
 
-/** For how many heartbeat intervals a change has to last before it is logged. */
+/** Heartbeat intervals for which a change must last before it is logged. */
 const SETTLED_HEARTBEATS = 3;
 
 interface TeamState {
-  /** What was last logged: work of the team waits for its limit. */
-  isReportedLimited: boolean;
-  /** Since when each scheduling cycle has found the contrary; null: the last one agreed. */
+  /** Whether the last log line said that work of the team waits for its limit. */
+  isLoggedLimited: boolean;
+  /** Since when scheduling cycles have differed from what was logged; null: the last one agreed. */
   changedAt: number | null;
-  /** When the wait that was last logged began. */
+  /** When the wait that was logged last began. */
   limitedSince: number;
 }
 
 /**
- * Logs when work waits for nothing but the limit of its team, and when it no longer does. Without
- * these lines such work beside idle machines looks like a fleet that stalls. It decides nothing.
+ * Logs when work waits only because of the limit of its team, and when it no longer does. Without
+ * these lines, waiting work beside idle machines would look like a stalled scheduler. It only logs
+ * and affects no decision.
  */
 export class QuotaWaitLog {
   private readonly states = new Map<string, TeamState>();
@@ -27,9 +28,9 @@
   ) {}
 
   /**
-   * @param quotaLimited the teams whose limit held work back in this scheduling cycle
-   * @param teams what all teams use
-   * @param now milliseconds, monotonic
+   * @param quotaLimited waiting tasks by team, for teams whose limit blocked them in this cycle
+   * @param teams usage and limits of all teams
+   * @param now monotonic time in milliseconds
    */
   observe(
     quotaLimited: QuotaLimitedTasks,
@@ -38,13 +39,13 @@
   ): void {
     for (const [name, team] of teams) {
       const state = this.states.get(name) ?? {
-        isReportedLimited: false,
+        isLoggedLimited: false,
         changedAt: null,
         limitedSince: now,
       };
       this.states.set(name, state);
       const tasks = quotaLimited.get(name) ?? 0;
-      if (tasks > 0 === state.isReportedLimited) {
+      if (tasks > 0 === state.isLoggedLimited) {
         state.changedAt = null;
         continue;
       }
@@ -61,7 +62,7 @@
     state: TeamState,
     changedAt: number,
   ): void {
-    state.isReportedLimited = tasks > 0;
+    state.isLoggedLimited = tasks > 0;
     state.changedAt = null;
     if (tasks > 0) {
       state.limitedSince = changedAt;
@@ -78,7 +79,7 @@
   }
 }
 
-/** What a team uses of each resource that is limited. */
+/** Log fields with the usage and limit of each limited resource. */
 function limitFields({ used, limit }: TeamView): Record<string, number> {
   const fields: Record<string, number> = {};
   if (limit.cpus !== Infinity) Object.assign(fields, { cpus: used.cpus, cpusLimit: limit.cpus });
--- a/src/control/scheduling/scheduling-loop.ts
+++ b/src/control/scheduling/scheduling-loop.ts
@@ -1,4 +1,4 @@
-/** When scheduling cycles run, and what a cycle consists of; plan-applier.ts carries out its plan. */
+/** Runs scheduling cycles; plan-applier.ts applies the plan of each cycle. */
 import type { Runtime } from '@leverhatch/core/duty';
 import type { SuccessorPolicy } from '../../election/successor-policy.js';
 import type { Term } from '../../election/term.js';
@@ -21,7 +21,7 @@
 import { PlanApplier, taskCount, type PlanApplierContext } from './plan-applier.js';
 import { takeSnapshot, type SnapshotSources } from './snapshot.js';
 
-/** What a `SchedulingLoop` works with. */
+/** Dependencies of `SchedulingLoop`. */
 export interface SchedulingLoopContext extends SnapshotSources, PlanApplierContext {
   readonly runtime: Runtime;
   readonly store: Pick<Store, 'queuedWrites'>;
@@ -48,11 +48,11 @@
   resign(): void;
 }
 
-/** Scheduling cycles: what starts, what makes way, what is rented and given back. */
+/** Runs scheduling cycles on request and at least once per heartbeat interval. */
 export class SchedulingLoop {
   private isRequested = true;
   private wakeUp: (() => void) | null = null;
-  /** When the cycle before this one began. */
+  /** When the previous cycle began. */
   private lastCycleAt = -Infinity;
 
   private readonly cycleSizer = new CycleSizer(() => this.context.leaderLeaseMs);
@@ -63,13 +63,13 @@
     this.planApplier = new PlanApplier(context);
   }
 
-  /** Something changed that the next scheduling cycle should see. */
+  /** Requests a scheduling cycle, after a change that it should take into account. */
   request(): void {
     this.isRequested = true;
     this.wakeUp?.();
   }
 
-  /** What the next cycle would see. */
+  /** The snapshot that a cycle at `now` would use. */
   takeSnapshot(now: number): Snapshot {
     return takeSnapshot(this.context, now);
   }
@@ -77,31 +77,31 @@
   async run(signal: AbortSignal): Promise<void> {
     const { runtime, settings } = this.context;
     const { clock } = runtime;
-    const base = settings.workers.heartbeatIntervalMs / 10;
+    const minPauseMs = settings.workers.heartbeatIntervalMs / 10;
     let dueAt = clock.now();
     while (!signal.aborted) {
       const startedAt = clock.now();
-      // Who stood still has heard nobody, and has not read yet what came meanwhile; and who turns
-      // workers away hears less of them.
-      const stoodStill = startedAt - dueAt > settings.workers.heartbeatIntervalMs / 2;
-      if (stoodStill || !this.context.mayRenewWorkerLeases(startedAt))
+      // After a stall, heartbeats that arrived meanwhile have not been read yet; and while workers are
+      // turned away, fewer heartbeats arrive. Neither means that workers cannot reach this leader.
+      const hasStalled = startedAt - dueAt > settings.workers.heartbeatIntervalMs / 2;
+      if (hasStalled || !this.context.mayRenewWorkerLeases(startedAt))
         this.context.workerLiveness.restartTimeout(startedAt);
       if (this.context.term.isActive(startedAt)) this.runCycle();
-      // The longer a cycle takes, or the more writes of earlier ones still wait for their share of
-      // the store's rate, the longer the next one collects work: each write then carries more.
-      // But never for longer than a heartbeat interval: a controller that stood still in the middle of a
-      // cycle took long for another reason.
-      const took = clock.now() - startedAt;
-      const behind = base * this.context.store.queuedWrites;
-      const most = settings.workers.heartbeatIntervalMs;
-      const pause = Math.max(base, Math.min(most, Math.max(took * 3, behind)));
-      dueAt = clock.now() + pause;
-      await clock.sleep(pause, signal);
+      // The longer a cycle takes, or the more writes of earlier cycles are queued by the store's rate
+      // limit, the longer the pause before the next cycle, so that each write carries more changes.
+      // The pause is at most a heartbeat interval: a cycle during which the controller stalled was long
+      // for another reason.
+      const cycleMs = clock.now() - startedAt;
+      const backlogMs = minPauseMs * this.context.store.queuedWrites;
+      const maxPauseMs = settings.workers.heartbeatIntervalMs;
+      const pauseMs = Math.max(minPauseMs, Math.min(maxPauseMs, Math.max(cycleMs * 3, backlogMs)));
+      dueAt = clock.now() + pauseMs;
+      await clock.sleep(pauseMs, signal);
       if (!this.isRequested) {
         await new Promise<void>((resolve) => {
           this.wakeUp = resolve;
-          dueAt = clock.now() + most;
-          void clock.sleep(most, signal).then(resolve);
+          dueAt = clock.now() + maxPauseMs;
+          void clock.sleep(maxPauseMs, signal).then(resolve);
         });
         this.wakeUp = null;
       }
@@ -111,14 +111,16 @@
   private runCycle(): void {
     const now = this.context.runtime.clock.now();
     this.isRequested = false;
-    const rested = now - this.lastCycleAt > this.context.settings.workers.heartbeatIntervalMs / 2;
+    const isAfterPause =
+      now - this.lastCycleAt > this.context.settings.workers.heartbeatIntervalMs / 2;
     this.lastCycleAt = now;
     this.context.machineLivenessLog.observe(this.context.fleet.machines, now);
     if (this.context.fleet.expireLeases(now)) void this.refreshZoneDelegates();
     if (!this.context.term.holdsLease(now)) return;
     if (this.isUnreachableByWorkers(now)) {
-      // Who rested may have stood still for a part of it, unnoticed: what came meanwhile is read first.
-      if (rested) return this.request();
+      // The controller may have stalled unnoticed during part of a long pause: heartbeats that arrived
+      // meanwhile are read first, and the next cycle decides.
+      if (isAfterPause) return this.request();
       this.context.runtime.log.warn({}, 'no worker heartbeats, resigning');
       this.context.workerlessTerms.recordResignation(!this.context.isStoreAvailableToOthers());
       this.context.resign();
@@ -131,31 +133,31 @@
       if (job.phase !== 'open' && job.placements.size > 0) this.context.taskStopper.stopAll(job, 0);
     }
     if (this.context.machineTypes().size === 0) return;
-    // Before the first heartbeats and the list are in, free machines look missing.
-    const settled =
+    // Before the first heartbeats and the machine listing have arrived, existing machines seem missing.
+    const isSettled =
       now - this.context.term.startedAt > this.context.settings.workers.heartbeatIntervalMs * 3;
-    const whole = this.takeSnapshot(now);
-    const snapshot = this.cycleSizer.limit(whole);
-    // Of these the cycle keeps its own count, which goes on while it decides.
-    const used = new Map(
+    const fullSnapshot = this.takeSnapshot(now);
+    const snapshot = this.cycleSizer.limit(fullSnapshot);
+    // `schedule` updates the usage in the snapshot, so the teams are copied before the cycle.
+    const teamsBefore = new Map(
       [...snapshot.teams].map(([name, team]) => [name, { ...team, used: { ...team.used } }]),
     );
     const plannedAt = this.context.runtime.clock.now();
-    const result = schedule(snapshot);
-    this.context.quotaWaitLog.observe(result.quotaLimited, used, now);
-    // What was left out may need them.
-    if (snapshot !== whole) {
-      result.idleMachines = [];
-      result.drainableMachines = [];
+    const plan = schedule(snapshot);
+    this.context.quotaWaitLog.observe(plan.quotaLimited, teamsBefore, now);
+    // Jobs that were left out of the limited snapshot may need these machines.
+    if (snapshot !== fullSnapshot) {
+      plan.idleMachines = [];
+      plan.drainableMachines = [];
     }
-    this.planApplier.apply(result, now, settled && this.context.hasListedMachines());
-    this.context.extensions.afterSchedulingCycle(result.quotaLimited);
+    this.planApplier.apply(plan, now, isSettled && this.context.hasListedMachines());
+    this.context.extensions.afterSchedulingCycle(plan.quotaLimited);
     this.cycleSizer.recordDuration(this.context.runtime.clock.now() - plannedAt);
-    this.logCycle(snapshot, result, this.context.runtime.clock.now() - now);
+    this.logCycle(snapshot, plan, this.context.runtime.clock.now() - now);
   }
 
-  /** What the cycle saw and did: where a fleet stalls can be read from these lines. */
-  private logCycle(snapshot: Snapshot, result: SchedulingPlan, tookMs: number): void {
+  /** Logs the input and the result of a cycle, for diagnosing a stalled fleet. */
+  private logCycle(snapshot: Snapshot, plan: SchedulingPlan, tookMs: number): void {
     const waiting: Record<string, number> = {};
     for (const { spec, waitingTasks: tasks } of snapshot.jobs) {
       if (tasks > 0) waiting[spec.jobClass] = (waiting[spec.jobClass] ?? 0) + tasks;
@@ -166,16 +168,16 @@
         up,
         coming: snapshot.machines.length - up,
         waiting,
-        started: result.starts.reduce((sum, start) => sum + taskCount(start.assignments), 0),
-        stops: result.stops.length,
-        scaleOut: result.scaleOut,
-        idleMachines: result.idleMachines.length,
+        started: plan.starts.reduce((sum, start) => sum + taskCount(start.assignments), 0),
+        stops: plan.stops.length,
+        scaleOut: plan.scaleOut,
+        idleMachines: plan.idleMachines.length,
         gate: snapshot.isGateClosed,
         teams: Object.fromEntries(
           [...snapshot.teams].map(([name, team]) => [name, team.used.gpus]),
         ),
-        quotaLimited: Object.fromEntries(result.quotaLimited),
-        writesWaiting: this.context.store.queuedWrites,
+        quotaLimited: Object.fromEntries(plan.quotaLimited),
+        queuedWrites: this.context.store.queuedWrites,
         tookMs,
       },
       'scheduling cycle',
@@ -187,11 +189,11 @@
       await this.context.zoneDelegates.refresh(this.context.term.signal);
       this.request();
     } catch {
-      // The next cycle asks again.
+      // The next cycle retries.
     }
   }
 
-  /** No worker reaches us though there are some: they may reach another controller instead. */
+  /** Whether no worker reaches this leader although there are some, which may reach another one. */
   private isUnreachableByWorkers(now: number): boolean {
     const { settings, workerLiveness, fleet, successorPolicy } = this.context;
     if (settings.size === 1) return false;
@@ -209,16 +211,16 @@
     });
   }
 
-  /** Work leaves a machine that the cloud takes back, has proven faulty or is to go back. */
+  /** Stops tasks on machines that the cloud will preempt, that are faulty or that are draining. */
   private drainMachines(now: number): void {
     this.context.reconciler.releaseFailed(now);
     for (const machine of this.context.fleet.machines.values()) {
       if (machine.preemptionNoticeAt === null && !machine.isFaulty && !machine.isDraining) continue;
       for (const placement of machine.placements.values()) {
         if (placement.stop || placement.job.phase !== 'open') continue;
-        const grace = this.context.taskStopper.checkpointGraceMs(placement.job);
-        if (placement.job.gang) this.context.taskStopper.stopAll(placement.job, grace);
-        else this.context.taskStopper.stop(placement, grace);
+        const graceMs = this.context.taskStopper.checkpointGraceMs(placement.job);
+        if (placement.job.gang) this.context.taskStopper.stopAll(placement.job, graceMs);
+        else this.context.taskStopper.stop(placement, graceMs);
       }
       if ((machine.isFaulty || machine.isDraining) && machine.placements.size === 0)
         this.context.reconciler.release(machine);
--- a/src/control/scheduling/snapshot.ts
+++ b/src/control/scheduling/snapshot.ts
@@ -1,6 +1,6 @@
 /**
- * What the leader knows, as the scheduler sees it in one cycle. Above 300 lines because each part of
- * the snapshot is a small function over the same sources.
+ * The snapshot of the leader's state that a scheduling cycle works on. Above 300 lines because each
+ * part of the snapshot is a small function over the same sources.
  */
 import type { Runtime } from '@leverhatch/core/duty';
 import type { Fleet } from '../../fleet/fleet.js';
@@ -28,15 +28,16 @@
 import { teamUsage } from './team-usage.js';
 
 /**
- * For what share of a boot work without GPUs waits for what its like leaves, unless it is pressed.
- * Such work runs for less than a machine boots: one that is rented for it comes too late.
+ * Fraction of a boot time for which work without GPUs waits for capacity that other such work frees,
+ * unless its slack is short. Such work usually runs for less than a boot time, so a machine
+ * provisioned for it would be up too late.
  */
 const BACKFILL_WAIT_BOOTS = 0.25;
 
-/** What runs for longer than estimated is expected to go on for this share of its estimate. */
+/** Minimum expected remaining time of a running task, as a fraction of its estimate. */
 const MIN_REMAINING_RATIO = 0.25;
 
-/** What a snapshot is taken of. */
+/** The state from which a snapshot is taken. */
 export interface SnapshotSources extends PipelineSources {
   readonly runtime: Pick<Runtime, 'clock'>;
   readonly settings: Settings;
@@ -45,25 +46,25 @@
   readonly reconciler: Pick<MachineReconciler, 'idleTimeoutMs'>;
   readonly extensions: Pick<TermExtensions, 'startableTasks' | 'placementLimit' | 'mayMove'>;
   readonly expectedDemand: ExpectedDemand;
-  /** What each team may have now. */
+  /** The current quota of each team. */
   quotas(): TeamQuotaMap;
 }
 
-/** What all parts of one snapshot share, worked out once. */
+/** Values that are computed once and shared by all parts of one snapshot. */
 interface SnapshotContext {
   sources: SnapshotSources;
-  /** Steady time, and time of day. */
+  /** Monotonic time and time of day, in milliseconds. */
   now: number;
   wall: number;
   urgencies: ReadonlyMap<string, StepUrgency>;
   types: readonly MachineType[];
-  /** The shortest boot where all machines have GPUs; null where some have none. */
+  /** The shortest boot time if all machine types have GPUs, otherwise null. */
   gpuBootMs: number | null;
-  /** The longest boot of any type. */
+  /** The longest boot time of any machine type. */
   longestBootMs: number;
 }
 
-/** What the leader believes at one moment, for a scheduling cycle. */
+/** Takes a snapshot of the leader's state for a scheduling cycle. */
 export function takeSnapshot(sources: SnapshotSources, now: number): Snapshot {
   const wall = sources.runtime.clock.wall();
   const urgencies = pipelineUrgency(pipelineSteps(sources, now), wall);
@@ -89,7 +90,7 @@
   };
 }
 
-/** The shortest boot where all machines have GPUs; null where some have none. */
+/** The shortest boot time if all machine types have GPUs, otherwise null. */
 function gpuBootMs(types: readonly MachineType[]): number | null {
   if (types.some((type) => type.capacity.gpus === 0)) return null;
   return Math.min(...types.map((type) => type.bootMs));
@@ -165,7 +166,7 @@
   };
 }
 
-/** Jobs that wait for others take no part in the decisions. */
+/** The open jobs whose dependencies are done; others are left out of the snapshot. */
 function jobViews(context: SnapshotContext): JobView[] {
   const views: JobView[] = [];
   for (const job of openJobs(context.sources.jobs)) {
@@ -174,7 +175,7 @@
   return views;
 }
 
-/** Work without GPUs that is expected to be ready before a machine that is rented now is up. */
+/** Jobs without GPUs that are expected to be ready before a machine provisioned now would be up. */
 function upcomingJobs(context: SnapshotContext): JobView[] {
   const { gpuBootMs, urgencies, wall } = context;
   const views: JobView[] = [];
@@ -187,6 +188,7 @@
   return views;
 }
 
+/** CPUs held by tasks without GPUs, which are expected to free them soon. */
 function leavingCpus(sources: SnapshotSources): number {
   let cpus = 0;
   for (const { spec, placements } of sources.jobs.values()) {
@@ -227,7 +229,7 @@
   };
 }
 
-/** Whether work without GPUs still waits for room that others leave. */
+/** Whether a job without GPUs should still wait for capacity that other such work frees. */
 function isBackfill(
   { gpuBootMs, urgencies }: SnapshotContext,
   { id, spec }: Job,
@@ -240,30 +242,33 @@
 
 function isAdmissible(job: Job, now: number): boolean {
   if (job.isUnreadable || job.failures.retryAt > now) return false;
-  // A gang is placed anew only when nothing of its last attempt can be left.
+  // A gang is placed again only once no task of its last attempt can be left.
   return !job.gang || (job.placements.size === 0 && job.gang.phase !== 'suspended');
 }
 
-/** What waits of a job that fails everywhere takes nothing of its team's guarantee from the rest. */
+/**
+ * Unfinished tasks that count towards the team's guarantee. Waiting tasks of a job that fails on every
+ * machine do not count, so that they take nothing from the team's other jobs.
+ */
 function unfinishedTasks(sources: SnapshotSources, job: Job): number {
   if (job.failures.isSuspected) return job.placements.size;
   return Math.min(job.spec.tasks - job.doneCount, sources.extensions.placementLimit(job.id));
 }
 
 function teamViews(sources: SnapshotSources): Map<string, TeamView> {
-  const use = teamUsage(sources.jobs.values());
+  const usage = teamUsage(sources.jobs.values());
   const teams = new Map<string, TeamView>();
   for (const [name, { guarantee, limit }] of sources.quotas()) {
-    teams.set(name, { guarantee, limit, used: use.get(name) ?? { cpus: 0, gpus: 0 } });
+    teams.set(name, { guarantee, limit, used: usage.get(name) ?? { cpus: 0, gpus: 0 } });
   }
   return teams;
 }
 
-/** How much work of a task would have to be done again if it were stopped now without being saved. */
+/** The work, in milliseconds, that a task would lose if it were stopped now without a checkpoint. */
 export function lostWorkMs({ job, runningSince }: Placement, now: number): number {
-  const ran = runningSince === null ? 0 : now - runningSince;
+  const ranMs = runningSince === null ? 0 : now - runningSince;
   const { checkpointMs } = job.spec;
-  return checkpointMs > 0 ? Math.min(ran, checkpointMs) : ran;
+  return checkpointMs > 0 ? Math.min(ranMs, checkpointMs) : ranMs;
 }
 
 function offers({ sources, types }: SnapshotContext): InstanceOffer[] {
@@ -285,7 +290,7 @@
     if (job.spec.kind === 'service') continue;
     const priority = urgencies.get(job.id)?.priority ?? job.spec.priority;
     for (const placement of job.placements.values()) {
-      const ran = placement.runningSince === null ? 0 : now - placement.runningSince;
+      const ranMs = placement.runningSince === null ? 0 : now - placement.runningSince;
       const { estimateMs } = job.spec;
       list.push({
         job: job.id,
@@ -295,9 +300,10 @@
         priority,
         lostWorkMs: lostWorkMs(placement, now),
         stopsWithoutCheckpoint: job.stopsWithoutCheckpoint.get(placement.task) ?? 0,
-        remainingMs: Math.max(estimateMs - ran, estimateMs * MIN_REMAINING_RATIO),
+        remainingMs: Math.max(estimateMs - ranMs, estimateMs * MIN_REMAINING_RATIO),
         isGangMember: job.gang !== null,
-        // A trial of what fails everywhere is over soon: nothing is rented instead of its room.
+        // A retry of a job that fails everywhere ends soon, so no machine is provisioned in place of
+        // the capacity that it holds.
         isStopping: placement.stop !== null || job.phase !== 'open' || job.failures.isSuspected,
       });
     }
--- a/src/control/scheduling/team-usage.ts
+++ b/src/control/scheduling/team-usage.ts
@@ -1,7 +1,7 @@
-/** What teams use, by the records of jobs. */
+/** Resource usage of teams, computed from their jobs. */
 import type { Job } from '../../jobs/tracked-job.js';
 
-/** Processors and GPUs in use by team: a task that may be on a machine counts until proven gone. */
+/** CPUs and GPUs in use by team; a task that may be on a machine counts until it is proven gone. */
 export function teamUsage(jobs: Iterable<Job>): Map<string, { cpus: number; gpus: number }> {
   const usage = new Map<string, { cpus: number; gpus: number }>();
   for (const job of jobs) {
