--- a/src/control/controller-services.ts
+++ b/src/control/controller-services.ts
@@ -1,4 +1,4 @@
-/** Construction of what a controller has at all times, whether it leads or not. */
+/** Constructs the services that a controller runs at all times, whether or not it is the leader. */
 import type { Runtime } from '@leverhatch/core/duty';
 import { LeaderElection } from '../election/leader-election.js';
 import { SuccessorPolicy } from '../election/successor-policy.js';
@@ -29,69 +29,72 @@
 import { MAX_HOLD_MS } from './reconciliation/heartbeat-handler.js';
 import { ReplicatedProgress } from './replicated-progress.js';
 
-/** For how many times `cancel_s` it is remembered which jobs users were told to be cancelled. */
+/** Retention of announced cancellations, as a multiple of `cancel_s`. */
 const CANCELLATION_LOG_WINDOWS = 3;
 
-/** Users wait 5 s for a submission and 2 s for a poll; what they are told has to reach them by then. */
+/** Clients time out after 5 s for a submission and 2 s for a poll; answers must arrive before that. */
 const SUBMIT_TIMEOUT_MS = 4000;
 const QUERY_TIMEOUT_MS = 1600;
 
-/** How often it is measured how late timers are, as a share of a poll's time. */
+/** Interval of event loop lag measurements, as a fraction of the poll timeout. */
 const LAG_INTERVAL_RATIO = 1 / 8;
 
-/** Jobs accepted before all controllers know that there are too many are shown as well. */
+/**
+ * Capacity for replicated progress, as a multiple of the limit on open jobs: jobs that were accepted
+ * before all controllers knew that the limit was reached are shown as well.
+ */
 const REPLICATED_JOBS_FACTOR = 2;
 
-/** How many heartbeat intervals pass between two checks of who has been upgraded. */
+/** Heartbeat intervals between two checks of which controllers have been upgraded. */
 const HEARTBEATS_PER_REFRESH = 2;
 
-/** For what share of a worker's lease an answer of the cloud is waited for. */
+/** Timeout of cloud requests, as a fraction of the workers' lease. */
 const CLOUD_TIMEOUT_RATIO = 0.4;
 
-/** A controller's connections to the world outside, and the optional parts of it. */
+/** A controller's connections to other systems, and its extensions. */
 export interface ControllerDependencies {
   peerTransport: PeerTransport;
   store: Transport;
   cloud: Transport;
   workers: WorkerTransports;
-  /** Optional parts that are switched on. */
+  /** The enabled extensions. */
   extensions?: readonly CreateExtension[];
 }
 
-/** What users and extensions see of this controller's own leader. */
+/** The state of this controller's own leader that the job API and extensions use. */
 export interface LeaderView {
   readonly isRecovered: boolean;
   readonly jobCount: number;
   progressOf(id: string): TaskCounts | null;
 }
 
-/** What the services ask of the controller that they belong to. */
+/** Callbacks from the services to the controller that owns them. */
 export interface ControllerServicesHost {
-  /** This controller's own leader while it leads. */
+  /** This controller's own leader; null while it does not lead. */
   leader(): LeaderView | null;
-  /** A user is about to be told that a job is cancelled. */
+  /** Called before a user is told that a job is cancelled. */
   announceCancellation(id: string): void;
 }
 
-/** An extension that says what teams have or will have. */
+/** An extension that provides the promised quotas of teams. */
 type QuotaExtension = Extension & Required<Pick<Extension, 'promisedQuotas'>>;
 
 function hasPromisedQuotas(extension: Extension): extension is QuotaExtension {
   return extension.promisedQuotas !== undefined;
 }
 
-/** How long an answer of the cloud is waited for. */
+/** Timeout of cloud requests, in milliseconds. */
 export function cloudTimeoutMs(settings: Settings): number {
   return settings.workers.leaseMs * CLOUD_TIMEOUT_RATIO;
 }
 
-/** What a controller has at all times; made in this order, since later ones use earlier ones. */
+/** The services of a controller, constructed in dependency order. */
 export class ControllerServices {
   readonly store: Store;
   readonly machineTypes: MachineTypeCatalog;
   readonly successorPolicy: SuccessorPolicy;
   readonly election: LeaderElection;
-  /** Optional parts that are switched on. */
+  /** The enabled extensions. */
   readonly extensions: readonly Extension[];
   readonly membership: Membership;
   readonly replicatedProgress: ReplicatedProgress;
@@ -197,7 +200,7 @@
 
   private createJobApi(): JobApi {
     const { store, machineTypes, settings, runtime } = this;
-    return new JobApi(store, machineTypes, settings, runtime, this.statusForUsers(), {
+    return new JobApi(store, machineTypes, settings, runtime, this.createControllerStatus(), {
       submitMs: SUBMIT_TIMEOUT_MS,
       pollMs: QUERY_TIMEOUT_MS,
     });
@@ -212,25 +215,25 @@
       runtime.clock,
       {
         refreshMs: workers.cancelMs / 8,
-        viewMs: cancellationViewLimitMs(workers, leaderLeaseMs),
-        waitMs: MAX_HOLD_MS,
+        maxViewAgeMs: cancellationViewLimitMs(workers, leaderLeaseMs),
+        maxHoldMs: MAX_HOLD_MS,
         maxJobs: machine.memoryMb * OPEN_JOBS_PER_MB,
       },
     );
   }
 
-  /** What this controller understands, with the optional parts that it has switched on. */
+  /** The formats that this controller supports, including the features of its enabled extensions. */
   private get formats(): Formats {
     const features = this.extensions.map(({ feature }) => feature);
     return features.length > 0 ? { ...OWN_FORMATS, features } : OWN_FORMATS;
   }
 
-  /** The part that says what teams have or will have; undefined: the settings do. */
+  /** The extension that provides promised quotas; undefined: quotas come from the settings. */
   private get quotaExtension(): QuotaExtension | undefined {
     return this.extensions.find(hasPromisedQuotas);
   }
 
-  private statusForUsers(): ControllerStatus {
+  private createControllerStatus(): ControllerStatus {
     const { host, quotaExtension } = this;
     return {
       progressOf: (id) => {
--- a/src/control/controller.ts
+++ b/src/control/controller.ts
@@ -1,4 +1,4 @@
-/** One controller: what it runs, and what begins and ends with its terms as leader. */
+/** The controller: its supervised tasks, and the leader that it creates for each of its terms. */
 import { supervise, untilAborted, type Runtime } from '@leverhatch/core/duty';
 import type { Role } from '../election/leader-election.js';
 import type { Term } from '../election/term.js';
@@ -25,7 +25,7 @@
 
 export type { ControllerDependencies } from './controller-services.js';
 
-/** One controller: answers users at all times, and leads while it holds the leader key. */
+/** A controller: serves users at all times, and acts as leader while it holds the leader key. */
 export class Controller implements ControllerService {
   private readonly services: ControllerServices;
   private readonly heartbeatRouter: HeartbeatRouter;
@@ -79,7 +79,7 @@
     return this.services.membership;
   }
 
-  /** Optional parts that are switched on. */
+  /** The enabled extensions. */
   get extensions(): readonly Extension[] {
     return this.services.extensions;
   }
@@ -94,7 +94,7 @@
       cancellationQuery.listen(),
     ];
     try {
-      await Promise.all(this.startDuties(signal));
+      await Promise.all(this.startSupervisedTasks(signal));
     } finally {
       for (const subscription of subscriptions) subscription.unsubscribe();
     }
@@ -121,32 +121,32 @@
     };
   }
 
-  private startDuties(signal: AbortSignal): Promise<void>[] {
+  private startSupervisedTasks(signal: AbortSignal): Promise<void>[] {
     const { runtime } = this;
     const { election, eventLoopLag, machineTypes, membership, store } = this.services;
     const restartMs = this.settings.workers.heartbeatIntervalMs;
-    const duty = (name: string, run: (signal: AbortSignal) => Promise<void>): Promise<void> =>
+    const startTask = (name: string, run: (signal: AbortSignal) => Promise<void>): Promise<void> =>
       supervise(runtime, name, signal, restartMs, run);
     return [
-      duty('heartbeat', (signal) => this.peerAnnouncements.broadcast(signal)),
-      duty('event loop', (signal) => eventLoopLag.run(signal)),
-      duty('store probe', (signal) => probeStore(store, runtime.clock, restartMs, signal)),
-      duty('catalogue', async (signal) => {
+      startTask('heartbeat', (signal) => this.peerAnnouncements.broadcast(signal)),
+      startTask('event loop', (signal) => eventLoopLag.run(signal)),
+      startTask('store probe', (signal) => probeStore(store, runtime.clock, restartMs, signal)),
+      startTask('machine type catalog', async (signal) => {
         await machineTypes.load(signal);
         await untilAborted(signal);
       }),
-      duty('membership', async (signal) => {
+      startTask('membership', async (signal) => {
         await membership.run(signal);
         await untilAborted(signal);
       }),
-      duty('election', (signal) => election.run(signal)),
+      startTask('election', (signal) => election.run(signal)),
     ];
   }
 
   private onRole(role: Role): void {
     if (role.kind === 'leader') this.lead(role.term);
     else if (role.leader !== null) {
-      // A new leader has time to be heard before its workers count as partitioned.
+      // Gives a new leader time for its first heartbeat before its workers count as partitioned.
       this.heartbeatRouter.recordLeaderHeard();
       this.heartbeatRouter.onLeaderKnown();
     }
--- a/src/control/heartbeat-router.ts
+++ b/src/control/heartbeat-router.ts
@@ -1,6 +1,6 @@
 /**
- * Where a worker's heartbeat goes in one controller: to its own leader, to the partitioned workers that
- * it keeps alive, or away to another controller.
+ * Routing of worker heartbeats within a controller: to its own leader, to the handler for partitioned
+ * workers, or by redirect to another controller.
  */
 import { setMaxListeners } from 'node:events';
 import type { Runtime } from '@leverhatch/core/duty';
@@ -12,55 +12,55 @@
 import type { WorkerCommand, WorkerHeartbeat } from '../wire/worker-heartbeat.js';
 import type { PartitionedWorkers } from './partition/partitioned-workers.js';
 
-/** The leader sends one heartbeat per interval; after so many intervals without one it is unresponsive. */
+/** Heartbeat intervals without a leader heartbeat after which the leader counts as unresponsive. */
 const MISSED_HEARTBEATS = 1.2;
 
-/** After so many intervals without the leader's heartbeat the zone counts as cut off from it. */
+/** Heartbeat intervals without a leader heartbeat after which the zone counts as partitioned. */
 const PARTITION_HEARTBEATS = 2.5;
 
-/** How long a heartbeat waits here for a leader to be known; no longer than a worker would pause. */
+/** How long a heartbeat is held until a leader is known; at most a worker's own retry delay. */
 const UNKNOWN_LEADER_WAIT_MS = 1000;
 
-/** The part of this controller's own leader that answers workers. */
+/** The part of this controller's own leader that handles worker heartbeats. */
 export interface HeartbeatReceiver {
   readonly term: Pick<Term, 'fencingToken'>;
-  /** What to answer; null if the worker's lease must not be renewed now. */
+  /** The commands to answer; null if the worker's lease must not be renewed now. */
   receiveHeartbeat(
     heartbeat: WorkerHeartbeat,
   ): WorkerCommand[] | null | Promise<WorkerCommand[] | null>;
   mayRenewWorkerLeases(now: number): boolean;
 }
 
-/** What a `HeartbeatRouter` works with. */
+/** Dependencies of `HeartbeatRouter`. */
 export interface HeartbeatRouterContext {
   readonly settings: Settings;
   readonly operator: Pick<OperatorSettings, 'election'>;
   readonly runtime: Pick<Runtime, 'clock'>;
   readonly partitionedWorkers: Pick<PartitionedWorkers, 'receiveHeartbeat'>;
   role(): Role;
-  /** This controller's own leader while it leads. */
+  /** This controller's own leader; null while it does not lead. */
   leader(): HeartbeatReceiver | null;
 }
 
-/** For a signal that any number of heartbeats wait for. */
+/** Creates an abort controller whose signal may have any number of listeners. */
 function createSharedAbortController(): AbortController {
   const controller = new AbortController();
   setMaxListeners(0, controller.signal);
   return controller;
 }
 
-/** Decides who answers a heartbeat, and remembers when the leader was last heard. */
+/** Decides who answers a worker heartbeat, and tracks when the leader was last heard. */
 export class HeartbeatRouter {
-  /** When the leader was last heard; a controller that has just started may find none alive. */
+  /** When the leader was last heard; -Infinity after a start, as there may be no live leader. */
   private leaderHeardAt = -Infinity;
-  /** To whom this controller has transferred leadership, until a leader is known. */
+  /** The controller to which leadership was transferred, until a leader is known. */
   private successor: string | null = null;
-  /** Ends the waits of heartbeats that came while no leader was known. */
-  private waitingForLeader = createSharedAbortController();
+  /** Releases heartbeats that are held until a leader is known. */
+  private leaderKnownAbort = createSharedAbortController();
 
   constructor(private readonly context: HeartbeatRouterContext) {}
 
-  /** `mayWait`: the worker has not waited yet for a leader to be known. */
+  /** `mayWait`: the heartbeat has not yet been held for a leader to be known. */
   receive(
     heartbeat: WorkerHeartbeat,
     mayWait = true,
@@ -72,18 +72,19 @@
       : this.receiveAsLeader(heartbeat, role.term, now);
   }
 
-  /** The leader's heartbeat has come, or a new leader has time to be heard. */
+  /** Records a leader heartbeat, or the election of a leader that has not sent one yet. */
   recordLeaderHeard(): void {
     this.leaderHeardAt = this.context.runtime.clock.now();
   }
 
+  /** Ends a transfer of leadership, and releases the held heartbeats. */
   onLeaderKnown(): void {
     this.successor = null;
-    this.waitingForLeader.abort();
-    this.waitingForLeader = createSharedAbortController();
+    this.leaderKnownAbort.abort();
+    this.leaderKnownAbort = createSharedAbortController();
   }
 
-  /** This controller resigns; until a leader is known workers are sent to `successor`. */
+  /** Handles the resignation of this controller: redirects to `successor` until a leader is known. */
   onResigned(successor: string | null): void {
     this.successor = successor;
   }
@@ -100,7 +101,7 @@
     }
     if (leader !== null && !this.isLeaderUnresponsive(now)) return { kind: 'redirect', leader };
     const isUnknown = leader === null && this.successor === null;
-    return isUnknown && mayWait ? this.whenLeaderKnown(heartbeat) : this.redirect();
+    return isUnknown && mayWait ? this.waitForLeader(heartbeat) : this.redirect();
   }
 
   private receiveAsLeader(
@@ -109,7 +110,7 @@
     now: number,
   ): HeartbeatOutcome | Promise<HeartbeatOutcome> {
     const leader = this.context.leader();
-    // A worker that has seen a higher token would drop our answer, and wait for another in vain.
+    // A worker that has seen a higher token would drop our answer and wait in vain for another one.
     if (!leader || !term.isActive(now) || heartbeat.fencingToken > term.fencingToken) {
       return this.redirect();
     }
@@ -121,11 +122,12 @@
   }
 
   /**
-   * A worker that is sent away without a name tries the next controller after a second, which may be
-   * unresponsive: it waits that second here, in case leadership is just being transferred.
+   * Holds a heartbeat until a leader is known. A worker that is redirected without a leader's name
+   * tries the next controller after a second, and that one may be unresponsive; it spends that second
+   * here instead, in case leadership is being transferred.
    */
-  private async whenLeaderKnown(heartbeat: WorkerHeartbeat): Promise<HeartbeatOutcome> {
-    await this.context.runtime.clock.sleep(UNKNOWN_LEADER_WAIT_MS, this.waitingForLeader.signal);
+  private async waitForLeader(heartbeat: WorkerHeartbeat): Promise<HeartbeatOutcome> {
+    await this.context.runtime.clock.sleep(UNKNOWN_LEADER_WAIT_MS, this.leaderKnownAbort.signal);
     return this.receive(heartbeat, false);
   }
 
@@ -133,7 +135,7 @@
     return { kind: 'redirect', leader: this.successor };
   }
 
-  /** The lease may have run out while the answer was held back, so it is checked again. */
+  /** Answers a held heartbeat; the lease may have expired meanwhile, so it is checked again. */
   private async answerHeld(
     leader: HeartbeatReceiver,
     heldCommands: Promise<WorkerCommand[] | null>,
@@ -145,9 +147,10 @@
   }
 
   /**
-   * A leader that was heard and no longer is: a worker sent to one that stands still waits 4 s for
-   * nothing, of a lease that may just last until the next leader is elected. If the leader's key
-   * outlives that, it is only we who do not hear it.
+   * Whether the leader's heartbeats have stopped recently. A worker redirected to a stalled leader
+   * loses 4 s waiting for an answer, and its lease may barely last until the next leader is elected.
+   * If the leader key still exists after a whole leader lease, only this controller does not hear the
+   * leader, and redirects resume.
    */
   private isLeaderUnresponsive(now: number): boolean {
     const { workers } = this.context.settings;
@@ -158,8 +161,9 @@
   }
 
   /**
-   * A worker of our zone that comes while we are cut off from the leader. It may know only the token
-   * of the term before: where the leader changes during the partition, no other node tells it.
+   * Whether a worker of our zone contacts us while we are partitioned from the leader. It may know
+   * only the token of the previous term: if the leader changes during the partition, no other node
+   * tells the worker.
    */
   private isFromPartitionedZone(
     heartbeat: WorkerHeartbeat,
--- a/src/control/leader-parts.ts
+++ b/src/control/leader-parts.ts
@@ -1,7 +1,7 @@
 /**
- * The parts of a leader for one term, and how they are put together. Above 300 lines because it is the
- * only place where parts meet: each is given named fields, and those that need each other both ways
- * are joined here by functions. What happens over time is in leader.ts.
+ * Constructs and connects the components of a leader for one term. Above 300 lines because this is the
+ * only place where components are wired together: each gets named dependencies, and components that
+ * depend on each other are connected by callbacks. leader.ts runs them.
  */
 import { ZoneDelegateWatch, zoneDelegationMs } from '../election/zone-delegate.js';
 import type { SuccessorPolicy } from '../election/successor-policy.js';
@@ -42,7 +42,7 @@
 import { RecordReadMonitor, type UnreadableTerms } from './leadership/record-read-monitor.js';
 import { WorkerLiveness, type WorkerlessTerms } from './leadership/worker-liveness.js';
 
-/** What a leader is given by its controller. */
+/** Dependencies that a leader gets from its controller. */
 export interface LeaderDependencies {
   store: Store;
   cloud: Transport;
@@ -59,27 +59,27 @@
   unreadableTerms: UnreadableTerms;
   /** Whether the store serves another controller, which could lead. */
   isStoreAvailableToOthers(): boolean;
-  /** Whom workers should send heartbeats to rather than to this leader; null: nobody. */
+  /** The controller that should lead instead of this one; null: none. */
   preferredSuccessor(): string | null;
-  /** Optional parts that are switched on. */
+  /** The enabled extensions. */
   extensions: readonly Extension[];
 }
 
-/** All parts of a leader. Made in the order of the constructor, since later ones use earlier ones. */
+/** The components of a leader, constructed in dependency order. */
 export class LeaderParts {
   readonly jobs = new Map<string, Job>();
   readonly fleet: Fleet;
   readonly provisioner: MachineProvisioner;
   readonly gangGate: GangGate;
   readonly reconciler: MachineReconciler;
-  /** How long the leader lease lasts. */
+  /** Duration of the leader lease, in milliseconds. */
   readonly leaderLeaseMs: number;
   readonly cancellationView: CancellationView;
   readonly workerLiveness: WorkerLiveness;
   readonly recordReadMonitor: RecordReadMonitor;
   readonly machineLivenessLog: MachineLivenessLog;
   readonly quotaWaitLog: QuotaWaitLog;
-  /** Optional parts that are switched on, in this term. */
+  /** The enabled extensions, for this term. */
   readonly extensions: TermExtensions;
   readonly recordWriter: JobRecordWriter;
   readonly rewriter: RunRewriter;
@@ -99,7 +99,7 @@
   constructor(
     private readonly context: LeaderDependencies,
     private readonly term: Term,
-    /** `successor`: whom the workers are sent to until the next leader is known. */
+    /** `successor`: the controller to which workers are redirected until the next leader is known. */
     private readonly resign: (successor?: string) => void,
   ) {
     const { settings, runtime, store } = context;
@@ -132,7 +132,7 @@
     this.longPoll = new LongPoll(runtime, longestHoldMs(settings.workers.heartbeatIntervalMs));
     this.stopCommands = this.createStopCommands();
     this.taskStopper = this.createTaskStopper();
-    this.extensions = this.beginExtensions();
+    this.extensions = this.createTermExtensions();
     const layouts = this.layoutPolicy();
     this.recordWriter = this.createRecordWriter(layouts);
     this.rewriter = new RunRewriter(store, runtime, this.recordWriter, this.jobs, layouts);
@@ -321,14 +321,14 @@
   private createRecordWriter(layouts: LayoutPolicy): JobRecordWriter {
     const { store, runtime, settings } = this.context;
     const { term } = this;
-    const endsWaitMs = settings.workers.leaseMs;
+    const exitBatchMs = settings.workers.leaseMs;
     return new JobRecordWriter(
       store,
       runtime,
       term,
       store.limits,
       layouts,
-      endsWaitMs,
+      exitBatchMs,
       {
         jobChanged: (job, version, record) => this.jobRecords.onJobRecord(job.id, version, record),
         startsRecorded: (placements) => {
@@ -376,7 +376,7 @@
     });
   }
 
-  private beginExtensions(): TermExtensions {
+  private createTermExtensions(): TermExtensions {
     const { runtime, settings, extensions } = this.context;
     return new TermExtensions(extensions, {
       ...{ runtime, settings, term: this.term, jobs: this.jobs, taskStopper: this.taskStopper },
@@ -401,7 +401,7 @@
     return this.term.isActive(now) && this.cancellationView.mayRenewLeases(now);
   }
 
-  /** How soon a request that failed is made again. */
+  /** Delay before a failed request is retried, in milliseconds. */
   get retryMs(): number {
     return this.context.settings.workers.leaseMs / 50;
   }
@@ -410,12 +410,12 @@
     return this.context.machineTypes.types.value ?? new Map();
   }
 
-  /** What each team may have now. */
+  /** The current quota of each team. */
   quotas(): TeamQuotaMap {
     return this.extensions.quotas() ?? this.context.settings.teams;
   }
 
-  /** Something changed that the next scheduling cycle should see. */
+  /** Requests a scheduling cycle, after a change that it should take into account. */
   requestSchedule(): void {
     this.schedulingLoop.request();
   }
--- a/src/control/leader.ts
+++ b/src/control/leader.ts
@@ -1,27 +1,30 @@
-/** What a leader does over its term: its duties, and what its controller asks of it. */
+/** The leader of one term: the tasks that it runs, and the operations that its controller uses. */
 import { supervise } from '@leverhatch/core/duty';
 import type { Term } from '../election/term.js';
 import type { TaskCounts } from '../jobs/job-api.js';
 import type { WorkerCommand, WorkerHeartbeat } from '../wire/worker-heartbeat.js';
 import { LeaderParts, type LeaderDependencies } from './leader-parts.js';
 
-/** After what share of the leader lease without news of the job records the others are asked. */
+/**
+ * Age of the cancellation view, as a fraction of the leader lease, after which the other controllers
+ * are queried for cancellations.
+ */
 const UNRESPONSIVE_STORE_RATIO = 0.5;
 
-/** How many workers' leases a term lasts at least before leadership is transferred only to be safer. */
-const SETTLED_LEASES = 2;
+/** Minimum age of a term, in worker leases, before a precautionary transfer of leadership. */
+const MIN_TERM_LEASES = 2;
 
-/** Prices move by up to a third and slowly; a call each half minute does not weigh on any cloud. */
+/** Prices change slowly, by up to a third; one call every 30 s is negligible load for any cloud. */
 const PRICE_REFRESH_MS = 30_000;
 
-/** All that a controller does while it leads. It lives for one term and is thrown away after it. */
+/** The leader role of a controller. An instance exists for one term and is discarded after it. */
 export class Leader {
   readonly parts: LeaderParts;
 
   constructor(
     private readonly context: LeaderDependencies,
     readonly term: Term,
-    /** `successor`: whom the workers are sent to until the next leader is known. */
+    /** `successor`: the controller to which workers are redirected until the next leader is known. */
     private readonly resign: (successor?: string) => void,
   ) {
     this.parts = new LeaderParts(context, term, resign);
@@ -46,7 +49,7 @@
       supervise(runtime, 'held heartbeats', signal, restartMs, (signal) =>
         this.parts.longPoll.run(signal),
       ),
-      supervise(runtime, 'follow jobs', signal, restartMs, (signal) =>
+      supervise(runtime, 'job record watch', signal, restartMs, (signal) =>
         this.parts.jobRecords.watch(signal),
       ),
       supervise(runtime, 'cancellation query', signal, restartMs, (signal) =>
@@ -67,16 +70,16 @@
     ]);
   }
 
-  /** What to answer a worker's heartbeat; null if its lease must not be renewed now. */
+  /** The commands to answer a worker's heartbeat; null if its lease must not be renewed now. */
   receiveHeartbeat(
     heartbeat: WorkerHeartbeat,
   ): WorkerCommand[] | null | Promise<WorkerCommand[] | null> {
     return this.parts.heartbeatHandler.receive(heartbeat);
   }
 
-  /** A user was told that the job is cancelled; the store's own news of it may take longer. */
-  announceCancelled(id: string): void {
-    this.parts.jobRecords.announceCancelled(id);
+  /** Handles a cancellation that a user was told of; the store's watch may report it later. */
+  onCancellationAnnounced(id: string): void {
+    this.parts.jobRecords.onCancellationAnnounced(id);
   }
 
   progressOf(id: string): TaskCounts | null {
@@ -94,8 +97,8 @@
   }
 
   /**
-   * While the store brings no news of the job records, the other controllers can tell which of them
-   * their users know to be cancelled.
+   * While the store delivers no updates of the job records, asks the other controllers which
+   * cancellations they have announced to users.
    */
   private async queryCancellations(signal: AbortSignal): Promise<void> {
     const { clock } = this.context.runtime;
@@ -115,14 +118,14 @@
     );
     this.context.runtime.log.debug(
       { jobs: known?.cancelled.size ?? null },
-      'asked for cancellations',
+      'queried peers for cancellations',
     );
     if (!known) return;
-    for (const id of known.cancelled) this.announceCancelled(id);
+    for (const id of known.cancelled) this.onCancellationAnnounced(id);
     this.parts.cancellationView.completeAt(known.asOf);
   }
 
-  /** Resigns if another controller can do what this one cannot, or is better placed. */
+  /** Resigns if another controller can lead where this one cannot, or is the safer leader. */
   private async watchLeadership(signal: AbortSignal): Promise<void> {
     const { runtime, unreadableTerms } = this.context;
     while (!signal.aborted) {
@@ -139,11 +142,14 @@
     }
   }
 
-  /** Resigns where unresponsive controllers would cost the workers their leases if this one failed too. */
+  /**
+   * Transfers leadership if so many controllers are unresponsive that the workers' leases would expire
+   * during a failover from this one.
+   */
   private transferLeadership(): void {
     const { settings, runtime } = this.context;
     const isSettled =
-      this.parts.now - this.term.startedAt > settings.workers.leaseMs * SETTLED_LEASES;
+      this.parts.now - this.term.startedAt > settings.workers.leaseMs * MIN_TERM_LEASES;
     if (!isSettled || !this.parts.jobRecords.isRecovered || !this.term.holdsLease(this.parts.now))
       return;
     const successor = this.context.preferredSuccessor();
--- a/src/control/leadership/record-read-monitor.ts
+++ b/src/control/leadership/record-read-monitor.ts
@@ -1,51 +1,51 @@
-/** When a leader should resign since it cannot read its records. Times are monotonic, in milliseconds. */
+/** Resignation of a leader that cannot read its records. Times are monotonic, in milliseconds. */
 import { RequestRejectedError } from '../../state/store.js';
 
 /**
- * For how many leader leases a leader may be without reading its records before it resigns: one
- * while it has never read them, since all its workers are turned away; two later, since where only
- * watching fails the records are read another way after one.
+ * Leader leases without reading the records after which a leader resigns: one if it has never read
+ * them, since it turns all workers away until then; two afterwards, since if only the watch fails the
+ * records are read as a whole after one lease.
  */
 const NEVER_READ_LEASES = 1;
 const READ_BEFORE_LEASES = 2;
 
-/** The status of a request that is refused for its rate. */
+/** HTTP status of a rate-limited request. */
 const TOO_MANY_REQUESTS = 429;
 
-/** After so many doublings the timeout grows no more. */
+/** Maximum number of times the timeout is doubled. */
 const MAX_DOUBLINGS = 6;
 
 /**
- * How often in a row this controller has resigned because it could not read the records. It outlives
- * terms: where nobody can read them, leadership would otherwise change for ever.
+ * Counts consecutive resignations of this controller because it could not read the records. It
+ * outlives terms: if no controller can read them, leadership would otherwise change forever.
  */
 export class UnreadableTerms {
   private count = 0;
 
-  /** This controller resigns for that reason. */
+  /** Counts a resignation for this reason. */
   recordResignation(): void {
     this.count++;
   }
 
-  /** This controller has read the records as a leader. */
+  /** Resets the count, after this controller has read the records as a leader. */
   reset(): void {
     this.count = 0;
   }
 
-  /** By how much the timeout is longer than the first time. */
+  /** Factor on the timeout, doubled with each resignation. */
   get backoffFactor(): number {
     return 2 ** Math.min(this.count, MAX_DOUBLINGS);
   }
 }
 
-/** Tells when a leader should resign since it cannot read its records, though the store renews its lease. */
+/** Detects that the leader cannot read its records although the store still renews its lease. */
 export class RecordReadMonitor {
   private isFailing = false;
   private hasEverRead = false;
 
   /**
-   * @param readAt when the term began, and then when records were last read
-   * @param leaderLeaseMs how long the leader lease lasts
+   * @param readAt when records were last read, initially when the term began
+   * @param leaderLeaseMs duration of the leader lease, in milliseconds
    */
   constructor(
     private readAt: number,
@@ -53,31 +53,31 @@
     private readonly unreadableTerms: UnreadableTerms,
   ) {}
 
-  /** Some of the records have been read: however long the rest takes, it is not refused. */
+  /** Records that some of the records were read: reads succeed, even if the rest takes long. */
   recordProgress(): void {
     this.isFailing = false;
   }
 
-  /** The records are known as they were at about this time. */
+  /** Records that the records are known as of about this time. */
   recordSuccess(now: number): void {
     this.readAt = now;
     this.isFailing = false;
   }
 
-  /** All records have been read at the start of the term. */
+  /** Records that recovery at the start of the term has read all records. */
   recordRecovery(now: number): void {
     this.recordSuccess(now);
     this.hasEverRead = true;
     this.unreadableTerms.reset();
   }
 
-  /** They could not be read. Rate limiting (429) affects all controllers, and passes. */
+  /** Records a failed read. Rate limiting (429) is ignored: temporary, and affects all controllers. */
   recordFailure(error: unknown): void {
     if (!(error instanceof RequestRejectedError && error.status === TOO_MANY_REQUESTS))
       this.isFailing = true;
   }
 
-  /** How long nothing has been read; answers of other controllers on cancellations do not count as reading. */
+  /** Time since the last read; cancellations that other controllers report do not count as a read. */
   ageMs(now: number): number {
     return now - this.readAt;
   }
--- a/src/control/leadership/self-monitor.ts
+++ b/src/control/leadership/self-monitor.ts
@@ -1,13 +1,13 @@
-/** What a controller notices of itself. */
+/** Logging of a controller's own stalls and readiness. */
 import type { Clock } from '@leverhatch/core/clock';
 import type { Logger } from '@leverhatch/core/log';
 
-/** An observation that is late by more than this many intervals is logged. */
+/** An observation that is late by more than this many intervals is logged as a stall. */
 const STALL_INTERVALS = 1;
 
 /**
- * Logs that this controller stalled (it was suspended, or short of processor time), and whether it
- * tells the load balancer that it can serve users. It decides nothing.
+ * Logs stalls of this controller (it was suspended, or short of CPU time), and changes of the
+ * readiness that it reports to the load balancer. It only logs and affects no decision.
  */
 export class SelfMonitor {
   private dueAt: number | null = null;
@@ -20,7 +20,7 @@
     private readonly intervalMs: number,
   ) {}
 
-  /** To be called once an interval. */
+  /** Must be called once per interval. */
   observe(isReady: boolean): void {
     const now = this.clock.now();
     const lateMs = this.dueAt === null ? 0 : now - this.dueAt;
@@ -31,6 +31,6 @@
     if (isReady === this.wasReady) return;
     this.wasReady = isReady;
     if (isReady) this.log.info({}, 'ready for users');
-    else this.log.warn({}, 'not ready for users, the balancer moves them');
+    else this.log.warn({}, 'not ready for users, the load balancer routes them elsewhere');
   }
 }
--- a/src/control/partition/cancellation-view.ts
+++ b/src/control/partition/cancellation-view.ts
@@ -1,15 +1,15 @@
-/** How current the leader's knowledge of cancellations is. Times are monotonic, in milliseconds. */
+/** Age of the leader's view of cancellations. Times are monotonic, in milliseconds. */
 import { MAX_CLOCK_DRIFT } from '@leverhatch/core/clock';
 import type { Settings } from '../../settings/deploy.js';
 
-/** Timers fire in steps of one or a few milliseconds. */
+/** Allowance for timers, which fire in steps of one or a few milliseconds. */
 const TIMER_RESOLUTION_MS = 10;
 
 /**
- * How old knowledge of users' cancellations may be when a worker's lease is renewed. A task whose
- * cancellation is missing from it ends with its worker's lease at the latest, one lease after the
- * renewal, and has to be gone `cancel_s` after its user was told. Where `cancel_s` is not longer than
- * the lease no bound on renewals can ensure that for a machine that hangs; `floorMs` applies there.
+ * Maximum age of the view of cancellations at which a worker's lease may be renewed. A task whose
+ * cancellation is missing from the view ends at the latest with its worker's lease, one lease after
+ * the renewal, and must be gone `cancel_s` after its user was told. If `cancel_s` is not longer than
+ * the lease, no limit on renewals can ensure that for a machine that hangs; `floorMs` applies then.
  */
 export function cancellationViewLimitMs(workers: Settings['workers'], floorMs: number): number {
   const limit =
@@ -20,25 +20,29 @@
 }
 
 /**
- * Up to when the leader knows of every cancellation that a user can have been told: all job records
- * up to that moment have been read and acted on, or every controller has handed over what it told.
+ * Tracks the time up to which the leader knows every cancellation that a user can have been told of:
+ * all job records up to then have been read and processed, or every controller has reported the
+ * cancellations that it announced.
  */
 export class CancellationView {
   private asOf = -Infinity;
 
   constructor(private readonly limitMs: number) {}
 
-  /** Up to when it is complete. */
+  /** The time up to which the view is complete. */
   get completeAsOf(): number {
     return this.asOf;
   }
 
-  /** `sentAt`: when the request was sent whose answer proved it, and has been acted on. */
+  /**
+   * Marks the view as complete as of `sentAt`, when the request was sent whose response has been
+   * processed.
+   */
   completeAt(sentAt: number): void {
     this.asOf = Math.max(this.asOf, sentAt);
   }
 
-  /** How long ago it was complete. */
+  /** Age of the view. */
   ageMs(now: number): number {
     return now - this.asOf;
   }
--- a/src/control/partition/partitioned-workers.ts
+++ b/src/control/partition/partitioned-workers.ts
@@ -1,4 +1,4 @@
-/** How a zone delegate answers workers that are partitioned from the leader. */
+/** Handling of worker heartbeats by a zone delegate while the zone is partitioned from the leader. */
 import type { ZoneDelegate } from '../../election/zone-delegate.js';
 import type { HeartbeatOutcome } from '../../http/heartbeat-reader.js';
 import type { JobPhase } from '../../jobs/job.js';
@@ -6,25 +6,26 @@
 import type { WorkerCommand, WorkerHeartbeat } from '../../wire/worker-heartbeat.js';
 import { dropOldest } from '../../runtime/drop-oldest.js';
 
-/** Bounds on what a zone delegate knows of jobs. */
+/** Limits on a zone delegate's cached view of jobs. */
 export interface PartitionOptions {
-  /** How often the store is asked again about a job. */
+  /** Minimum interval between two reads of the same job. */
   refreshMs: number;
-  /** How old the knowledge of a job may be when the lease of a worker with its tasks is renewed. */
-  viewMs: number;
-  /** How long an answer is held back until the store has answered; workers wait 4 s. */
-  waitMs: number;
-  /** For so many jobs it is remembered whether they are cancelled; the store is asked about the others. */
+  /** Maximum age of the view of a job when the lease of a worker with its tasks is renewed. */
+  maxViewAgeMs: number;
+  /** How long an answer is held until the store has answered; workers time out after 4 s. */
+  maxHoldMs: number;
+  /** Maximum number of jobs that are cached; evicted ones are read from the store again. */
   maxJobs: number;
 }
 
 /**
- * Keeps alive workers of our own zone that are partitioned from the leader, with the zone
- * delegate's right and no commands but to stop what its user has cancelled. A lease is renewed only
- * while the store has told recently enough, of every job on that worker, whether it is cancelled.
+ * Renews the leases of workers in this controller's zone that are partitioned from the leader, while
+ * this controller is the zone delegate. The only commands are stops of cancelled tasks. A lease is
+ * renewed only if, for every job on that worker, the store has recently confirmed whether the job is
+ * cancelled.
  */
 export class PartitionedWorkers {
-  /** When the request was sent whose answer showed a job not to be cancelled; monotonic, in milliseconds. */
+  /** Send times of the last reads that showed a job as not cancelled; monotonic, in milliseconds. */
   private readonly uncancelledAsOf = new Map<string, number>();
   private readonly cancelled = new Set<string>();
   private readonly pendingReads = new Map<string, Promise<void>>();
@@ -36,13 +37,13 @@
     private readonly limits: PartitionOptions,
   ) {}
 
-  /** The leader is reachable again: these workers go back to it. */
+  /** Clears the cached view, once the leader is reachable again and these workers return to it. */
   clear(): void {
     this.uncancelledAsOf.clear();
     this.cancelled.clear();
   }
 
-  /** The answer to a heartbeat: commands while the zone delegate's right holds, otherwise a redirect. */
+  /** Answers a heartbeat with commands while the zone delegation holds, otherwise with a redirect. */
   async receiveHeartbeat(
     heartbeat: WorkerHeartbeat,
     fencingToken: number,
@@ -52,13 +53,13 @@
       heartbeat.tasks.filter((status) => status.state !== 'exited').map((status) => status.job),
     );
     const refreshed = Promise.all([...jobs].map((job) => this.refresh(job)));
-    const answered = new AbortController();
-    if (!this.knowsAll(jobs)) {
-      await Promise.race([refreshed, this.clock.sleep(this.limits.waitMs, answered.signal)]);
-      answered.abort();
+    const sleepAbort = new AbortController();
+    if (!this.isCurrentFor(jobs)) {
+      await Promise.race([refreshed, this.clock.sleep(this.limits.maxHoldMs, sleepAbort.signal)]);
+      sleepAbort.abort();
     }
     const mayAnswer = await this.zoneDelegate.holds(fencingToken);
-    if (!mayAnswer || !this.knowsAll(jobs)) return { kind: 'redirect', leader };
+    if (!mayAnswer || !this.isCurrentFor(jobs)) return { kind: 'redirect', leader };
     const commands: WorkerCommand[] = heartbeat.tasks
       .filter((status) => status.state !== 'exited' && this.cancelled.has(status.job))
       .map((status) => ({
@@ -71,8 +72,9 @@
     return { kind: 'commands', fencingToken, commands };
   }
 
-  private knowsAll(jobs: Iterable<string>): boolean {
-    const oldest = this.clock.now() - this.limits.viewMs;
+  /** Whether the view of all these jobs is recent enough to renew a lease. */
+  private isCurrentFor(jobs: Iterable<string>): boolean {
+    const oldest = this.clock.now() - this.limits.maxViewAgeMs;
     for (const job of jobs) {
       if (this.cancelled.has(job)) continue;
       if ((this.uncancelledAsOf.get(job) ?? -Infinity) <= oldest) return false;
@@ -80,7 +82,7 @@
     return true;
   }
 
-  /** Asks the store about a job unless it was asked lately, or is being asked. */
+  /** Reads a job from the store, unless it was read recently or a read is pending. */
   private refresh(job: string): Promise<void> {
     if (this.cancelled.has(job)) return Promise.resolve();
     const askedAt = this.clock.now();
@@ -92,11 +94,11 @@
         .then((phase) => {
           if (phase === 'cancelled') this.cancelled.add(job);
           else this.uncancelledAsOf.set(job, askedAt);
-          // No worker is answered from what is dropped: the store is asked again first.
+          // Eviction is safe: an evicted job is read again before its workers are answered.
           dropOldest(this.uncancelledAsOf, this.limits.maxJobs);
           dropOldest(this.cancelled, this.limits.maxJobs);
         })
-        // While the job is unknown its worker gets no answer, and its next heartbeat tries again.
+        // While a job is unknown its workers are redirected; their next heartbeat tries again.
         .catch(() => undefined)
         .finally(() => this.pendingReads.delete(job));
       this.pendingReads.set(job, pendingRead);
--- a/src/control/peer-announcements.ts
+++ b/src/control/peer-announcements.ts
@@ -1,4 +1,4 @@
-/** What controllers tell each other beside votes: leader heartbeats, cancellations, the store's state. */
+/** Messages between controllers other than votes: leader heartbeats, cancellations, store status. */
 import type { Runtime } from '@leverhatch/core/duty';
 import type { Role } from '../election/leader-election.js';
 import type { CancellationLog } from '../jobs/cancellation-log.js';
@@ -13,13 +13,13 @@
 import type { PartitionedWorkers } from './partition/partitioned-workers.js';
 import type { ReplicatedProgress } from './replicated-progress.js';
 
-/** The part of this controller's own leader that takes part in announcements. */
+/** The operations of this controller's own leader that announcements use. */
 export interface AnnouncingLeader {
-  announceCancelled(id: string): void;
+  onCancellationAnnounced(id: string): void;
   progressOfOpenJobs(): JobProgress[];
 }
 
-/** What `PeerAnnouncements` works with. */
+/** Dependencies of `PeerAnnouncements`. */
 export interface PeerAnnouncementsContext {
   readonly settings: Pick<Settings, 'workers'>;
   readonly runtime: Pick<Runtime, 'clock' | 'log'>;
@@ -33,35 +33,36 @@
   readonly cancellationLog: Pick<CancellationLog, 'add'>;
   readonly selfMonitor: Pick<SelfMonitor, 'observe'>;
   role(): Role;
-  /** This controller's own leader while it leads. */
+  /** This controller's own leader; null while it does not lead. */
   leader(): AnnouncingLeader | null;
   isReady(): boolean;
 }
 
-/** Sends this controller's announcements to its peers and acts on theirs. */
+/** Sends this controller's announcements to its peers and processes theirs. */
 export class PeerAnnouncements {
   constructor(private readonly context: PeerAnnouncementsContext) {}
 
   /**
-   * A user is about to be told that a job is cancelled. It is logged first, and the leader hears of it
-   * at once if it can; nothing rests on that message.
+   * Called before a user is told that a job is cancelled. Adds the job to the cancellation log, then
+   * notifies the leader. That message is best effort: correctness does not depend on it.
    */
   announceCancellation(id: string): void {
     const isNew = this.context.cancellationLog.add(id);
     const leader = this.context.leader();
-    if (leader) leader.announceCancelled(id);
+    if (leader) leader.onCancellationAnnounced(id);
     else if (isNew) this.sendToAll({ kind: 'jobCancelled', id });
   }
 
-  /** Votes, queries and connection frames have receivers of their own. */
+  /** Handles a message of a peer; votes, queries and connection frames are handled elsewhere. */
   receive(from: string, message: PeerMessage): void {
     if (message.kind === 'storeStatus')
       this.context.storeReachability.recordStatement(from, message.available);
-    else if (message.kind === 'jobCancelled') this.context.leader()?.announceCancelled(message.id);
+    else if (message.kind === 'jobCancelled')
+      this.context.leader()?.onCancellationAnnounced(message.id);
     else if (message.kind === 'leaderHeartbeat') this.onLeaderHeartbeat(message);
   }
 
-  /** Tells the others how far jobs are, for display, and whether the store serves this controller. */
+  /** Sends leader heartbeats with job progress, and this controller's store status, every interval. */
   async broadcast(signal: AbortSignal): Promise<void> {
     const { runtime, settings, store, selfMonitor } = this.context;
     const { heartbeatIntervalMs } = settings.workers;
@@ -80,7 +81,8 @@
     const role = this.context.role();
     const leader = this.context.leader();
     if (!leader || role.kind !== 'leader') return;
-    // One that stood still may lead no more: its word would hide that the next leader is unresponsive.
+    // A leader that stalled may have been replaced: its heartbeats would hide that the next leader is
+    // unresponsive.
     if (!role.term.isActive(this.context.runtime.clock.now())) return;
     for (const message of leaderHeartbeats(role.term.fencingToken, leader.progressOfOpenJobs()))
       this.sendToAll(message);
@@ -92,19 +94,20 @@
   }
 
   private onLeaderHeartbeat(message: Extract<PeerMessage, { kind: 'leaderHeartbeat' }>): void {
-    // Left over from an earlier leader, which stood still or whose messages were held up.
+    // From an earlier leader that stalled, or whose messages were delayed.
     if (message.fencingToken < this.currentToken) return;
     this.endDeposedTerm(message.fencingToken);
     this.context.heartbeatRouter.recordLeaderHeard();
-    // The leader is within reach again: the workers go back to it.
+    // The leader is reachable again, so partitioned workers return to it.
     this.context.partitionedWorkers.clear();
     if (message.progress.some((job) => job.running > 0)) this.context.workerlessTerms.reset();
     this.context.replicatedProgress.apply(message.first, message.progress);
   }
 
   /**
-   * Another controller leads a later term. A leader whom the store refuses alone learns of it only in
-   * this way; while it held on to its own term it could promise the other nothing in an outage.
+   * Ends this controller's term if another one leads a later term. A leader that alone cannot reach
+   * the store learns of it only this way. As long as it kept its own term, it could not vote for the
+   * other leader during a store outage.
    */
   private endDeposedTerm(laterToken: number): void {
     const role = this.context.role();
@@ -114,7 +117,7 @@
     role.term.end();
   }
 
-  /** The token of the newest term that this controller knows of. */
+  /** The fencing token of the latest term that this controller knows of. */
   private get currentToken(): number {
     const role = this.context.role();
     return role.kind === 'leader' ? role.term.fencingToken : role.fencingToken;
--- a/src/control/reconciliation/heartbeat-handler.ts
+++ b/src/control/reconciliation/heartbeat-handler.ts
@@ -1,4 +1,4 @@
-/** What a recovered leader answers to workers' heartbeats, and when. */
+/** Handling of worker heartbeats by the leader. */
 import type { Runtime } from '@leverhatch/core/duty';
 import type { Term } from '../../election/term.js';
 import type { Fleet } from '../../fleet/fleet.js';
@@ -10,24 +10,21 @@
 import type { JobRecordWatcher } from './job-record-watcher.js';
 import type { LongPoll } from './long-poll.js';
 
-/**
- * How long the answer to a heartbeat may be held, as a share of the time between two, so that the
- * next one is not late; and well within the 4 s after which workers give an answer up.
- */
+/** Longest hold of an answer as a fraction of the heartbeat interval, so that the next is not late. */
 const HOLD_RATIO = 0.75;
-/** How long an answer is held at most, whatever the heartbeat interval. */
+/** Longest hold for any heartbeat interval; well within the 4 s after which workers time out. */
 export const MAX_HOLD_MS = 2200;
 
-/** How long the answer to a heartbeat is held at most, for a fleet with this heartbeat interval. */
+/** The longest hold of an answer for a fleet with this heartbeat interval. */
 export const longestHoldMs = (heartbeatIntervalMs: number): number =>
   Math.min(heartbeatIntervalMs * HOLD_RATIO, MAX_HOLD_MS);
 
-/** What of a machine a scheduling cycle sees change with a heartbeat. */
+/** The state of a machine that a heartbeat can change and that scheduling depends on. */
 function schedulingState({ isTokenConfirmed, preemptionNoticeAt }: Machine): string {
   return `${isTokenConfirmed}, ${preemptionNoticeAt !== null}`;
 }
 
-/** What a `HeartbeatHandler` works with. */
+/** Dependencies of `HeartbeatHandler`. */
 export interface HeartbeatHandlerContext {
   readonly runtime: Pick<Runtime, 'clock'>;
   readonly settings: Pick<Settings, 'workers'>;
@@ -41,13 +38,13 @@
   requestSchedule(): void;
 }
 
-/** Takes workers' heartbeats, and says what to answer and when. */
+/** Applies worker heartbeats to the fleet, and decides what to answer and when. */
 export class HeartbeatHandler {
   constructor(private readonly context: HeartbeatHandlerContext) {}
 
-  /** What to answer; null if the worker's lease must not be renewed now. */
+  /** The commands to answer; null if the worker's lease must not be renewed now. */
   receive(heartbeat: WorkerHeartbeat): WorkerCommand[] | null | Promise<WorkerCommand[] | null> {
-    // A copy that comes late tells of no worker that reaches us now.
+    // A delayed duplicate does not prove that the worker reaches this leader now.
     const known = this.context.fleet.machines.get(heartbeat.machine);
     if (known?.isNewerHeartbeat(heartbeat.agentEpoch, heartbeat.sequence) ?? true)
       this.context.workerLiveness.recordHeartbeat(this.context.runtime.clock.now());
@@ -58,8 +55,8 @@
   }
 
   /**
-   * Before the records are read nobody knows what on that machine is cancelled. They mostly are
-   * within the time that a worker waits for its answer.
+   * Holds a heartbeat until recovery is complete: before that it is unknown which tasks on the machine
+   * are cancelled. Recovery usually completes within the time that a worker waits for its answer.
    */
   private async afterRecovery(heartbeat: WorkerHeartbeat): Promise<WorkerCommand[] | null> {
     const { jobRecords, runtime } = this.context;
@@ -70,7 +67,7 @@
       : null;
   }
 
-  /** `mayHold`: the worker still has time to wait for commands that come up. */
+  /** Applies a heartbeat. `mayHold`: the answer may still be held until there is a command. */
   private apply(
     heartbeat: WorkerHeartbeat,
     mayHold: boolean,
@@ -78,8 +75,8 @@
     const type = this.context.machineTypes().get(heartbeat.type) ?? null;
     const machine = this.context.fleet.machines.get(heartbeat.machine);
     const before = machine ? schedulingState(machine) : null;
-    const isNews = this.isNews(heartbeat, machine);
-    if (isNews) this.context.longPoll.supersede(heartbeat.machine);
+    const isNewest = this.isNewest(heartbeat, machine);
+    if (isNewest) this.context.longPoll.supersede(heartbeat.machine);
     const commands = this.context.fleet.applyHeartbeat(
       heartbeat,
       type,
@@ -91,28 +88,28 @@
       this.context.runtime.clock.now(),
     );
     if (schedulingState(after) !== before) this.context.requestSchedule();
-    // On others' votes alone running work is kept, but nothing is begun.
+    // A term that is only extended by votes keeps running tasks alive, but starts nothing.
     if (!this.context.term.holdsLease(this.context.runtime.clock.now()))
       return commands.filter((command) => command.kind !== 'start');
-    const holdMs = mayHold && isNews && commands.length === 0 ? this.holdMs(after) : 0;
+    const holdMs = mayHold && isNewest && commands.length === 0 ? this.holdMs(after) : 0;
     return holdMs === 0 ? commands : this.heldCommands(after, holdMs);
   }
 
-  private isNews({ agentEpoch, sequence }: WorkerHeartbeat, known: Machine | undefined): boolean {
+  private isNewest({ agentEpoch, sequence }: WorkerHeartbeat, known: Machine | undefined): boolean {
     return this.context.jobRecords.isRecovered && (known?.isNewer(agentEpoch, sequence) ?? true);
   }
 
-  /** How long an answer without commands is held for what may come up. */
+  /** How long to hold an answer without commands, in case a command for the worker arises. */
   private holdMs(machine: Machine): number {
     if (machine.isIdleOrServing) return this.longestHoldMs;
-    // Ends on it are news that must not wait long behind the answer.
+    // Reports of exits on this machine must not be delayed for long by the held answer.
     return machine.hasStartBeingRecorded ? this.longestHoldMs / 5 : 0;
   }
 
   private async heldCommands(machine: Machine, holdMs: number): Promise<WorkerCommand[]> {
-    const newest = await this.context.longPoll.wait(machine.id, holdMs);
+    const isNewest = await this.context.longPoll.wait(machine.id, holdMs);
     if (this.context.fleet.machines.get(machine.id) !== machine) return [];
-    const mayStart = newest && this.context.term.holdsLease(this.context.runtime.clock.now());
+    const mayStart = isNewest && this.context.term.holdsLease(this.context.runtime.clock.now());
     return mayStart
       ? this.context.fleet.pendingCommands(machine)
       : this.context.fleet.pendingStopCommands(machine);
--- a/src/control/reconciliation/job-record-watcher.ts
+++ b/src/control/reconciliation/job-record-watcher.ts
@@ -1,4 +1,4 @@
-/** Reads the job records at the start of a term, and follows them over it. */
+/** Reads the job records at the start of a term, and watches them during the term. */
 import { setMaxListeners } from 'node:events';
 import type { Runtime } from '@leverhatch/core/duty';
 import type { ZoneDelegateWatch } from '../../election/zone-delegate.js';
@@ -20,17 +20,17 @@
 import type { MachineReconciler } from './machine-reconciler.js';
 import type { TaskStopper } from './task-stopper.js';
 
-/** For how long one request waits for changes, as a share of the leader lease. */
+/** How long one watch request waits for changes, as a fraction of the leader lease. */
 const WATCH_RATIO = 0.25;
 
-/** What a `JobRecordWatcher` works with. */
+/** Dependencies of `JobRecordWatcher`. */
 export interface JobRecordWatcherContext {
   readonly runtime: Runtime;
   readonly store: Store;
   readonly settings: Pick<Settings, 'state' | 'workers'>;
   readonly membership: Pick<Membership, 'refresh' | 'allRead'>;
   readonly leaderLeaseMs: number;
-  /** How soon a request that failed is made again. */
+  /** Delay before a failed request is retried, in milliseconds. */
   readonly retryMs: number;
   readonly jobs: Map<string, Job>;
   readonly fleet: Pick<Fleet, 'addPlacement'>;
@@ -46,39 +46,40 @@
   requestSchedule(): void;
 }
 
-/** Reads the records of earlier leaders at the start of a term, and follows the users' changes. */
+/** Restores the records of earlier leaders at the start of a term, and then watches job records. */
 export class JobRecordWatcher {
   private readonly recovery = new AbortController();
-  /** The revision of the store up to which changes of job records have been acted on. */
+  /** The store revision up to which changes of job records have been processed. */
   private revision = 0;
-  /** Jobs announced as cancelled before the records were read. */
+  /** Jobs that were announced as cancelled before recovery was complete. */
   private readonly announcedCancellations = new Set<string>();
-  /** Jobs with run records when those were read. */
-  private withRuns: ReadonlySet<string> = new Set();
-  /** Those of them of which the store held only the final state. */
+  /** Jobs that had run records when recovery read those. */
+  private jobsWithRuns: ReadonlySet<string> = new Set();
+  /** Those of `jobsWithRuns` whose job record held only the final state. */
   private readonly endedJobs = new Set<string>();
 
   constructor(private readonly context: JobRecordWatcherContext) {
-    // Every heartbeat that waits for the records listens to it.
+    // Every heartbeat that is held until recovery adds a listener.
     setMaxListeners(0, this.recovery.signal);
   }
 
-  /** True once the records are read: before, no heartbeat is believed or answered. */
+  /** True once recovery is complete; before that no heartbeat is applied or answered. */
   get isRecovered(): boolean {
     return this.recovery.signal.aborted;
   }
 
-  /** Aborted once the records are read. */
+  /** Aborted once recovery is complete. */
   get recoveredSignal(): AbortSignal {
     return this.recovery.signal;
   }
 
+  /** Reads all records, with unlimited retries. */
   async recover(signal: AbortSignal): Promise<void> {
     const { runtime } = this.context;
     for (;;) {
       try {
-        // Nobody but us writes run records while our leader key is there, so they may be read before the
-        // jobs; of the many jobs that are over only those with run records have to be remembered then.
+        // No other controller writes run records while our leader key exists, so they can be read
+        // before the jobs. Of the many ended jobs, only those with run records need to be kept then.
         const runs = await this.range(KEYS.runs, signal);
         const sentAt = this.context.runtime.clock.now();
         const revision = await this.readJobs(runs, signal);
@@ -89,12 +90,12 @@
         this.restoreRuns(runs);
         for (const entry of provisioningRequests) this.context.provisioner.restore(entry);
         this.context.reconciler.recovered(this.context.jobs.size > 0);
-        for (const id of this.announcedCancellations) this.announceCancelled(id);
+        for (const id of this.announcedCancellations) this.onCancellationAnnounced(id);
         this.revision = revision;
         this.context.cancellationView.completeAt(sentAt);
         this.recovery.abort();
         this.context.recordReadMonitor.recordRecovery(this.context.runtime.clock.now());
-        this.withRuns = new Set();
+        this.jobsWithRuns = new Set();
         this.endedJobs.clear();
         this.announcedCancellations.clear();
         this.context.dependencies.recovered();
@@ -116,12 +117,12 @@
     return items;
   }
 
-  /** Takes in all job records, page by page; answers the revision from which to follow them. */
+  /** Reads all job records page by page; returns the revision from which to watch them. */
   private async readJobs(runs: Entry[], signal: AbortSignal): Promise<number> {
     this.context.jobs.clear();
     this.context.dependencies.clear();
     this.endedJobs.clear();
-    this.withRuns = new Set(runs.map((entry) => jobOfRunKey(entry.key)));
+    this.jobsWithRuns = new Set(runs.map((entry) => jobOfRunKey(entry.key)));
     return this.context.store.forEachPage(
       KEYS.jobs,
       (page) => {
@@ -141,8 +142,8 @@
         this.context.recordWriter.leftovers.add([{ key, version }]);
         continue;
       }
-      // What cannot be read may still run: the job is left alone rather than started again.
-      runtime.log.error({ key }, 'unreadable run record, left as occupied');
+      // Tasks of an unreadable record may still be running, so the job must not start them again.
+      runtime.log.error({ key }, 'unreadable run record, counting all tasks of its job as running');
       if (job) job.isUnreadable = true;
     }
     for (const [job, stored] of runs) this.restoreJob(job, stored, perRange);
@@ -156,34 +157,37 @@
     }
     const { membership } = this.context;
     if (!job.hasForeignLayout || membership.allRead(RECORD_FORMATS.rangedRuns)) return;
-    // Only ranged records could go above them, and not every controller reads those.
-    this.context.runtime.log.error({ job: job.id }, 'run records of another layout, left as is');
+    // Only ranged records could supersede these records, and not every controller can read those.
+    this.context.runtime.log.error(
+      { job: job.id },
+      'run records use another layout, counting all tasks of the job as running',
+    );
     job.isUnreadable = true;
   }
 
   /**
-   * Follows the job records. Each answer is complete as of when its request was sent, so the store is
-   * asked to give one often, also when nothing has changed.
+   * Watches the job records. Each response is complete as of when its request was sent, so the
+   * requests are short even if nothing changes, which keeps the cancellation view up to date.
    */
   async watch(signal: AbortSignal): Promise<void> {
     const { store, runtime, cancellationView, recordReadMonitor, leaderLeaseMs } = this.context;
     while (!signal.aborted) {
       const sentAt = this.context.runtime.clock.now();
       try {
-        const news = await store.watch(
+        const update = await store.watch(
           KEYS.jobs,
           this.revision,
           leaderLeaseMs * WATCH_RATIO,
           signal,
         );
-        for (const event of news.events) if (!('gone' in event)) this.onJobEntry(event);
-        this.revision = news.revision;
+        for (const event of update.events) if (!('gone' in event)) this.onJobEntry(event);
+        this.revision = update.revision;
         cancellationView.completeAt(sentAt);
         recordReadMonitor.recordSuccess(this.context.runtime.clock.now());
       } catch (error) {
         if (signal.aborted) return;
         recordReadMonitor.recordFailure(error);
-        // Where only watching fails, the records can still be read as a whole.
+        // If only the watch fails, the records can still be read as a whole.
         const stalled = recordReadMonitor.ageMs(this.context.runtime.clock.now()) > leaderLeaseMs;
         if (!(error instanceof RevisionCompactedError || stalled) || !(await this.reread(signal))) {
           await runtime.clock.sleep(this.context.retryMs, signal);
@@ -192,7 +196,7 @@
     }
   }
 
-  /** Reads all job records again; false if the store does not serve. */
+  /** Reads all job records again; false if that fails. */
   private async reread(signal: AbortSignal): Promise<boolean> {
     const sentAt = this.context.runtime.clock.now();
     try {
@@ -209,9 +213,9 @@
     }
   }
 
-  /** A user was told that the job is cancelled; the store's own news of it may take longer. */
-  announceCancelled(id: string): void {
-    // Every one of them is in the store: what is dropped here is read there.
+  /** Handles a cancellation that a user was told of; the watch may report it later. */
+  onCancellationAnnounced(id: string): void {
+    // All of them are in the store, so any beyond the limit are read during recovery.
     if (!this.isRecovered && this.announcedCancellations.size < MAX_CANCELLATIONS)
       this.announcedCancellations.add(id);
     const job = this.context.jobs.get(id);
@@ -237,7 +241,7 @@
 
   private addJob(id: string, version: number, record: JobRecord): void {
     if (!record.spec || record.at === undefined) {
-      if (record.phase !== 'open' && this.withRuns.has(id)) this.endedJobs.add(id);
+      if (record.phase !== 'open' && this.jobsWithRuns.has(id)) this.endedJobs.add(id);
       this.context.dependencies.onJobEnded(id, record.phase, record.doneAt ?? null);
       return;
     }
@@ -255,7 +259,7 @@
     this.context.jobs.set(id, job);
     if (record.needs) this.context.dependencies.add(job, record.needs);
     this.context.dependencies.onJobEnded(id, record.phase, job.doneAt);
-    // Before the run records are read a cancelled job looks as if nothing of it could run.
+    // During recovery run records are not restored yet: a cancelled job would seem to have no tasks.
     if (this.isRecovered) this.context.recordWriter.flush(job);
     this.context.requestSchedule();
   }
--- a/src/control/reconciliation/long-poll.ts
+++ b/src/control/reconciliation/long-poll.ts
@@ -1,19 +1,19 @@
-/** Heartbeats whose answers are held back until there is a command for the worker. */
+/** Long polling: answers to heartbeats are held until there is a command for the worker. */
 import type { Runtime } from '@leverhatch/core/duty';
 
-/** Checks for heartbeats that have been held long enough, within the longest hold. */
+/** Number of checks for expired holds within the longest hold. */
 const CHECKS_PER_WAIT = 10;
 
 interface HeldHeartbeat {
-  /** Monotonic time in milliseconds. */
+  /** When the hold expires; monotonic, in milliseconds. */
   until: number;
   answer(isNewest: boolean): void;
 }
 
 /**
- * Holds heartbeats back as long polls. A worker takes starts only from answers to its heartbeats, and a
- * start recorded between two of them would have to wait; so the answer to a heartbeat without news is
- * delayed a little, until there is a command for its worker.
+ * Holds the answers to heartbeats as long polls. A worker accepts starts only in answers to its
+ * heartbeats, and a start recorded between two of them would have to wait for the next. An answer
+ * without commands is therefore delayed briefly, until there is a command for its worker.
  */
 export class LongPoll {
   private readonly held = new Map<string, HeldHeartbeat>();
@@ -24,7 +24,7 @@
     private readonly maxWaitMs: number,
   ) {}
 
-  /** Resolves when the heartbeat is to be answered; false if a newer one has superseded it. */
+  /** Resolves when the heartbeat must be answered; to false if a newer one has superseded it. */
   wait(machine: string, ms: number): Promise<boolean> {
     const until = this.runtime.clock.now() + Math.min(ms, this.maxWaitMs);
     return new Promise((answer) => this.held.set(machine, { until, answer }));
@@ -35,12 +35,12 @@
     this.answer(machine, false);
   }
 
-  /** There is a command for this machine; false if no heartbeat of it is held. */
+  /** Answers the held heartbeat of a machine; returns false if none is held. */
   release(machine: string): boolean {
     return this.answer(machine, true);
   }
 
-  /** Answers heartbeats that have been held long enough; all of them once the signal is aborted. */
+  /** Answers heartbeats whose hold has expired, and all of them once the signal is aborted. */
   async run(signal: AbortSignal): Promise<void> {
     const { clock } = this.runtime;
     while (!signal.aborted) {
--- a/src/control/reconciliation/machine-liveness-log.ts
+++ b/src/control/reconciliation/machine-liveness-log.ts
@@ -1,11 +1,11 @@
-/** Log lines on machines that become unresponsive, recover, or lose their leases. */
+/** Logging of machines that become unresponsive, recover, or lose their leases. */
 import type { Machine } from '../../fleet/machine.js';
 import type { Logger } from '@leverhatch/core/log';
 
-/** A machine without a heartbeat for this share of the workers' lease counts as unresponsive. */
+/** A machine without a heartbeat for this fraction of the workers' lease counts as unresponsive. */
 const UNRESPONSIVE_LEASE_RATIO = 1 / 3;
 
-/** Bound on machines that one log line names. */
+/** Maximum number of machines named in one log line. */
 const MAX_LOGGED_MACHINES = 8;
 
 type Liveness = 'responsive' | 'unresponsive' | 'expired';
@@ -13,7 +13,7 @@
 /**
  * Logs which machines become unresponsive, which are responsive again, and which leases expire with
  * placements on them. Machines that change together share one line, so that a rack that hangs or is
- * partitioned shows as one event. It decides nothing.
+ * partitioned is logged as one event. It only logs and affects no decision.
  */
 export class MachineLivenessLog {
   private readonly states = new Map<string, Liveness>();
@@ -28,7 +28,7 @@
     private readonly isLeaseExpired: (machine: Machine, now: number) => boolean,
   ) {}
 
-  /** To be called before the placements on machines with expired leases are marked as lost. */
+  /** Must be called before the placements on machines with expired leases are marked as lost. */
   observe(machines: ReadonlyMap<string, Machine>, now: number): void {
     const changed: Record<Liveness, Machine[]> = { responsive: [], unresponsive: [], expired: [] };
     for (const machine of machines.values()) {
@@ -64,9 +64,9 @@
 /** Fields of a log line on several machines. */
 interface Summary {
   count: number;
-  /** Names of the first of them. */
+  /** Ids of the first `MAX_LOGGED_MACHINES` of them. */
   machines: string[];
-  /** Placements on all of them. */
+  /** Number of placements on all of them. */
   tasks: number;
 }
 
--- a/src/control/reconciliation/machine-reconciler.ts
+++ b/src/control/reconciliation/machine-reconciler.ts
@@ -1,4 +1,4 @@
-/** Reconciliation of the fleet with the cloud's listings, and scale in. */
+/** Reconciliation of the fleet with the cloud's listings, and scale-in. */
 import type { Fleet } from '../../fleet/fleet.js';
 import type { Machine } from '../../fleet/machine.js';
 import type { MachineProvisioner } from '../../fleet/machine-provisioner.js';
@@ -9,16 +9,16 @@
 import type { SchedulingPlan } from '../../scheduler/scheduling-model.js';
 import type { ListedMachine } from '../../wire/cloud.js';
 
-/** Listing lags for which a listing that still names a released machine is ignored. */
+/** How long listings that still contain a released machine are ignored for it, in listing lags. */
 const RELEASED_LIST_LAGS = 6;
 
 /** Boot times without a heartbeat after which a running machine without placements is released. */
 const UNREACHABLE_BOOTS = 3;
 
-/** Listings in a row that must lack a machine before it may be removed. */
+/** Consecutive listings that must lack a machine before it may be removed. */
 const MIN_MISSED_LISTINGS = 3;
 
-/** An idle machine is worth more if a boot takes longer than this many times a wait objective. */
+/** Idle machines are kept longer if a boot takes more than this many times a wait objective. */
 const WAITS_PER_BOOT = 2;
 
 /** Idle machines of one type. */
@@ -27,13 +27,13 @@
   machines: Machine[];
 }
 
-/** Key under which idle machines are counted together with those that hold opportunistic work only. */
+/** Key of the count of idle machines that includes those with opportunistic work only. */
 const withOpportunisticKey = (type: string): string => `${type} with opportunistic work`;
 
 /** Applies the cloud's listings to the fleet, and decides which machines are released. */
 export class MachineReconciler {
   private idleMachines: IdleMachines;
-  /** Released machines, and when: listings lag, and still name them as running for a while. */
+  /** When machines were released: listings lag, and contain them as running for a while. */
   private readonly releasedAt = new Map<string, number>();
 
   constructor(
@@ -48,9 +48,9 @@
     this.idleMachines = new IdleMachines(termStartedAt, false);
   }
 
-  /** The records of earlier leaders have been read; `hadLeader` if there were any. */
-  recovered(hadLeader: boolean): void {
-    this.idleMachines = new IdleMachines(this.termStartedAt, hadLeader);
+  /** Called after recovery; `hasPredecessor`: the records show that there were earlier leaders. */
+  recovered(hasPredecessor: boolean): void {
+    this.idleMachines = new IdleMachines(this.termStartedAt, hasPredecessor);
   }
 
   /** Applies a complete listing. */
@@ -58,7 +58,8 @@
     const listedIds = new Set<string>();
     for (const listed of listing) {
       listedIds.add(listed.id);
-      // Taken for new, it would be counted on for pending tasks, and nothing provisioned for them.
+      // If a released machine were added again, pending tasks would be assigned to it and no machine
+      // would be provisioned for them.
       if (!this.releasedAt.has(listed.id)) this.applyListed(listed, now);
     }
     for (const machine of [...this.fleet.machines.values()]) {
@@ -72,7 +73,7 @@
     if (!known) machine.discover(listed, now);
     machine.applyListing(listed.state, this.machineTypes().get(listed.type) ?? null, now);
     if (listed.state !== 'failed') return;
-    // The cloud says that it has stopped, so nothing on it runs any more.
+    // The cloud reports that it has stopped, so nothing runs on it any more.
     for (const placement of [...machine.placements.values()]) this.fleet.withdraw(placement);
     machine.beginRelease();
     this.provisioner.release(listed.id);
@@ -90,7 +91,7 @@
       this.fleet.removeMachine(machine.id);
   }
 
-  /** The cloud has confirmed the release of these machines. */
+  /** Removes machines whose release the cloud has confirmed. */
   confirmReleased(ids: string[], now: number): void {
     for (const id of ids) {
       this.fleet.confirmReleased(id);
@@ -101,17 +102,17 @@
     for (const [id, at] of this.releasedAt) if (at < expiredBefore) this.releasedAt.delete(id);
   }
 
-  /** Releases a machine, unless that has begun already. */
+  /** Releases a machine, unless its release has already begun. */
   release(machine: Machine): void {
     if (machine.isReleasing) return;
     machine.beginRelease();
     this.provisioner.release(machine.id);
   }
 
-  /** Releases machines that will not come up, and those that are unreachable for good. */
+  /** Releases machines that failed to boot, and those that are permanently unreachable. */
   releaseFailed(now: number): void {
     const { machines, bootTimes } = this.fleet;
-    // A released machine is no longer evidence for the others, so all are judged first.
+    // A machine's state is evidence on the others until it is released, so all are evaluated first.
     const failed = [...machines.values()].filter(
       (machine) =>
         bootTimes.hasFailed(machine, now, machines.values()) || this.isUnreachable(machine, now),
@@ -120,9 +121,9 @@
   }
 
   /**
-   * The cloud reports it as running, and its worker has been unresponsive for so long that another
-   * would have booted several times over. Where most machines of its zone are unresponsive too, a
-   * network partition is likelier: they will be of use once it has healed.
+   * Whether the cloud reports a machine as running although its worker has been unresponsive for
+   * several boot times. If most machines of its zone are unresponsive too, a network partition is more
+   * likely, and they can be used again once it has healed.
    */
   private isUnreachable(machine: Machine, now: number): boolean {
     if (machine.cloudState !== 'running' || machine.type === null || machine.placements.size > 0)
@@ -143,10 +144,10 @@
   }
 
   /**
-   * Releases idle machines that have been surplus for their idle timeout: the dearest first, then the
-   * longest idle. Machines with opportunistic work only count as idle in a second count, and those of
-   * its surplus that can be are drained. Empty ones are not released in their place: guaranteed work
-   * would then wait for an eviction.
+   * Releases idle machines that have been surplus for their idle timeout: the most expensive first,
+   * then the longest idle. A second count also includes machines with opportunistic work only; its
+   * additional surplus is drained where possible. Empty machines are not released instead of those:
+   * guaranteed work would then have to wait for an eviction.
    */
   scaleIn(plan: Pick<SchedulingPlan, 'idleMachines' | 'drainableMachines'>, now: number): void {
     for (const { type, machines } of this.groupIdle(new Set(plan.idleMachines), now)) {
@@ -171,7 +172,7 @@
     }
   }
 
-  /** Groups idle machines by type, and restarts the idle time of all that are in use. */
+  /** Groups idle machines by type, and resets the idle time of all machines in use. */
   private groupIdle(idleIds: ReadonlySet<string>, now: number): Iterable<IdleGroup> {
     const groups = new Map<string, IdleGroup>();
     for (const [name, type] of this.machineTypes()) groups.set(name, { type, machines: [] });
@@ -183,7 +184,10 @@
     return groups.values();
   }
 
-  /** Drains some of these machines; none while others drain, whose tasks need the same capacity. */
+  /**
+   * Drains up to `maxMachines` of these machines; none while others are draining, since their tasks
+   * need the same capacity.
+   */
   private drain(machines: Machine[], drainable: readonly string[], maxMachines: number): number {
     if (maxMachines <= 0 || drainable.length === 0) return 0;
     if (
@@ -198,16 +202,13 @@
     return drained.length;
   }
 
-  /** How long an idle machine of this type is kept, in milliseconds. */
+  /** The idle timeout of machines of this type, in milliseconds. */
   idleTimeoutMs(type: MachineType): number {
-    return type.bootMs * this.operatorSettings.fleet.idleBoots * this.idleValue(type);
+    return type.bootMs * this.operatorSettings.fleet.idleBoots * this.idleTimeoutFactor(type);
   }
 
-  /**
-   * Factor on the idle timeout: the shorter the wait objectives are compared to the time it takes to
-   * boot another machine, the more an idle one is worth.
-   */
-  private idleValue(type: MachineType): number {
+  /** Factor on the idle timeout, which grows as wait objectives get shorter compared to a boot. */
+  private idleTimeoutFactor(type: MachineType): number {
     let ratio = 1;
     for (const objective of this.settings.objectives) {
       if (objective.kind !== 'wait' || objective.withinMs === null) continue;
--- a/src/control/reconciliation/task-lifecycle.ts
+++ b/src/control/reconciliation/task-lifecycle.ts
@@ -1,4 +1,4 @@
-/** What the fleet's news of a task mean for its job. */
+/** Updates of a job after events of its tasks: running, exited or lost. */
 import type { Runtime } from '@leverhatch/core/duty';
 import type { Fleet } from '../../fleet/fleet.js';
 import { markGangStarted } from '../../jobs/gang-phase.js';
@@ -8,7 +8,7 @@
 import { isGangJob, type GangGate } from '../admission/gang-gate.js';
 import type { TaskStopper } from './task-stopper.js';
 
-/** What a `TaskLifecycle` works with. */
+/** Dependencies of `TaskLifecycle`. */
 export interface TaskLifecycleContext {
   readonly runtime: Pick<Runtime, 'clock' | 'log'>;
   readonly fleet: Pick<Fleet, 'machines'>;
@@ -18,7 +18,7 @@
   requestSchedule(): void;
 }
 
-/** What it means for a job that one of its tasks runs, has ended or is proven gone. */
+/** Updates a job when one of its tasks runs, has exited, or is proven gone. */
 export class TaskLifecycle {
   constructor(private readonly context: TaskLifecycleContext) {}
 
@@ -46,7 +46,7 @@
     job.unrecordedExits.push(placement);
     job.markDirty(placement.task);
     if (exitReason === 'done') {
-      // The tasks of a gang complete together.
+      // The tasks of a gang complete together: one that exits as done completes them all.
       job.failures.recordCompletion();
       if (job.gang) for (let task = 0; task < job.spec.tasks; task++) job.markDone(task);
       else job.markDone(placement.task);
@@ -66,7 +66,7 @@
         exitReason,
         checkpointed,
       },
-      'task ended',
+      'task exited',
     );
     this.afterEnd(job);
   }
@@ -80,7 +80,10 @@
     if (failed) this.context.fleet.machines.get(placement.machine)?.recordFailure(failures);
   }
 
-  /** A job whose tasks failed is sound if others of its tasks run for longer than those did. */
+  /**
+   * Updates the failure attribution of a job: if other tasks of it run for longer than the failed
+   * ones did, the job itself is not at fault.
+   */
   reviewFailures(job: Job, now: number): void {
     if (!job.failures.isUndecided) return;
     if (job.placements.size === 0) job.failures.recordIdle(now);
@@ -101,7 +104,7 @@
         attempt: placement.attempt,
         machine: placement.machine,
       },
-      'task gone',
+      'task lost',
     );
     this.afterEnd(job);
   }
@@ -112,8 +115,8 @@
       job.isPhaseStored = false;
     }
     if (isGangJob(job) && job.phase === 'open')
-      this.context.gangGate.onMemberLost(job, (grace) =>
-        this.context.taskStopper.stopAll(job, grace),
+      this.context.gangGate.onMemberLost(job, (graceMs) =>
+        this.context.taskStopper.stopAll(job, graceMs),
       );
     this.context.recordWriter.flushExits(job);
     this.context.requestSchedule();
--- a/src/control/reconciliation/task-stopper.ts
+++ b/src/control/reconciliation/task-stopper.ts
@@ -1,4 +1,4 @@
-/** Stopping of tasks, and the grace that they get to save a checkpoint. */
+/** Stopping of tasks, with a grace period for saving a checkpoint. */
 import type { Clock } from '@leverhatch/core/clock';
 import type { Fleet } from '../../fleet/fleet.js';
 import type { StopCommands } from '../../fleet/stop-commands.js';
@@ -7,16 +7,16 @@
 import type { Settings } from '../../settings/deploy.js';
 import type { LongPoll } from './long-poll.js';
 
-/** Lost work is negligible if repeating it takes no longer than this many saves. */
+/** Lost work is negligible if repeating it takes no longer than saving this many checkpoints. */
 const NEGLIGIBLE_LOSS_SAVES = 2;
 
-/** Mean share of the work between two checkpoints that a stop at a random moment loses. */
+/** Mean fraction of a checkpoint interval that is lost by a stop at a random moment. */
 const MEAN_LOSS_RATIO = 0.5;
 
 /** Heartbeat intervals without a heartbeat after which a worker gets no direct stop command. */
 const UNRESPONSIVE_INTERVALS = 2;
 
-/** Stops tasks, with or without grace, by the fastest route to their machines. */
+/** Stops tasks, with or without a grace period, by the fastest route to their machines. */
 export class TaskStopper {
   constructor(
     private readonly fleet: Fleet,
@@ -31,7 +31,7 @@
     for (const placement of [...job.placements.values()]) this.stop(placement, graceMs);
   }
 
-  /** Stops one task with `graceMs` to save; a stop with no more grace that is under way stays as it is. */
+  /** Stops one task with a grace period; a pending stop with a shorter or equal one is kept. */
   stop(placement: Placement, graceMs: number): void {
     if (placement.stop && placement.stop.graceMs <= graceMs) return;
     if (!placement.stop && placement.state === 'running') this.countStop(placement, graceMs);
@@ -41,7 +41,7 @@
     else if (!this.longPoll.release(placement.machine)) this.sendStop(placement, graceMs);
   }
 
-  /** Counts a stop that leaves the task no time to save a checkpoint. */
+  /** Counts a stop by which the task loses work because it cannot save a checkpoint. */
   private countStop(placement: Placement, graceMs: number): void {
     const { job, task } = placement;
     if (graceMs !== 0 && job.spec.checkpointMs !== 0) return;
@@ -51,21 +51,22 @@
   private sendStop(placement: Placement, graceMs: number): void {
     const machine = this.fleet.machines.get(placement.machine);
     if (machine?.agentEpoch !== placement.agentEpoch || machine.lastHeartbeatAt === null) return;
-    // An unresponsive worker would only hold a socket; its lease is running out.
+    // A command to an unresponsive worker would only occupy a socket; its lease will expire anyway.
     const sinceHeartbeatMs = this.clock.now() - machine.lastHeartbeatAt;
     if (sinceHeartbeatMs > this.workers.heartbeatIntervalMs * UNRESPONSIVE_INTERVALS) return;
     this.commands.add(machine, stopCommand(placement, graceMs));
   }
 
-  /** Grace in which a task of the job can save a checkpoint, in milliseconds; 0 if it never saves. */
+  /** Grace period for saving a checkpoint, in milliseconds; 0 for a job without checkpoints. */
   checkpointGraceMs(job: Job): number {
     const { spec } = job;
     return spec.checkpointMs > 0 ? spec.saveMs + this.workers.gangPeerMs : 0;
   }
 
   /**
-   * Grace of a preempted task, in milliseconds. It saves only if it would lose much: saving takes the
-   * machine as long as repeating a little work, and the task that preempts it waits longer.
+   * Grace period of a preempted task, in milliseconds. A checkpoint is saved only if the task would
+   * otherwise lose much work: saving occupies the machine as long as repeating a little work would,
+   * and delays the preempting task.
    */
   preemptionGraceMs(job: Job): number {
     const { checkpointMs, saveMs } = job.spec;
--- a/src/control/replicated-progress.ts
+++ b/src/control/replicated-progress.ts
@@ -1,15 +1,15 @@
-/** What followers show of how far jobs are. */
+/** Job progress as replicated to followers. */
 import type { TaskCounts } from '../jobs/job-api.js';
 import type { JobProgress } from '../peer/frames.js';
 
-/** How far open jobs are, as the leader last told it in its heartbeats; for display. */
+/** Progress of open jobs as of the leader's last heartbeats; for display only. */
 export class ReplicatedProgress {
   private readonly progress = new Map<string, TaskCounts>();
 
-  /** @param maxJobs how many jobs are remembered; what is told of more of them is left out */
+  /** @param maxJobs maximum number of jobs to keep; progress of further jobs is ignored */
   constructor(private readonly maxJobs: number) {}
 
-  /** One frame of a heartbeat; the first one begins anew, without the jobs that are over. */
+  /** Applies one frame of a leader heartbeat; the first frame replaces all previous progress. */
   apply(first: boolean, progress: readonly JobProgress[]): void {
     if (first) this.progress.clear();
     for (const job of progress) {
--- a/test/incident-log.test.ts
+++ b/test/incident-log.test.ts
@@ -58,7 +58,7 @@
   void simulatedCluster.user(follower).query('req-000001');
   await simulatedCluster.pass(7);
   assert.deepEqual(
-    lines(simulatedCluster, 'not ready for users, the balancer moves them').map(
+    lines(simulatedCluster, 'not ready for users, the load balancer routes them elsewhere').map(
       (line) => line.member,
     ),
     [simulatedCluster.nodes[follower]!.name],
