--- a/src/jobs/cancellation-log.ts
+++ b/src/jobs/cancellation-log.ts
@@ -3,18 +3,22 @@
 import type { Clock } from '@leverhatch/core/clock';
 
 /**
- * Which cancellations this process has announced to any user. An entry is made before the answer
- * leaves, so whoever asks for the entries since some moment gets every cancellation that a user can
- * have learned here since then. Nothing survives the process: what an earlier one announced is
+ * Records the cancellations that this process has announced to users. An entry is added before the
+ * response is sent, so `since` returns every cancellation that a user can have learned from this
+ * controller in that time. The log is kept in memory only: what a previous process announced is
  * unknown.
  */
 export class CancellationLog {
   /** When the cancellation of each job was first announced (monotonic, ms), oldest first. */
   private readonly announcedAt = new Map<string, number>();
-  /** Monotonic time in ms since when no entry is missing. */
+  /** Monotonic time (ms) from which on the log is complete. */
   private completeFrom: number;
 
-  /** `retentionMs`: how long an entry is kept; `maxEntries`: how many are kept at most. */
+  /**
+   * @param startedAt monotonic time (ms) from which on every announcement is logged
+   * @param retentionMs how long an entry is kept
+   * @param maxEntries the maximum number of entries
+   */
   constructor(
     private readonly clock: Clock,
     startedAt: number,
@@ -24,7 +28,7 @@
     this.completeFrom = startedAt;
   }
 
-  /** Call it before the answer is sent. True if it was not announced here lately. */
+  /** Must be called before the response is sent. Returns false if the job already has an entry. */
   add(id: string): boolean {
     if (this.announcedAt.has(id)) return false;
     this.announcedAt.set(id, this.clock.now());
@@ -33,8 +37,8 @@
   }
 
   /**
-   * Every job whose cancellation was announced at or after `from`; null if the entries since then
-   * may be incomplete.
+   * Returns the jobs whose cancellation was announced at or after `from`, or null if the log may be
+   * incomplete for that period.
    */
   since(from: number): string[] | null {
     this.dropExpired();
--- a/src/jobs/completed-tasks.ts
+++ b/src/jobs/completed-tasks.ts
@@ -1,9 +1,9 @@
 /** Compact set of the completed tasks of one job. */
 
-/** Task numbers as ranges, both ends included. */
+/** Inclusive ranges of task numbers. */
 export type TaskRanges = [number, number][];
 
-/** The completed tasks of a job: one byte for each, since a job array may have 100,000. */
+/** The completed tasks of a job, one byte per task, since a job array may have 100,000 tasks. */
 export class CompletedTasks {
   private readonly flags: Uint8Array;
   private total = 0;
@@ -21,7 +21,7 @@
     return this.flags[task] === 1;
   }
 
-  /** False if it was done already. */
+  /** Marks a task as completed. Returns false if it already was. */
   add(task: number): boolean {
     if (this.has(task)) return false;
     this.flags[task] = 1;
@@ -29,7 +29,7 @@
     return true;
   }
 
-  /** Those in `ranges` are done as well; numbers beyond the job's tasks mean nothing. */
+  /** Marks all tasks in `ranges` as completed; numbers outside the job are ignored. */
   addRanges(ranges: TaskRanges): void {
     for (const [from, to] of ranges) {
       for (let task = from; task <= to && task < this.flags.length; task++) this.add(task);
@@ -42,7 +42,7 @@
     this.total--;
   }
 
-  /** The completed tasks from `from` (included) to `to` (excluded). */
+  /** Returns the completed tasks from `from` (inclusive) to `to` (exclusive). */
   ranges(from: number, to: number): TaskRanges {
     const ranges: TaskRanges = [];
     for (let task = from; task < to; task++) {
--- a/src/jobs/dependencies.ts
+++ b/src/jobs/dependencies.ts
@@ -1,4 +1,4 @@
-/** Layout of the dependencies of a job in the store: inline, or as chunks. */
+/** Storage of a job's dependencies: inline in the job record, or as separate chunks. */
 
 import { createHash } from 'node:crypto';
 import { KEYS } from '../state/keys.js';
@@ -6,50 +6,52 @@
 import { parseDependencyChunk, type DependenciesRecord } from './records.js';
 
 /**
- * How the jobs that a job waits for are stored. A few of them go into the job's own record: no
- * further write or read is needed then. A body may name thousands, which no value can hold; those
- * are written in chunks before the job's record, which then names how many there are.
+ * The dependencies of a job in their stored form. A short list is stored inline in the job record,
+ * which needs no further write or read. A submission may name thousands of jobs, more than one
+ * value can hold; such a list is written as chunks before the job record, which stores the number
+ * of chunks.
  *
- * The key of a chunk carries a hash (`mark`) of the whole list. So an acceptance that was cut off
- * half-way leaves only chunks that a repeat, at any controller, would write with the same content:
- * it uses what is there. Another list for the same job has another mark, and the two cannot mix.
- * Chunks are removed only once the job is stored as over. So whoever adds the job's record on
- * condition that there is none yet knows that the chunks seen or written before are all there.
+ * The key of a chunk contains a hash (`mark`) of the whole list. A retry of an interrupted
+ * submission, on any controller, would write the same chunks with the same content, so it reuses
+ * those that exist. Another list for the same job has another hash, so the two cannot mix.
+ * Chunks are removed only after the job is stored as ended. A writer that adds the job record on
+ * condition that none exists therefore knows that the chunks it has seen or written still exist.
  */
 export interface StoredDependencies {
-  /** What the job's record says; undefined: it waits for nothing. */
+  /** The dependency field of the job record; undefined if the job has no dependencies. */
   needs: DependenciesRecord | undefined;
-  /** What has to be in the store before the job's record is. */
+  /** Chunks that have to be in the store before the job record is written. */
   chunks: DependencyChunk[];
 }
 
-/** The change that writes one chunk; `bytes` is the size of its value. */
+/** The change that writes one chunk; `bytes` is the estimated size of its value. */
 export type DependencyChunk = Extract<Change, { put: string }> & { bytes: number };
 
-/** The store's limits, as far as they bound what is written here. */
+/** The store limits that apply to writing chunks. */
 export interface WriteLimits {
   valueBytes: number;
   txnOps: number;
 }
 
-/** Fraction of the value limit that dependencies may take in the job's own record. */
+/** Fraction of the value limit that inline dependencies may take in the job record. */
 const INLINE_RATIO = 1 / 8;
 
-/** Fraction of the value limit that a chunk fills; the store may count more bytes than we do. */
+/** Fraction of the value limit that a chunk fills; the store may count bytes differently. */
 const CHUNK_FILL_RATIO = 0.8;
 
 /**
- * What all changes of one transaction may hold together: the limit is 64 KiB with its conditions.
+ * Maximum size of all changes of one transaction. The store's limit is 64 KiB, which includes the
+ * conditions.
  */
 const MAX_TRANSACTION_BYTES = 48 * 1024;
 
-/** Quotes and a comma. */
+/** Two quotes and a comma for each id in the JSON list. */
 const BYTES_BESIDE_ID = 3;
 
 const bytesOf = (ids: readonly string[]): number =>
   ids.reduce((sum, id) => sum + id.length + BYTES_BESIDE_ID, 0);
 
-/** Lays out the dependencies of job `id`: inline while they are few, else as chunks. */
+/** Lays out the dependencies of job `id`: inline if the list is short, else as chunks. */
 export function layOutDependencies(
   id: string,
   dependencies: readonly string[],
@@ -59,7 +61,7 @@
   if (bytesOf(dependencies) <= limits.valueBytes * INLINE_RATIO) {
     return { needs: { ids: [...dependencies] }, chunks: [] };
   }
-  const lists = split(dependencies, limits.valueBytes * CHUNK_FILL_RATIO);
+  const lists = splitByBytes(dependencies, limits.valueBytes * CHUNK_FILL_RATIO);
   const mark = createHash('sha256').update(JSON.stringify(lists)).digest('hex').slice(0, 32);
   const chunks = lists.map((ids, i) => ({
     put: KEYS.dependencyChunk(id, mark, i),
@@ -69,7 +71,7 @@
   return { needs: { mark, pieces: chunks.length }, chunks };
 }
 
-function split(ids: readonly string[], maxBytes: number): string[][] {
+function splitByBytes(ids: readonly string[], maxBytes: number): string[][] {
   const lists: string[][] = [];
   let current: string[] | null = null;
   let bytes = 0;
@@ -86,7 +88,7 @@
   return lists;
 }
 
-/** Groups of chunks that fit into one transaction each. */
+/** Groups chunks so that each group fits into one transaction. */
 export function groupChunks(
   chunks: readonly DependencyChunk[],
   limits: WriteLimits,
@@ -107,9 +109,9 @@
 }
 
 /**
- * The jobs that a record names as its dependencies; null if a chunk is missing or unreadable. The
- * chunks of an open job are never missing; where they are, the job has just ended and its record
- * says so.
+ * Reads the dependencies that a job record refers to; null if a chunk is missing or unreadable. The
+ * chunks of an open job always exist; if one is missing, the job has just ended and its record in
+ * the store says so.
  */
 export async function readDependencies(
   store: Store,
@@ -121,12 +123,12 @@
   if ('ids' in needs) return needs.ids;
   const { items } = await store.range(KEYS.dependencyChunks(id, needs.mark), signal);
   const values = new Map(items.map((entry) => [entry.key, entry.value]));
-  const all: string[] = [];
+  const dependencies: string[] = [];
   for (let i = 0; i < needs.pieces; i++) {
     const ids = parseDependencyChunk(values.get(KEYS.dependencyChunk(id, needs.mark, i)));
     if (!ids) return null;
-    // One by one: spreading thousands of arguments has a limit.
-    for (const dependency of ids) all.push(dependency);
+    // Not push(...ids): the number of arguments of a call is limited.
+    for (const dependency of ids) dependencies.push(dependency);
   }
-  return all;
+  return dependencies;
 }
--- a/src/jobs/errors.ts
+++ b/src/jobs/errors.ts
@@ -1,4 +1,4 @@
-/** Errors about the records of jobs. Each names its job and, where there is one, the key. */
+/** Errors about the stored records of jobs. Each names its job and, if there is one, the key. */
 
 /** An error about one job. */
 export abstract class JobError extends Error {
@@ -20,7 +20,7 @@
   }
 }
 
-/** A run record has a version that only another leader could have written. */
+/** A run record has a version that only a different leader can have written. */
 export class UnexpectedVersionError extends JobError {
   constructor(
     job: string,
@@ -30,7 +30,7 @@
   }
 }
 
-/** A job that another depends on is not in the store. */
+/** A dependency of a job is not in the store. */
 export class MissingDependencyError extends JobError {
   constructor(
     job: string,
@@ -40,28 +40,28 @@
   }
 }
 
-/** The job changed while it was read, or lacks chunks of its dependencies. */
+/** The job changed while it was read, or chunks of its dependency list are missing. */
 export class ChangedJobError extends JobError {
   constructor(job: string) {
-    super(job, `${job} has just changed or lacks dependencies`);
+    super(job, `${job} changed while it was read, or chunks of its dependency list are missing`);
   }
 }
 
-/** The store reported a conflict on chunks and named none of them. */
+/** The store reported a conflict when chunks were written, but named none of their keys. */
 export class UnnamedConflictError extends JobError {
   constructor(job: string) {
-    super(job, `conflict on the dependencies of ${job} names no chunk`);
+    super(job, `store conflict on the dependency chunks of ${job} names no key`);
   }
 }
 
-/** Broken invariant: a job whose state is in use is cached or checked. */
+/** Violated invariant: a job whose state is needed must be cached or checked. */
 export class UncachedJobError extends JobError {
   constructor(job: string) {
     super(job, `${job} is not cached`);
   }
 }
 
-/** Broken invariant: a stored indexed record has a section, and every task lies in one. */
+/** Violated invariant: each indexed record in the store and each task belongs to a section. */
 export class UnknownSectionError extends JobError {
   constructor(
     job: string,
--- a/src/jobs/failure-history.ts
+++ b/src/jobs/failure-history.ts
@@ -1,38 +1,47 @@
-/** Failure attribution: whether the failures of a job are its own fault or its machines'. */
+/** Failure attribution: whether the job or a machine causes the failures of a job's tasks. */
 
 /**
- * The pause after a failure begins with two heartbeat intervals and is doubled at most this often.
+ * The backoff after the n-th failure in a row is 2^n heartbeat intervals, with n capped at this
+ * value.
  */
-const MAX_PAUSE_DOUBLINGS = 4;
+const MAX_BACKOFF_DOUBLINGS = 4;
 
 /**
- * A machine on which a task failed is avoided for as many heartbeat intervals as the longest pause.
+ * Heartbeat intervals for which a machine is avoided after a task failed on it: as long as the
+ * longest backoff.
  */
-const AVOIDANCE_INTERVALS = 2 ** MAX_PAUSE_DOUBLINGS;
+const AVOIDANCE_INTERVALS = 2 ** MAX_BACKOFF_DOUBLINGS;
 
-/** On this many machines a job has to fail before the fault is looked for in the job. */
-const SUSPICIOUS_MACHINES = 2;
+/** A job that has failed on at least this many machines is suspected to be faulty itself. */
+const SUSPECT_AFTER_MACHINES = 2;
 
-/** A job that fails on more machines than this blames none of them, whatever else of it runs. */
+/**
+ * If a job has failed on more machines than this, its failures are attributed to none of them, even
+ * if other tasks of it run.
+ */
 const MAX_BLAMED_MACHINES = 3;
 
 /**
- * Where a suspected job finds no free room for so many heartbeat intervals after its pause, it
- * counts as others do for one attempt, which may wait for gang admission and scale out: it may have
- * met faulty machines only.
+ * If a suspected job finds no free capacity for this many heartbeat intervals after its backoff, it
+ * is treated like any other job for one attempt, which may wait for gang admission and scale out:
+ * it may have run on faulty machines only.
  */
-const IDLE_INTERVALS = 48;
+const FULL_ATTEMPT_AFTER_INTERVALS = 48;
 
 /**
- * A task runs well once it has run for so many times as long as any that failed, and so many
- * heartbeat intervals more: starts and exits are known no better than that.
+ * A task counts as healthy once it has run for more than `HEALTHY_RUN_RATIO` times the longest run
+ * that failed plus `HEALTHY_EXTRA_INTERVALS` heartbeat intervals: starts and exits are not known
+ * more accurately than that.
  */
-const PROOF_RUNS = 2;
-const PROOF_INTERVALS = 2;
+const HEALTHY_RUN_RATIO = 2;
+const HEALTHY_EXTRA_INTERVALS = 2;
 
 /** One failure of a task. */
 export interface Failure {
-  /** Where it failed; null: its machine rejected the start, which says nothing about either. */
+  /**
+   * The machine on which it failed. Null if the machine rejected the start, which is evidence
+   * neither against the job nor against the machine.
+   */
   machine: string | null;
   /** How long the task ran, in milliseconds. */
   ranMs: number;
@@ -41,113 +50,122 @@
 }
 
 /**
- * `sound`: the job runs well elsewhere, so its machine is at fault. `open`: nothing shows yet which
- * of the two is. `none`: the job is, or nothing will show it any more.
+ * `sound`: the job runs on other machines, so the machine is at fault. `open`: it is not yet known
+ * whether the job or the machine is at fault. `none`: the job is at fault, or it can no longer be
+ * decided.
  */
 export type FailureAttribution = 'sound' | 'open' | 'none';
 
 /**
- * What the failures of one job's tasks show: is it the machines, or a mistake in the job, which
- * then fails everywhere?
+ * Decides from the failures of one job's tasks whether the machines are faulty, or the job itself,
+ * which then fails everywhere.
  *
- * It lives in the leader's memory alone, so it costs no writes. A new leader knows nothing of it,
- * and tries a job with a mistake as a whole again before it is suspected: once, or twice if all of
- * its tasks were on one machine, for each change of leader. No pause outlives its leader either.
+ * The history is kept in the leader's memory only, so it costs no writes. A new leader starts
+ * without it: after each change of leader a faulty job is started in full again before it is
+ * suspected, once, or twice if all of its tasks were on one machine. Backoffs are lost as well.
  */
 export class FailureHistory {
-  /** No task is placed before this monotonic time (ms). */
+  /** Monotonic time (ms) before which no task of the job is placed. */
   retryAt = 0;
-  /** Failures in a row; those within one pause count once. */
-  private rounds = 0;
-  /** When a task last failed on each machine; since a task of the job last ran well, if any did. */
+  /** Consecutive failures; all failures within one backoff count once. */
+  private consecutiveFailures = 0;
+  /**
+   * Monotonic time (ms) of the last failure on each machine. Cleared when a task proves to be
+   * healthy after the job had been failing everywhere.
+   */
   private readonly failedAt = new Map<string, number>();
   private longestRunMs = 0;
-  private ranWell = false;
-  private completedSome = false;
-  private isAttemptDue = false;
+  private isProvenHealthy = false;
+  private hasCompletedTask = false;
+  private isFullAttemptDue = false;
   private isClosed = false;
 
   constructor(private readonly heartbeatIntervalMs = 1000) {}
 
-  /** It fails wherever it is tried: a mistake of its own, until one of its tasks runs well. */
+  /** The job fails on every machine: it counts as faulty until one of its tasks is healthy. */
   get isSuspected(): boolean {
-    return this.failsEverywhere && !this.isAttemptDue;
+    return this.failsEverywhere && !this.isFullAttemptDue;
   }
 
   private get failsEverywhere(): boolean {
-    return !this.ranWell && this.failedAt.size >= SUSPICIOUS_MACHINES;
+    return !this.isProvenHealthy && this.failedAt.size >= SUSPECT_AFTER_MACHINES;
   }
 
-  /** Whether its running tasks may still show that the job is sound. */
+  /** True while a running task can still show that the job is healthy. */
   get isUndecided(): boolean {
-    return !this.ranWell && this.failedAt.size > 0;
+    return !this.isProvenHealthy && this.failedAt.size > 0;
   }
 
   record({ machine, ranMs, now }: Failure): void {
-    // What fails during the pause was started before it, as by tasks that share a faulty machine: it
-    // is one failure, or the rest of the job would wait for long beside machines that are sound.
+    // A task that fails during the backoff was started before it, such as several tasks on one
+    // faulty machine. They count as one failure: otherwise the rest of the job would wait too long
+    // although healthy machines are available.
     if (now >= this.retryAt) {
-      this.rounds++;
-      const doublings = Math.min(this.rounds, MAX_PAUSE_DOUBLINGS);
+      this.consecutiveFailures++;
+      const doublings = Math.min(this.consecutiveFailures, MAX_BACKOFF_DOUBLINGS);
       this.retryAt = now + this.heartbeatIntervalMs * 2 ** doublings;
     }
     if (machine === null) return;
-    this.isAttemptDue = false;
-    // A run of this length was taken for a proof, and was none.
-    if (ranMs >= this.proofMs && !this.completedSome) this.ranWell = false;
+    this.isFullAttemptDue = false;
+    // A run of this length had counted as healthy, but the task failed after all.
+    if (ranMs >= this.healthyAfterMs && !this.hasCompletedTask) this.isProvenHealthy = false;
     this.longestRunMs = Math.max(this.longestRunMs, ranMs);
     this.failedAt.set(machine, now);
   }
 
-  /** A task of it is complete. */
+  /** A task of the job has completed. */
   recordCompletion(): void {
-    this.completedSome = true;
-    this.provenSound();
+    this.hasCompletedTask = true;
+    this.markHealthy();
   }
 
-  /** A task of it runs, and has done so for `ranMs`. */
+  /** A task of the job has been running for `ranMs` and still runs. */
   recordRunning(ranMs: number): void {
-    if (this.failedAt.size === 0) this.rounds = 0;
-    else if (ranMs > this.proofMs) this.provenSound();
+    if (this.failedAt.size === 0) this.consecutiveFailures = 0;
+    else if (ranMs > this.healthyAfterMs) this.markHealthy();
   }
 
-  /** Nothing of it is on a machine now. */
+  /** No task of the job is on a machine. */
   recordIdle(now: number): void {
-    if (now - this.retryAt > this.heartbeatIntervalMs * IDLE_INTERVALS) this.isAttemptDue = true;
+    if (now - this.retryAt > this.heartbeatIntervalMs * FULL_ATTEMPT_AFTER_INTERVALS)
+      this.isFullAttemptDue = true;
   }
 
-  /** The job is over: what nothing has shown by now stays open for ever. */
+  /** The job has ended: an undecided attribution can no longer be resolved. */
   close(): void {
     this.isClosed = true;
   }
 
-  /** Machines to leave alone for a while. Not for good: there may be no others. */
+  /** Machines to avoid for now; the avoidance expires, since there may be no other machines. */
   avoidedMachines(now: number): ReadonlySet<string> {
     const machines = new Set<string>();
     for (const [machine, at] of this.failedAt) if (this.isRecent(at, now)) machines.add(machine);
     return machines;
   }
 
-  /** Failure attribution for a machine on which the job failed. */
+  /** Returns the failure attribution for a machine on which the job failed. */
   attribution(machine: string, now: number): FailureAttribution {
     const at = this.failedAt.get(machine);
     if (at === undefined || this.failsEverywhere || this.failedAt.size > MAX_BLAMED_MACHINES) {
       return 'none';
     }
-    if (this.ranWell) return 'sound';
+    if (this.isProvenHealthy) return 'sound';
     return !this.isClosed && this.isRecent(at, now) ? 'open' : 'none';
   }
 
-  private provenSound(): void {
-    // Whether those machines were at fault or it was mended meanwhile, nobody knows: they are not
-    // blamed. It may soon fail again on what is faulty, and is believed then.
+  private markHealthy(): void {
+    // It is unknown whether those machines were faulty or the job was fixed in the meantime, so the
+    // machines are not blamed. If one of them is faulty, the job soon fails there again, and then
+    // the failure counts against the machine.
     if (this.failsEverywhere) this.failedAt.clear();
-    this.ranWell = true;
-    this.rounds = 0;
+    this.isProvenHealthy = true;
+    this.consecutiveFailures = 0;
   }
 
-  private get proofMs(): number {
-    return this.longestRunMs * PROOF_RUNS + this.heartbeatIntervalMs * PROOF_INTERVALS;
+  private get healthyAfterMs(): number {
+    return (
+      this.longestRunMs * HEALTHY_RUN_RATIO + this.heartbeatIntervalMs * HEALTHY_EXTRA_INTERVALS
+    );
   }
 
   private isRecent(at: number, now: number): boolean {
--- a/src/jobs/feasibility.ts
+++ b/src/jobs/feasibility.ts
@@ -1,10 +1,10 @@
-/** Check at submission whether a job can ever run. */
+/** Feasibility check of submitted jobs. */
 
 import { fits, type MachineType } from '../fleet/resources.js';
 import type { Team } from '../settings/deploy.js';
 import type { JobSpec } from './job.js';
 
-/** Why a job can never run; null if it can. */
+/** Returns why a job can never run, or null if it can. */
 export function infeasibleReason(
   spec: JobSpec,
   teams: ReadonlyMap<string, Pick<Team, 'limit'>>,
--- a/src/jobs/gang-phase.ts
+++ b/src/jobs/gang-phase.ts
@@ -1,14 +1,14 @@
 /**
  * Gang admission of one job, and the transitions of its phase:
  *
- *   queued -> admitted | placed      admission, with machines still to come or at hand
- *   admitted -> placed               all of its machines are there
+ *   queued -> admitted | placed      admitted; machines are still being provisioned | available
+ *   admitted -> placed               all of its machines are available
  *   placed -> started                all of its tasks run
- *   placed, started -> queued        a member was lost and the rest is stopped
- *   any but suspended -> suspended   the gang is past its timeout
- *   suspended -> queued              its wait is over
+ *   placed, started -> queued        a member was lost and the remaining tasks are stopped
+ *   any but suspended -> suspended   the admission timeout has expired
+ *   suspended -> queued              the suspension has expired
  *
- * A new leader restores the stored phase, whichever it is.
+ * A new leader restores whichever phase is stored.
  */
 
 import type { GangRecord } from './records.js';
@@ -17,17 +17,15 @@
 export interface GangState {
   phase: 'queued' | GangRecord['phase'];
   holdsGate: boolean;
-  /**
-   * Time (ms) that counts against the admission timeout, and when it was last counted (monotonic).
-   */
+  /** Time (ms) used up of the admission timeout, and the monotonic time it was last updated. */
   countedMs: number;
   countedAt: number;
-  /** Monotonic time until which a suspended gang stays inadmissible. */
+  /** Monotonic time (ms) until which a suspended gang is not admitted. */
   suspendedUntil: number;
   suspensions: number;
 }
 
-/** The gang admission of a new job. */
+/** Returns the admission state of a new gang. */
 export function newGangState(): GangState {
   return {
     phase: 'queued',
@@ -39,7 +37,10 @@
   };
 }
 
-/** The gang holds the gate until it is ready; its timeout counts from `now` (monotonic, ms). */
+/**
+ * Admits the gang. It holds the admission gate until it has started, is suspended or returns to the
+ * queue; its timeout runs from `now` (monotonic, ms).
+ */
 export function markGangAdmitted(gang: GangState, now: number): void {
   gang.phase = 'admitted';
   gang.holdsGate = true;
@@ -47,21 +48,24 @@
   gang.countedAt = now;
 }
 
-/** All of its machines are there. An admitted gang has used up `bootMs` of its timeout at most. */
+/**
+ * All machines of the gang are available. Of the time an admitted gang waited for them, at most
+ * `bootMs` counts against its timeout.
+ */
 export function markGangPlaced(gang: GangState, now: number, bootMs: number): void {
   gang.countedMs = gang.phase === 'admitted' ? Math.min(gang.countedMs, bootMs) : 0;
   gang.countedAt = now;
   gang.phase = 'placed';
 }
 
-/** All of its tasks run. */
+/** All tasks of the gang run. */
 export function markGangStarted(gang: GangState): void {
   gang.phase = 'started';
   gang.holdsGate = false;
   gang.suspensions = 0;
 }
 
-/** It is past its timeout, and inadmissible until `until` (monotonic, ms). */
+/** The gang's timeout has expired; it is not admitted before `until` (monotonic, ms). */
 export function markGangSuspended(gang: GangState, until: number): void {
   gang.phase = 'suspended';
   gang.holdsGate = false;
@@ -70,36 +74,42 @@
 }
 
 /**
- * Back to the queue: after the loss of a member, after a suspension, or where a record is
- * superseded.
+ * Returns the gang to the queue: after the loss of a member, after a suspension, or when the record
+ * it was restored from is superseded.
  */
 export function requeueGang(gang: GangState): void {
   gang.phase = 'queued';
   gang.holdsGate = false;
 }
 
-/** Takes over a stored phase. `sinceWall`: monotonic time less time of day, in milliseconds. */
+/**
+ * Restores a stored phase.
+ *
+ * @param wallToMonotonicMs offset to add to a wall-clock time to get a monotonic time
+ */
 export function restoreGang(
   gang: GangState,
   record: GangRecord,
   now: number,
-  sinceWall: number,
+  wallToMonotonicMs: number,
 ): void {
   gang.phase = record.phase;
   gang.suspensions = record.suspensions;
-  gang.suspendedUntil = record.until + sinceWall;
+  gang.suspendedUntil = record.until + wallToMonotonicMs;
   gang.holdsGate = record.phase === 'admitted';
   gang.countedAt = now;
 }
 
 /**
- * What the store keeps of it; null while it is queued. `wallOf`: time of day of a monotonic time.
+ * Returns the stored form, or null while the gang is queued.
+ *
+ * @param toWallClock converts a monotonic time to wall-clock time
  */
 export function toGangRecord(
   gang: GangState,
-  wallOf: (monotonic: number) => number,
+  toWallClock: (monotonic: number) => number,
 ): GangRecord | null {
   if (gang.phase === 'queued') return null;
   const { phase, suspensions, suspendedUntil } = gang;
-  return { phase, suspensions, until: wallOf(suspendedUntil) };
+  return { phase, suspensions, until: toWallClock(suspendedUntil) };
 }
--- a/src/jobs/job-acceptance.ts
+++ b/src/jobs/job-acceptance.ts
@@ -16,20 +16,20 @@
 import { WRITE_ID, type JobRecord } from './records.js';
 import { commitForUser, hedged, type RequestTimeouts } from './user-requests.js';
 
-/** What became of a submission that was not in the store when it came. */
+/** The outcome of adding a submission that was not known to this controller. */
 export type AcceptanceResult =
   | { kind: 'added' }
-  /** It is in the store already: another controller or an earlier try was first. */
+  /** The job is already in the store, added by another controller or an earlier attempt. */
   | { kind: 'known' }
-  /** Its record does not fit the limits of the store. */
+  /** The job record does not fit the limits of the store. */
   | { kind: 'too large' }
-  /** It names a job that was never accepted. */
+  /** The submission depends on a job that was never accepted. */
   | { kind: 'unknown dependency'; id: string };
 
 /**
- * Puts new jobs into the store. The job's own record comes last and on condition that there is
- * none: until it is there the job is not accepted, whatever else has been written, and two
- * controllers that accept the same job at once end in one.
+ * Adds new jobs to the store. The job record is written last, on condition that none exists: until
+ * then the job is not accepted, whatever else has been written, and if two controllers accept the
+ * same job concurrently, only one record is created.
  */
 export class JobAcceptance {
   constructor(
@@ -37,7 +37,7 @@
     private readonly states: JobStateCache,
     private readonly runtime: Runtime,
     private readonly timeouts: RequestTimeouts,
-    /** The types of machines that exist; null while they are not known. */
+    /** Returns the existing machine types; null while they are unknown. */
     private readonly machineTypes: () => ReadonlySet<string> | null,
   ) {}
 
@@ -53,7 +53,7 @@
       try {
         return await this.write({ id, spec, dependencies }, limits, signal);
       } catch (error) {
-        // Sent away with a 503, the user would come back with the same for ever.
+        // A 503 would make the user retry the same submission forever.
         if (!isSizeRejection(error)) throw error;
         const { valueBytes, txnOps } = limits;
         if (!this.store.limits.onSubmissionRejected(valueBytes, txnOps))
@@ -78,10 +78,11 @@
       spec,
       ...(needs ? { needs } : {}),
     };
-    // It has to fit also when it is rewritten under the limits to come.
     const types = this.machineTypes();
+    // The record also has to fit when it is rewritten under limits announced for later.
     const { valueBytes } = this.store.limits.smallest();
-    // Halved limits are a guess: they make a record smaller, but no job too large.
+    // Limits halved after a rejection are a guess: they may shorten a record, but are no reason to
+    // reject a job as too large.
     const value =
       fitJobRecord(record, limits.valueBytes, types) ?? fitJobRecord(record, valueBytes, types);
     if (!value) return { kind: 'too large' };
@@ -97,8 +98,9 @@
   }
 
   /**
-   * That a job is in the store never changes: it needs no condition later on. A job that names
-   * itself was not accepted before.
+   * Returns the first dependency that was never accepted, or null. An accepted job stays in the
+   * store, so the later write needs no condition on it. A job that depends on itself cannot have
+   * been accepted before.
    */
   private async unknownDependency(
     id: string,
@@ -112,9 +114,9 @@
   }
 
   /**
-   * Writes those of the chunks that are not there yet; those present have the right content. False
-   * if the job has been accepted meanwhile: a copy that comes late would bring back chunks that
-   * were removed with the job's end, and nothing would ever remove them again.
+   * Writes the chunks that are not in the store yet; existing ones have the same content. Returns
+   * false if the job has been accepted in the meantime: a delayed write would otherwise recreate
+   * chunks that were removed when the job ended, and nothing would ever delete them.
    */
   private async addChunks(
     id: string,
@@ -131,8 +133,8 @@
       );
       if (outcome.ok) return true;
       if (outcome.failed.includes(notAccepted.key)) return false;
-      const existing = new Set(outcome.failed);
-      const missing = pending.filter(({ put }) => !existing.has(put));
+      const existingKeys = new Set(outcome.failed);
+      const missing = pending.filter(({ put }) => !existingKeys.has(put));
       if (missing.length === pending.length) throw new UnnamedConflictError(id);
       pending = missing;
     }
@@ -147,7 +149,7 @@
     return commitForUser(this.store, this.runtime.clock, this.timeouts, when, then, signal);
   }
 
-  /** Chunks are never rewritten: they are laid out for the smallest limits there will be. */
+  /** Chunks are never rewritten, so they are laid out for the smallest limits announced so far. */
   private get writeLimits(): WriteLimits {
     const { submittedBytes, chunkChanges } = this.store.limits;
     return { valueBytes: submittedBytes.current, txnOps: chunkChanges.current };
--- a/src/jobs/job-api.ts
+++ b/src/jobs/job-api.ts
@@ -1,4 +1,4 @@
-/** Answers to users: submissions, queries and cancellations. */
+/** The job API for users: submissions, queries and cancellations. */
 
 import { RequestPriority } from '@leverhatch/core/store';
 import type { Runtime } from '@leverhatch/core/duty';
@@ -13,7 +13,7 @@
 import type { JobPhase, JobSpec } from './job.js';
 import type { JobState } from './job-state.js';
 import { JobStateCache } from './job-state-cache.js';
-import { fitJobRecord, smallestCancelled } from './record-size.js';
+import { fitJobRecord, minimalCancelledRecord } from './record-size.js';
 import { QueryAdmission } from './query-admission.js';
 import { parseJob, WRITE_ID, type JobRecord } from './records.js';
 import {
@@ -23,52 +23,53 @@
   type RequestTimeouts,
 } from './user-requests.js';
 
-/** An answer to a user. */
+/** A response to a user. */
 export interface ApiResponse {
   status: number;
   body: object;
-  /** Seconds after which the user may ask again. */
+  /** Seconds after which the user may retry. */
   retryAfter?: number;
 }
 
-/** How many tasks of a job are completed and running. */
+/** Number of completed and of running tasks of a job. */
 export interface TaskCounts {
   done: number;
   running: number;
 }
 
-/** What a controller knows beside the store, and its hooks for users' requests. */
+/** State of the controller that is not in the store, and hooks for user requests. */
 export interface ControllerStatus {
-  /** How far an open job is, for display; null: not known. */
+  /** Progress of an open job, for display; null if unknown. */
   progressOf(id: string): TaskCounts | null;
-  /** How many jobs are open, by the last leader heartbeat. */
+  /** Number of open jobs according to the last leader heartbeat. */
   openJobCount(): number;
-  /** By how many milliseconds timers are late. */
+  /** Event loop lag: by how many milliseconds timers fire late. */
   lagMs(): number;
   /** Called before a cancellation is announced to any user. */
   onCancellationAnnounced(id: string): void;
-  /** Present or promised quotas where quota transfers are in use; without it the settings hold. */
+  /**
+   * Current or promised quotas, present if quota transfers are in use; otherwise the quotas in the
+   * settings apply.
+   */
   promisedQuotas?(): Promise<ReadonlyMap<string, Pick<Team, 'limit'>>>;
 }
 
 /**
- * How many jobs may be open for each MB of memory: the leader keeps some 3 KB of each. Beyond it
- * users are sent away until some are over.
+ * Maximum number of open jobs per MB of memory: the leader uses about 3 KB for each. Beyond it
+ * submissions are rejected with a 503 until jobs end.
  */
 export const OPEN_JOBS_PER_MB = 60;
 
-/** Fraction of a submission's timeout for which it may queue for the store's rate. */
-const MAX_QUEUED_RATIO = 0.25;
+/** Fraction of a submission's timeout that it may spend queued for the store's rate limit. */
+const MAX_SUBMISSION_QUEUE_RATIO = 0.25;
 
-/**
- * The same for a cancellation: it is sent away only where it could not be confirmed in its time.
- */
-const MAX_CANCEL_QUEUED_RATIO = 0.75;
+/** The same for a cancellation, which is rejected only if it could not be confirmed in time. */
+const MAX_CANCELLATION_QUEUE_RATIO = 0.75;
 
 /**
- * Answers users, on every controller. Nothing is accepted, cancelled or announced before the
- * store has it, and every answer that may still change rests on a version check that began after
- * the query came, see `JobStateCache`.
+ * Handles user requests, on every controller. Nothing is reported as accepted or cancelled before
+ * it is in the store, and every response that may still change is based on a version check that
+ * began after the query arrived, see `JobStateCache`.
  */
 export class JobApi {
   private readonly stateCache: JobStateCache;
@@ -78,17 +79,17 @@
 
   constructor(
     private readonly store: Store,
-    private readonly catalogue: MachineTypeCatalog,
+    private readonly catalog: MachineTypeCatalog,
     private readonly settings: Settings,
     private readonly runtime: Runtime,
     private readonly controller: ControllerStatus,
     private readonly limits: { submitMs: number; pollMs: number },
   ) {
     const waits = {
-      maxQueueMs: limits.submitMs * MAX_QUEUED_RATIO,
+      maxQueueMs: limits.submitMs * MAX_SUBMISSION_QUEUE_RATIO,
       hedgeMs: limits.pollMs * HEDGE_RATIO,
     };
-    this.cancelTimeouts = { ...waits, maxQueueMs: limits.submitMs * MAX_CANCEL_QUEUED_RATIO };
+    this.cancelTimeouts = { ...waits, maxQueueMs: limits.submitMs * MAX_CANCELLATION_QUEUE_RATIO };
     this.stateCache = new JobStateCache(store, settings, runtime, limits.pollMs);
     this.admission = new QueryAdmission(
       runtime.clock,
@@ -108,24 +109,24 @@
     return this.withTimeout(this.limits.submitMs, (signal) => this.accept(body, signal));
   }
 
-  /** `isOverCapacity`: the machine is short of connections, see `QueryAdmission`. */
+  /** @param isOverCapacity the controller has too many connections, see `QueryAdmission` */
   query(id: string, isOverCapacity = false): Promise<ApiResponse> {
-    if (!wire.isJobId(id)) return Promise.resolve(UNKNOWN);
+    if (!wire.isJobId(id)) return Promise.resolve(UNKNOWN_JOB);
     if (!this.admission.admits(id, isOverCapacity)) return Promise.resolve(BUSY);
     return this.withTimeout(this.limits.pollMs, async (signal) => {
       const job = await this.stateCache.query(id, signal, this.admission.isOverdue(id));
-      // One whose own time is over has been answered as busy already.
+      // A query that has timed out has already been answered as busy.
       if (!signal.aborted) this.admission.recordAnswer(id);
-      return job ? { status: 200, body: this.status(id, job) } : UNKNOWN;
+      return job ? { status: 200, body: this.statusBody(id, job) } : UNKNOWN_JOB;
     });
   }
 
   cancel(id: string): Promise<ApiResponse> {
-    if (!wire.isJobId(id)) return Promise.resolve(UNKNOWN);
+    if (!wire.isJobId(id)) return Promise.resolve(UNKNOWN_JOB);
     return this.withTimeout(this.limits.submitMs, (signal) => this.tryCancel(id, signal));
   }
 
-  /** A job's phase at some time after this call, by the store; null: it was never accepted. */
+  /** The job's phase in the store at some time after this call; null if it was never accepted. */
   async phaseOf(id: string): Promise<JobPhase | null> {
     return (await this.stateCache.current(id))?.phase ?? null;
   }
@@ -133,21 +134,23 @@
   private async accept(body: unknown, signal: AbortSignal): Promise<ApiResponse> {
     const parsed = wire.parseSubmission(body);
     if (!parsed.ok) {
-      // A repeat of an accepted job is answered with its state, whatever else the body says.
+      // A repeated submission of an accepted job returns its state, even if the body is invalid.
       const id = wire.submissionId(body);
-      return this.knownOr(id, signal, { status: 400, body: { error: parsed.reason } });
+      return this.respondIfKnown(id, signal, { status: 400, body: { error: parsed.reason } });
     }
     const { id, spec } = parsed.value;
-    const types = this.catalogue.types.value;
-    if (!types) return this.knownOr(id, signal, BUSY);
+    const types = this.catalog.types.value;
+    if (!types) return this.respondIfKnown(id, signal, BUSY);
     const reason = await this.infeasibleReason(spec, types);
-    if (reason !== null) return this.knownOr(id, signal, { status: 422, body: { error: reason } });
-    if (this.stateCache.has(id)) return this.knownOr(id, signal, BUSY);
-    if (this.controller.openJobCount() >= this.maxOpenJobs) return this.knownOr(id, signal, FULL);
+    if (reason !== null)
+      return this.respondIfKnown(id, signal, { status: 422, body: { error: reason } });
+    if (this.stateCache.has(id)) return this.respondIfKnown(id, signal, BUSY);
+    if (this.controller.openJobCount() >= this.maxOpenJobs)
+      return this.respondIfKnown(id, signal, TOO_MANY_OPEN_JOBS);
     return this.add(parsed.value, signal);
   }
 
-  /** Why a job can never run; null if it can, by what its team has or was promised. */
+  /** Why a job can never run, given the current and promised quotas of its team; null if it can. */
   private async infeasibleReason(
     spec: JobSpec,
     types: ReadonlyMap<string, MachineType>,
@@ -159,28 +162,32 @@
 
   private async add(submission: wire.Submission, signal: AbortSignal): Promise<ApiResponse> {
     const { id } = submission;
-    const accepted = await this.acceptance.add(submission, signal);
-    switch (accepted.kind) {
+    const result = await this.acceptance.add(submission, signal);
+    switch (result.kind) {
       case 'added':
-        return { status: 201, body: this.answer(id, await this.stateOfNew(submission, signal)) };
+        return {
+          status: 201,
+          body: this.submissionBody(id, await this.stateOfAccepted(submission, signal)),
+        };
       case 'known':
-        return this.knownOr(id, signal, BUSY);
+        return this.respondIfKnown(id, signal, BUSY);
       case 'too large':
-        return this.knownOr(id, signal, TOO_LARGE);
+        return this.respondIfKnown(id, signal, TOO_LARGE);
       case 'unknown dependency': {
-        const error = `waitsOn: ${accepted.id} was never accepted`;
-        return this.knownOr(id, signal, { status: 422, body: { error } });
+        const error = `waitsOn: ${result.id} was never accepted`;
+        return this.respondIfKnown(id, signal, { status: 422, body: { error } });
       }
     }
   }
 
   /**
-   * What to call a job that was just accepted. One that waits for others may be cancelled with them
-   * already, and what is cached of those may be old: another controller may have announced long ago
-   * that one of them is cancelled, and from then on its dependents must not be called pending.
-   * Where the store does not serve the submission is sent again, and answered as known.
+   * The state to report for a job that was just accepted. If one of its dependencies is cancelled,
+   * the job is cancelled too, and the cached states of the dependencies may be stale: another
+   * controller may have announced the cancellation long ago, after which dependents must not be
+   * reported as pending. If the store is unavailable, the request fails; the user submits again,
+   * and the job is then handled as known.
    */
-  private async stateOfNew(
+  private async stateOfAccepted(
     { id, dependencies }: wire.Submission,
     signal: AbortSignal,
   ): Promise<JobState | null> {
@@ -188,14 +195,14 @@
     return this.stateCache.current(id, signal);
   }
 
-  /** The state of a job that is in the store already; else `otherwise`. */
-  private async knownOr(
+  /** Responds with the state of a job that is already in the store, or else with `otherwise`. */
+  private async respondIfKnown(
     id: string | null,
     signal: AbortSignal,
     otherwise: ApiResponse,
   ): Promise<ApiResponse> {
     const job = id === null ? null : await this.stateCache.current(id, signal);
-    return id !== null && job ? { status: 200, body: this.answer(id, job) } : otherwise;
+    return id !== null && job ? { status: 200, body: this.submissionBody(id, job) } : otherwise;
   }
 
   private get maxOpenJobs(): number {
@@ -203,7 +210,7 @@
   }
 
   private get machineTypes(): ReadonlySet<string> | null {
-    const types = this.catalogue.types.value;
+    const types = this.catalog.types.value;
     return types && new Set(types.keys());
   }
 
@@ -211,7 +218,7 @@
     for (;;) {
       this.store.assertResponsive();
       const entry = await this.store.get(KEYS.job(id), RequestPriority.Critical, signal);
-      if (!entry) return UNKNOWN;
+      if (!entry) return UNKNOWN_JOB;
       const record = parseJob(entry.value);
       if (!record) return BUSY;
       if (record.phase === 'done') {
@@ -250,15 +257,15 @@
       [WRITE_ID]: this.runtime.random.unique(),
       phase: 'cancelled',
     };
-    // A record accepted under larger limits may have to drop fields that mean nothing any more.
+    // A record accepted under larger limits may have to drop machine types that no longer exist.
     const { valueBytes } = this.store.limits.effective();
     try {
       return await put(fitJobRecord(cancelled, valueBytes, this.machineTypes) ?? cancelled);
     } catch (error) {
-      // The store's limit is smaller than any that was announced: its user must not be sent away
-      // for good.
+      // The store's limit is smaller than any that was announced. Without a smaller record the user
+      // could never cancel the job.
       if (!isSizeRejection(error)) throw error;
-      return put(smallestCancelled(cancelled));
+      return put(minimalCancelledRecord(cancelled));
     }
   }
 
@@ -266,11 +273,11 @@
     this.stateCache.put(id, { version, phase, tasks, dependencies: [] });
   }
 
-  private answer(id: string, job: JobState | null): object {
+  private submissionBody(id: string, job: JobState | null): object {
     return wire.jobAnswer(id, job ? this.publicPhase(id, job) : 'pending');
   }
 
-  /** Every announcement of a cancellation passes here, whichever way the job was cancelled. */
+  /** Every cancellation is announced through this method, however the job was cancelled. */
   private announceWithdrawn(id: string): wire.PublicPhase {
     this.controller.onCancellationAnnounced(id);
     return 'withdrawn';
@@ -282,7 +289,7 @@
     return (this.controller.progressOf(id)?.running ?? 0) > 0 ? 'running' : 'pending';
   }
 
-  private status(id: string, job: JobState): object {
+  private statusBody(id: string, job: JobState): object {
     const counts = this.controller.progressOf(id);
     const done = job.phase === 'done' ? job.tasks : (counts?.done ?? 0);
     const running = job.phase === 'open' ? (counts?.running ?? 0) : 0;
@@ -291,27 +298,31 @@
 
   private async withTimeout(
     ms: number,
-    body: (signal: AbortSignal) => Promise<ApiResponse>,
+    handle: (signal: AbortSignal) => Promise<ApiResponse>,
   ): Promise<ApiResponse> {
-    const control = new AbortController();
-    const timeout = this.runtime.clock.sleep(ms, control.signal).then(() => BUSY);
+    const abortController = new AbortController();
+    const timeout = this.runtime.clock.sleep(ms, abortController.signal).then(() => BUSY);
     try {
-      return await Promise.race([body(control.signal), timeout]);
+      return await Promise.race([handle(abortController.signal), timeout]);
     } catch (error) {
       this.runtime.log.debug({ error: String(error) }, 'user request failed');
       if (!(error instanceof OverloadedError)) return BUSY;
       return { ...BUSY, retryAfter: Math.ceil(error.delayMs / 1000) };
     } finally {
-      control.abort();
+      abortController.abort();
     }
   }
 }
 
 const BUSY: ApiResponse = { status: 503, body: { error: 'cannot decide now' }, retryAfter: 1 };
-/** More jobs are open than a leader has memory for; some have to be over first. */
-const FULL: ApiResponse = { status: 503, body: { error: 'too many jobs are open' }, retryAfter: 4 };
+/** The leader has no memory for more open jobs; some have to end first. */
+const TOO_MANY_OPEN_JOBS: ApiResponse = {
+  status: 503,
+  body: { error: 'too many jobs are open' },
+  retryAfter: 4,
+};
 const TOO_LARGE: ApiResponse = {
   status: 422,
   body: { error: 'the description of the job is larger than the state service takes' },
 };
-const UNKNOWN: ApiResponse = { status: 404, body: { error: 'unknown job' } };
+const UNKNOWN_JOB: ApiResponse = { status: 404, body: { error: 'unknown job' } };
--- a/src/jobs/job-reader.ts
+++ b/src/jobs/job-reader.ts
@@ -1,29 +1,29 @@
-/** Bulk reads of job records with few requests. */
+/** Bulk reads of job records in few requests. */
 
 import { RequestPriority } from '@leverhatch/core/store';
 import { KEYS } from '../state/keys.js';
 import type { Entry, RequestClass, Store } from '../state/store.js';
 
-/** Up to so many records are read one by one, at the cost of a request each. */
+/** Up to this many records are read individually, at the cost of one request each. */
 export const MAX_SINGLE_READS = 4;
 
-/** Pages hold at least so many records: jobs that were submitted together have close names. */
+/** Minimum page size: the ids of jobs that were submitted together are close to each other. */
 const MIN_PAGE_RECORDS = 200;
 const MAX_PAGE_RECORDS = 1000;
 
-/** How records are read. */
+/** Options for reading job records. */
 export interface ReadOptions {
   signal?: AbortSignal;
-  /** Request class towards the store; `RequestPriority.Critical` unless given. */
+  /** Request class for the store; defaults to `RequestPriority.Critical`. */
   requestClass?: RequestClass;
-  /** Called with every other record on the pages, which are as large as possible then. */
+  /** Called with each record on a page that was not requested; pages then have maximum size. */
   onOtherEntry?: (entry: Entry) => void;
 }
 
 /**
- * Reads the records of many jobs with few requests: pages of the key range that begin at the next
- * job still looked for. Each record is as the store had it at some time after the call; a job that
- * was never accepted is missing from the result.
+ * Reads the records of many jobs in few requests: in pages of the key range, each starting at the
+ * next requested job. Each record is as stored at some time after the call; a job that was never
+ * accepted is absent from the result.
  */
 export async function readJobEntries(
   store: Store,
@@ -38,20 +38,20 @@
   let next = 0;
   for (let key = keys[next]; key !== undefined; key = keys[next]) {
     const limit = Math.min(MAX_PAGE_RECORDS, Math.max(minPageRecords, keys.length - next));
-    const page = await store.page(KEYS.jobs, justBefore(key), limit, signal, requestClass);
+    const page = await store.page(KEYS.jobs, keyJustBefore(key), limit, signal, requestClass);
     for (const entry of page.items) {
       if (wanted.has(entry.key)) found.set(entry.key.slice(KEYS.jobs.length), entry);
       else onOtherEntry?.(entry);
     }
     const last = page.items[page.items.length - 1]?.key;
     if (!page.more || last === undefined) break;
-    next = firstAfter(keys, last, next);
+    next = firstIndexAfter(keys, last, next);
   }
   return found;
 }
 
-/** Index of the first of the sorted `keys`, from `start` on, that is greater than `last`. */
-function firstAfter(keys: readonly string[], last: string, start: number): number {
+/** Returns the index of the first of the sorted `keys`, from `start` on, that is above `last`. */
+function firstIndexAfter(keys: readonly string[], last: string, start: number): number {
   const offset = keys.slice(start).findIndex((key) => key > last);
   return offset < 0 ? keys.length : start + offset;
 }
@@ -72,10 +72,10 @@
 }
 
 /**
- * A key that sorts before `key` and after every other key of a job: those end in a digit, and no
- * digit sorts after `~`.
+ * Returns a key that sorts before `key` and after all smaller job keys: these end in a digit, and
+ * no digit sorts after `~`.
  */
-function justBefore(key: string): string {
+function keyJustBefore(key: string): string {
   const last = key.charCodeAt(key.length - 1);
   return `${key.slice(0, -1)}${String.fromCharCode(last - 1)}~`;
 }
--- a/src/jobs/job-record-writer.ts
+++ b/src/jobs/job-record-writer.ts
@@ -1,4 +1,4 @@
-/** The writer of a leader's decisions on jobs. */
+/** Persists the leader's decisions on jobs. */
 
 import type { Term } from '../election/term.js';
 import type { Runtime } from '@leverhatch/core/duty';
@@ -13,10 +13,10 @@
 import { LeftoverRecords } from './leftover-records.js';
 import { tasksPerRange, type JobRecord } from './records.js';
 import type { LayoutPolicy } from './run-layout.js';
-import { recordRemoved, TransactionCommitter } from './transaction-committer.js';
+import { markRecordDeleted, TransactionCommitter } from './transaction-committer.js';
 import { WriteRejections } from './write-rejections.js';
 
-/** For how many batch intervals the exits of a job's tasks wait while writes queue. */
+/** Maximum number of batch intervals for which task exits are delayed while writes are queued. */
 const MAX_EXIT_BATCHES = 4;
 
 /** A transaction that is about to be written. */
@@ -24,35 +24,35 @@
   transaction: JobTransaction;
   /** The job's phase when the transaction was built. */
   phase: JobPhase;
-  /** Starts that it records. */
+  /** Starts that it stores. */
   starts: Placement[];
-  /** Exited starts whose exit it records. */
+  /** Exited placements whose exit it stores. */
   exits: Placement[];
 }
 
 /** What the writer reports back to the leader. */
 export interface JobRecordEvents {
-  /** The job's own record was changed by another controller: cancelled by its user. */
+  /** Another controller changed the job record: its user cancelled the job. */
   jobChanged(job: Job, version: number, record: JobRecord): void;
-  /** These starts are in the store and may be sent. */
+  /** These starts are in the store and may be sent to the workers. */
   startsRecorded(placements: Placement[]): void;
-  /** The exit of these starts is in the store and may be forgotten. */
+  /** The exits of these placements are in the store, so the placements may be dropped. */
   exitsRecorded(placements: Placement[]): void;
-  /** The store holds something that only another leader could have written. */
+  /** The store contains something that only another leader can have written. */
   contradiction(what: string): void;
-  /** The store holds the job's final state. */
+  /** The store contains the job's final state. */
   endRecorded(job: Job, phase: JobPhase): void;
-  /** Nothing of the job is left to be written. */
+  /** Nothing of the job remains to be written. */
   archived(job: Job): void;
 }
 
 /**
- * Writes what the leader decides, one transaction at a time for each job. Every transaction is
- * conditioned on the leader key and on the records it replaces; one that adds starts also on the
- * job's own record, so that a cancelled job cannot start.
+ * Writes the leader's decisions to the store, one transaction at a time per job. Every transaction
+ * is conditioned on the leader key and on the records it replaces; one that adds starts is also
+ * conditioned on the job record, so that a cancelled job cannot start.
  */
 export class JobRecordWriter {
-  private writes = 0;
+  private writeCount = 0;
   private readonly rejections: WriteRejections;
   readonly leftovers: LeftoverRecords;
   private readonly builder: TransactionBuilder;
@@ -70,7 +70,8 @@
   ) {
     this.rejections = new WriteRejections(limits, exitBatchMs);
     this.leftovers = new LeftoverRecords(store, runtime, term);
-    // A leader of an earlier version would take them for records that it cannot read.
+    // Records are left behind only once all controllers support it: a leader of an earlier version
+    // would treat them as unreadable.
     this.builder = new TransactionBuilder(
       runtime,
       term,
@@ -111,24 +112,24 @@
   }
 
   /**
-   * Exits of tasks can wait a little: until they are recorded their workers go on reporting them,
-   * and a successor learns them from there. So the exits of a large array share a few writes, and
-   * while writes queue they wait longer: a write that is under way would hold up the job's next
-   * starts.
+   * Writes task exits after a short delay, so that the exits of a large array share a few writes.
+   * The delay is safe: until an exit is stored its worker keeps reporting it, so a new leader
+   * learns of it too. While writes are queued the delay is longer, since a write in flight would
+   * block the job's next starts.
    */
   flushExits(job: Job): void {
     if (job.phase !== 'open') return this.flush(job);
     if (job.isExitFlushPending) return;
     job.isExitFlushPending = true;
-    void this.collectExits(job).then(() => {
+    void this.waitForExits(job).then(() => {
       job.isExitFlushPending = false;
       this.flush(job);
     });
   }
 
   /**
-   * Rewrites the job's superseded records as ranged ones, when nothing else waits to be written.
-   * `isRewriting` is false again once it is done.
+   * Rewrites the job's superseded records as ranged ones; to be called while no other writes are
+   * queued. `job.isRewriting` is reset when the rewrite is complete.
    */
   rewrite(job: Job): void {
     if (job.phase !== 'open' || job.isUnreadable || job.isArchived) return;
@@ -136,7 +137,7 @@
     this.flush(job);
   }
 
-  private async collectExits(job: Job): Promise<void> {
+  private async waitForExits(job: Job): Promise<void> {
     for (let i = 0; i < MAX_EXIT_BATCHES; i++) {
       await this.runtime.clock.sleep(this.exitBatchMs, this.term.signal);
       if (this.store.queuedWrites === 0 || !job.dirty) return;
@@ -144,20 +145,20 @@
   }
 
   private needsWrite(job: Job): boolean {
-    // Of a closed job nothing is written again: its records would come back without their job.
+    // An archived job is never written again: that would recreate run records without a job.
     if (job.isArchived) return false;
     if (job.phase === 'open') return job.dirty || job.isRewriting;
-    // Of a job that is over, what still runs is recorded already, and more than that does no harm.
+    // What still runs of an ended job is already stored; records that list more are harmless.
     return !job.isPhaseStored || canArchive(job);
   }
 
   private nextWriteId(): string {
-    return `${this.term.id}/${++this.writes}`;
+    return `${this.term.id}/${++this.writeCount}`;
   }
 
   private async write(job: Job): Promise<void> {
     const writeId = this.nextWriteId();
-    this.chooseLayout(job);
+    this.switchLayoutIfNeeded(job);
     const write = this.prepare(job, writeId);
     const { transaction } = write;
     if (transaction.changes.length === 0) {
@@ -165,27 +166,27 @@
       return;
     }
     const wasDirty = transaction.sections.filter((section) => section.dirty);
-    transaction.background = job.isRewriting && wasDirty.length === 0;
+    transaction.isBackground = job.isRewriting && wasDirty.length === 0;
     for (const section of transaction.sections) section.dirty = false;
     const revision = await this.committer.commit(job, writeId, transaction);
     if (revision === null) {
       for (const section of wasDirty) section.dirty = true;
       return;
     }
-    this.applied(job, write, revision);
+    this.onCommitted(job, write, revision);
   }
 
-  /** The next transaction of a job, and the starts and exits of its tasks that it stores. */
+  /** Builds the next transaction of a job and collects the starts and exits that it stores. */
   private prepare(job: Job, writeId: string): JobWrite {
     const transaction = this.builder.build(job, writeId);
     const recordingStarts = [...job.placements.values()].filter(isUnrecorded);
-    // Starts in sections that did not fit into this transaction stay unsent until theirs is written.
+    // Starts in sections that did not fit into this transaction are sent only after a later one.
     const isCovered = (placement: Placement): boolean =>
       transaction.sections.some(
         (section) => placement.task >= section.from && placement.task < section.to,
       );
     const starts = recordingStarts.filter(isCovered);
-    const exits = transaction.archives
+    const exits = transaction.isArchiving
       ? job.unrecordedExits
       : job.unrecordedExits.filter(isCovered);
     const { jobRecord } = transaction;
@@ -200,18 +201,18 @@
     return { transaction, phase: job.phase, starts, exits };
   }
 
-  /** The store holds what was written. */
-  private applied(job: Job, write: JobWrite, revision: number): void {
+  /** Updates the tracked state after a transaction was applied. */
+  private onCommitted(job: Job, write: JobWrite, revision: number): void {
     const { transaction, phase, starts, exits } = write;
     for (const section of transaction.sections) {
       section.version = revision;
       section.inherited = false;
     }
-    for (const record of transaction.removed) recordRemoved(job, record);
+    for (const record of transaction.deletedRecords) markRecordDeleted(job, record);
     if (transaction.jobRecord !== null) {
       job.version = revision;
       if (phase === job.phase) job.isPhaseStored = true;
-      if (transaction.archives) job.isArchived = true;
+      if (transaction.isArchiving) job.isArchived = true;
       this.leftovers.add(transaction.leftovers);
       this.events.endRecorded(job, phase);
     }
@@ -223,25 +224,26 @@
   }
 
   /**
-   * Ranged records where all controllers read them and records must shrink, or one was rejected.
+   * Switches the job to ranged records if all controllers can read them, and either records have to
+   * become smaller or the store rejected a write of the job.
    */
-  private chooseLayout(job: Job): void {
+  private switchLayoutIfNeeded(job: Job): void {
     if (job.layout.kind === 'ranged' || job.phase !== 'open') return;
     if (!this.layoutPolicy.rangesReadable()) return;
     if (!this.layoutPolicy.rangesWanted() && !this.rejections.has(job)) return;
     const perRange = tasksPerRange(this.rejections.limitsFor(job).valueBytes);
-    job.useRangedRecords(perRange);
+    job.switchToRangedRecords(perRange);
     this.rejections.layoutChanged(job);
-    this.runtime.log.debug({ job: job.id, perRange }, 'run records become ranged');
+    this.runtime.log.debug({ job: job.id, perRange }, 'switching to ranged run records');
   }
 
-  /** The store rejects this write for good, which stops the progress of this job alone. */
+  /** Logs the first rejected write of a job and schedules a retry, which delays only this job. */
   private onRejected(job: Job, changes: Change[], error: RequestRejectedError): void {
     const { clock, log } = this.runtime;
-    const first = !this.rejections.has(job);
-    const waitMs = this.rejections.add(job, clock.now());
+    const isFirst = !this.rejections.has(job);
+    const retryDelayMs = this.rejections.add(job, clock.now());
     job.isRewriting = false;
-    if (first) {
+    if (isFirst) {
       const sizes = changes.map((change) =>
         'put' in change
           ? { key: change.put, bytes: jsonBytes(change.value) }
@@ -249,6 +251,6 @@
       );
       log.error({ job: job.id, error: String(error), changes: sizes }, 'job write rejected');
     }
-    void clock.sleep(waitMs, this.term.signal).then(() => this.flush(job));
+    void clock.sleep(retryDelayMs, this.term.signal).then(() => this.flush(job));
   }
 }
--- a/src/jobs/job-state-cache.ts
+++ b/src/jobs/job-state-cache.ts
@@ -1,4 +1,4 @@
-/** Cached states of jobs, version-checked against the store. */
+/** Cache of job states, with version checks against the store. */
 
 import { RequestPriority } from '@leverhatch/core/store';
 import type { Runtime } from '@leverhatch/core/duty';
@@ -18,30 +18,32 @@
 import { VersionChecker, type ReadState, type CacheReader } from './version-checker.js';
 
 /**
- * How many jobs a controller caches for each MB of its memory, at some 200 bytes each; beyond it
- * the ones cached longest ago are evicted.
+ * Number of jobs that a controller caches per MB of its memory, at about 200 bytes each; beyond it
+ * the oldest entries are evicted.
  */
 const CACHED_JOBS_PER_MB = 50;
 
-/** Where this many records are missing, those beside them are taken in as well. */
+/** If at least this many records are missing, other records on the same pages are cached too. */
 const PREFETCH_THRESHOLD = 16;
 
-/** This many dependencies take as much memory as a cached job. */
+/** This many dependencies take as much memory as one cached job. */
 const DEPENDENCIES_PER_JOB = 4;
 
 /**
- * The states of jobs, on every controller. A state that may still change rests on a version
- * check, or on a read, that began after the query came. One check serves all queries that wait for
- * it.
+ * The states of jobs, on every controller. A state that may still change is based on a version
+ * check, or on a read, that began after the query arrived. One check serves all queries that wait
+ * for it.
  *
- * A job is cancelled if its record says so or if a job that it needs, directly or through others,
- * is stored as cancelled. So a cancellation holds for all that need the job as soon as it is
- * stored, at every controller, with nothing else to be written. The answer `open` rests on records
- * checked in several transactions, at different moments after the query came. That is sound since a
- * job that is over never opens again: what is open at a later moment was open when the query came,
- * so at that moment all of them were. What a job needs is fixed when it is accepted, and below a
- * job that is done all are done. The answer `cancelled` is final, since a job with a cancelled one
- * before it can never be done: it starts only when all of those are.
+ * A job is cancelled if its record says so or if one of its direct or transitive dependencies is
+ * stored as cancelled. A cancellation therefore applies to all dependents on every controller as
+ * soon as it is stored, without further writes.
+ *
+ * The result `open` is based on records that are checked in several transactions, at different
+ * times after the query arrived. This is sound because an ended job never reopens: a job that is
+ * open at a later time was open when the query arrived, so all of them were open at that time. The
+ * dependencies of a job are fixed when it is accepted, and all dependencies of a done job are done.
+ * The result `cancelled` is final, because a job starts only when all its dependencies are done, so
+ * one with a cancelled ancestor can never be done.
  */
 export class JobStateCache {
   private readonly cache = new Map<string, JobState>();
@@ -55,13 +57,13 @@
     runtime: Runtime,
     pollMs: number,
   ) {
-    const memory: CacheReader = {
+    const cacheReader: CacheReader = {
       cached: (id) => this.cache.get(id) ?? null,
       read: (ids, from) => this.read(ids, from),
     };
     const { clock } = runtime;
-    this.queryChecker = new VersionChecker(store, clock, pollMs, 'question', memory);
-    this.checker = new VersionChecker(store, clock, pollMs, RequestPriority.Critical, memory);
+    this.queryChecker = new VersionChecker(store, clock, pollMs, 'question', cacheReader);
+    this.checker = new VersionChecker(store, clock, pollMs, RequestPriority.Critical, cacheReader);
   }
 
   /** Whether the job is known to be accepted. */
@@ -69,20 +71,20 @@
     return this.cache.has(id);
   }
 
-  /** The job's state at some time after this call; null: it was never accepted. */
+  /** Returns the job's state at some time after this call; null if it was never accepted. */
   current(id: string, signal: AbortSignal | null = null): Promise<JobState | null> {
-    return this.currentBy(this.checker, id, signal);
+    return this.currentUsing(this.checker, id, signal);
   }
 
   /**
-   * The same for a user's query, which comes after all other work. `overdue`: nothing was answered
-   * about this job for long, and it may queue for longer than others before it is sent away.
+   * The same for a user's query, which has the lowest priority. `overdue`: no query about this job
+   * has been answered for a long time, so it may queue for longer before it is rejected.
    */
   query(id: string, signal: AbortSignal, overdue: boolean): Promise<JobState | null> {
-    return this.currentBy(this.queryChecker, id, signal, overdue);
+    return this.currentUsing(this.queryChecker, id, signal, overdue);
   }
 
-  private async currentBy(
+  private async currentUsing(
     checker: VersionChecker,
     id: string,
     signal: AbortSignal | null,
@@ -92,20 +94,20 @@
     if (cached && cached.phase !== 'open') return cached;
     if (cached && this.hasCancelledAncestor(cached)) return this.markCancelled(id);
     const hasDependencies = cached && cached.dependencies.length > 0;
-    if (hasDependencies) return this.withAncestors(checker, id, signal);
+    if (hasDependencies) return this.checkWithAncestors(checker, id, signal);
     const job = await checker.check(id, signal, overdue);
     if (job?.phase !== 'open' || job.dependencies.length === 0) return job;
-    return this.withAncestors(checker, id, signal);
+    return this.checkWithAncestors(checker, id, signal);
   }
 
-  /** The state as far as it is cached, which may be older than this call. */
+  /** Returns the cached state, which may be stale; null if the job is not cached. */
   cached(id: string): JobState | null {
     const job = this.cache.get(id);
     if (!job) return null;
     return job.phase === 'open' && this.hasCancelledAncestor(job) ? this.markCancelled(id) : job;
   }
 
-  /** The first of these jobs that was never accepted; null: all were. */
+  /** Returns the first of these jobs that was never accepted; null if all were. */
   async firstUnknown(ids: readonly string[], signal: AbortSignal): Promise<string | null> {
     const unknown = ids.filter((id) => !this.cache.has(id));
     if (unknown.length === 0) return null;
@@ -114,8 +116,8 @@
       const entry = entries.get(id);
       if (!entry) return id;
     }
-    // Their states will be queried soon, with the job that names them. One that cannot be read now
-    // is no reason to reject the submission: its own query shows it.
+    // Their states will soon be needed for queries about the dependent job. A record that cannot be
+    // read is no reason to reject the submission: a query about that job reports the error.
     if (entries.size <= this.checker.maxConditions) {
       await Promise.all(
         [...entries].map(([id, entry]) => this.putEntry(id, entry).catch(() => null)),
@@ -124,11 +126,11 @@
     return null;
   }
 
-  /** Caches a record that was read or written; what is over stays over. */
+  /** Caches a state that was read or written; an ended job is never replaced. */
   put(id: string, job: JobState): JobState {
-    const before = this.cache.get(id);
-    // Answers may overtake one another: the newer version stands.
-    if (before && (before.phase !== 'open' || before.version > job.version)) return before;
+    const existing = this.cache.get(id);
+    // Responses may arrive out of order: keep the newer version.
+    if (existing && (existing.phase !== 'open' || existing.version > job.version)) return existing;
     this.evict(id);
     this.cache.set(id, job);
     this.cachedDependencies += job.dependencies.length;
@@ -152,18 +154,18 @@
     this.cache.delete(id);
   }
 
-  // ---- jobs that others are needed for
+  // ---- jobs with dependencies
 
-  /** Whether a job before this one is cached as cancelled. */
+  /** Whether a direct or transitive dependency of this job is cached as cancelled. */
   private hasCancelledAncestor(job: JobState): boolean {
     const seen = new Set<string>();
-    const left = [...job.dependencies];
-    for (let id = left.pop(); id !== undefined; id = left.pop()) {
+    const pending = [...job.dependencies];
+    for (let id = pending.pop(); id !== undefined; id = pending.pop()) {
       if (seen.has(id)) continue;
       seen.add(id);
-      const before = this.cache.get(id);
-      if (before?.phase === 'cancelled') return true;
-      if (before?.phase === 'open') left.push(...before.dependencies);
+      const ancestor = this.cache.get(id);
+      if (ancestor?.phase === 'cancelled') return true;
+      if (ancestor?.phase === 'open') pending.push(...ancestor.dependencies);
     }
     return false;
   }
@@ -171,21 +173,19 @@
   private markCancelled(id: string): JobState {
     const job = this.cache.get(id);
     if (!job) throw new UncachedJobError(id);
-    return this.put(id, withdrawn(job));
+    return this.put(id, asCancelled(job));
   }
 
-  /**
-   * The state of an open job that needs others: all open ones before it are version-checked too.
-   */
-  private async withAncestors(
+  /** Checks an open job with dependencies: all its open ancestors are version-checked as well. */
+  private async checkWithAncestors(
     checker: VersionChecker,
     id: string,
     signal: AbortSignal | null,
   ): Promise<JobState | null> {
     const states = new Map<string, JobState>();
-    let left = this.openBefore(id, states);
-    while (left.length > 0) {
-      for (const [ancestor, state] of await this.checkAll(checker, left, signal)) {
+    let pending = this.openWithAncestors(id, states);
+    while (pending.length > 0) {
+      for (const [ancestor, state] of await this.checkAll(checker, pending, signal)) {
         if (state) states.set(ancestor, state);
         else if (ancestor === id) return null;
         else throw new MissingDependencyError(id, ancestor);
@@ -193,11 +193,11 @@
       const job = stateOf(states, id);
       if (job.phase !== 'open') return job;
       for (const state of states.values()) {
-        // Cached with its version again, in case it has been dropped from memory meanwhile.
-        if (state.phase === 'cancelled') return this.put(id, withdrawn(job));
+        // Cached again with its version, since it may have been evicted in the meantime.
+        if (state.phase === 'cancelled') return this.put(id, asCancelled(job));
       }
-      left = [...states.values()].flatMap((state) => state.dependencies);
-      left = [...new Set(left)].filter((a) => !states.has(a));
+      pending = [...states.values()].flatMap((state) => state.dependencies);
+      pending = [...new Set(pending)].filter((ancestor) => !states.has(ancestor));
     }
     const job = stateOf(states, id);
     const satisfied = job.dependencies.every(
@@ -206,16 +206,19 @@
     return satisfied ? this.put(id, { ...job, dependencies: [] }) : job;
   }
 
-  /** The job itself and all before it that are cached as open or not at all. */
-  private openBefore(id: string, over: Map<string, JobState>): string[] {
+  /**
+   * Returns the job itself and those of its ancestors that are cached as open or not cached; adds
+   * the ended ones to `ended`.
+   */
+  private openWithAncestors(id: string, ended: Map<string, JobState>): string[] {
     const open = new Set<string>();
-    const left = [id];
-    for (let next = left.pop(); next !== undefined; next = left.pop()) {
+    const pending = [id];
+    for (let next = pending.pop(); next !== undefined; next = pending.pop()) {
       const job = this.cache.get(next);
-      if (job && job.phase !== 'open') over.set(next, job);
-      if (open.has(next) || over.has(next)) continue;
+      if (job && job.phase !== 'open') ended.set(next, job);
+      if (open.has(next) || ended.has(next)) continue;
       open.add(next);
-      for (const dependency of job?.dependencies ?? []) left.push(dependency);
+      for (const dependency of job?.dependencies ?? []) pending.push(dependency);
     }
     return [...open];
   }
@@ -225,9 +228,9 @@
     ids: string[],
     signal: AbortSignal | null,
   ): Promise<Map<string, JobState | null>> {
-    // More than fit a few version checks cost fewer requests as pages of records.
+    // For more jobs than a few version checks can hold, reading pages takes fewer requests.
     if (ids.length > checker.maxJobsAtOnce) return this.readAll(ids, signal);
-    // A version check of what is not cached could only fail, and then be followed by a read.
+    // A version check of a job that is not cached would fail and then be followed by a read.
     const known = ids.filter((id) => this.cache.has(id));
     const unknown = ids.filter((id) => !this.cache.has(id));
     const [states, read] = await Promise.all([
@@ -278,10 +281,10 @@
       );
       return new Map(await Promise.all(states));
     }
-    // Whoever lacks so many has just started, and will be asked for the others too.
+    // A controller that has to read so many jobs has just started and will need the others too.
     const onOtherEntry = (entry: Entry): void => this.prefetchEntry(entry);
-    const ahead = ids.length >= PREFETCH_THRESHOLD ? { onOtherEntry } : {};
-    const entries = await readJobEntries(this.store, ids, { requestClass, ...ahead });
+    const prefetch = ids.length >= PREFETCH_THRESHOLD ? { onOtherEntry } : {};
+    const entries = await readJobEntries(this.store, ids, { requestClass, ...prefetch });
     const states = await Promise.all(
       ids.map(async (id): Promise<[string, ReadState]> => {
         const entry = entries.get(id);
@@ -291,7 +294,7 @@
     return new Map(states);
   }
 
-  /** Takes in a record that was read just now, with the dependencies of an open job. */
+  /** Caches a record that was just read, with the dependencies if the job is open. */
   private async putEntry(id: string, entry: Entry): Promise<JobState> {
     const known = this.cache.get(id);
     if (known && (known.phase !== 'open' || known.version === entry.version)) return known;
@@ -304,7 +307,7 @@
     return this.put(id, { version: entry.version, phase, tasks, dependencies });
   }
 
-  /** Takes in a record that nobody has asked for yet, if that costs no further request. */
+  /** Caches a record that was not requested, if that takes no further request and no eviction. */
   private prefetchEntry(entry: Entry): void {
     const id = jobOfKey(entry.key);
     const record = parseJob(entry.value);
@@ -320,13 +323,13 @@
     record: JobRecord,
   ): Promise<readonly string[] | null> {
     const known = this.cache.get(id);
-    // An open record may be written anew, but what it needs stays.
+    // An open record may be rewritten, but its dependencies never change.
     if (known && known.version <= version) return known.dependencies;
     return readDependencies(this.store, id, record.needs);
   }
 }
 
-/** The state that the check of a job has yielded. */
+/** Returns the checked state of a job. */
 function stateOf(states: ReadonlyMap<string, JobState>, id: string): JobState {
   const state = states.get(id);
   if (!state) throw new UncachedJobError(id);
@@ -336,4 +339,4 @@
 const asError = (reason: unknown): Error =>
   reason instanceof Error ? reason : new Error(String(reason), { cause: reason });
 
-const withdrawn = (job: JobState): JobState => ({ ...job, phase: 'cancelled', dependencies: [] });
+const asCancelled = (job: JobState): JobState => ({ ...job, phase: 'cancelled', dependencies: [] });
--- a/src/jobs/job-state.ts
+++ b/src/jobs/job-state.ts
@@ -2,13 +2,16 @@
 
 import type { JobPhase } from './job.js';
 
-/** What a controller knows of a job. */
+/** The state of a job, as read from the store or cached. */
 export interface JobState {
-  /** Version of the record that says so. */
+  /** Version of the job record that this state was read from. */
   version: number;
-  /** As stored; or `cancelled` because a job that it depends on is. */
+  /** The stored phase, or `cancelled` because a dependency is cancelled. */
   phase: JobPhase;
   tasks: number;
-  /** Jobs that an open job needs and that may still be open; they never change. */
+  /**
+   * Dependencies of an open job that may still be open; empty once the job has ended or all of them
+   * are done. The stored list never changes.
+   */
   dependencies: readonly string[];
 }
--- a/src/jobs/job-transaction.ts
+++ b/src/jobs/job-transaction.ts
@@ -1,4 +1,4 @@
-/** Transactions that bring the stored records of a job up to date. */
+/** Building of the transactions that bring the stored records of a job up to date. */
 
 import type { Term } from '../election/term.js';
 import type { Runtime } from '@leverhatch/core/duty';
@@ -11,9 +11,9 @@
 import type { Section, StoredSection } from './run-layout.js';
 import type { WriteRejections } from './write-rejections.js';
 
-/** The store takes 64 KiB in one transaction; some are left for its frame and conditions. */
+/** The store accepts 64 KiB per transaction; the rest is left for its envelope and conditions. */
 const MAX_TRANSACTION_BYTES = 56 * 1024;
-/** The key and the condition that go with a value. */
+/** Allowance for the key and the condition of each value. */
 const BYTES_PER_OPERATION = 200;
 
 interface SectionRecord {
@@ -21,29 +21,29 @@
   record: RunRecord | RangedRunRecord;
 }
 
-/** One transaction of a job, and what it does. */
+/** One transaction of a job, with the records that it affects. */
 export interface JobTransaction {
   conditions: Condition[];
   changes: Change[];
-  /** What is written. */
+  /** Sections whose records it writes. */
   sections: Section[];
-  /** What is deleted. */
-  removed: StoredSection[];
+  /** Records that it deletes. */
+  deletedRecords: StoredSection[];
   jobRecord: JobRecord | null;
-  /** True if only the final state is left after it, but for `leftovers`. */
-  archives: boolean;
-  /** Run records that mean nothing after it, and are deleted later on. */
+  /** True if after it only the job's final state remains in the store, apart from `leftovers`. */
+  isArchiving: boolean;
+  /** Run records that are obsolete after it and are deleted later. */
   leftovers: StoredSection[];
-  /** It changes nothing: records are moved to another layout. */
-  background: boolean;
+  /** It only moves records to another layout, without changing any state. */
+  isBackground: boolean;
   /**
-   * What its starts rest on beside the leader key; empty: it has none, or they rest on nothing
-   * else.
+   * Conditions that its starts depend on, other than the leader key; empty if it has no starts or
+   * there are no such conditions.
    */
   startConditions: Condition[];
 }
 
-/** A job that is over and of which nothing can run any more keeps only its final state. */
+/** Whether only the final state has to be kept: the job has ended and nothing of it can run. */
 export function canArchive(job: Job): boolean {
   return job.phase !== 'open' && job.placements.size === 0 && !job.isArchived && !job.isUnreadable;
 }
@@ -54,52 +54,52 @@
     private readonly runtime: Runtime,
     private readonly term: Term,
     private readonly rejections: WriteRejections,
-    /** Whether run records of a job that is over may be left for later. */
-    private readonly mayLeaveRecords: () => boolean,
+    /** Whether the deletion of an ended job's run records may be deferred. */
+    private readonly mayDeferDeletes: () => boolean,
   ) {}
 
-  /** The next transaction of a job; `writeId` marks its records. */
+  /** Builds the next transaction of a job; `writeId` is stored in its records. */
   build(job: Job, writeId: string): JobTransaction {
     return canArchive(job)
       ? this.archivingTransaction(job, writeId)
       : this.progressTransaction(job, writeId);
   }
 
-  private empty(): JobTransaction {
+  private emptyTransaction(): JobTransaction {
     return {
       conditions: [{ key: KEYS.leader, version: this.term.fencingToken }],
       changes: [],
       sections: [],
-      removed: [],
+      deletedRecords: [],
       jobRecord: null,
-      archives: false,
+      isArchiving: false,
       leftovers: [],
-      background: false,
+      isBackground: false,
       startConditions: [],
     };
   }
 
   /**
-   * Deletes the records of a job that is over and leaves its final state. Where that takes several
-   * transactions the job's own record says first that it is over: with some of its records gone and
-   * its own still open, a successor would run tasks again.
+   * Deletes the run records of an ended job and keeps its final state. If that takes several
+   * transactions, the first one stores the end in the job record: if run records were deleted while
+   * the job record is still open, a new leader would run tasks again.
    */
   private archivingTransaction(job: Job, writeId: string): JobTransaction {
-    const transaction = this.empty();
+    const transaction = this.emptyTransaction();
     const stored = job.layout.stored();
     const maxRecords = this.rejections.limitsFor(job).txnOps - 1;
     if (stored.length > maxRecords && !job.isPhaseStored) {
       transaction.jobRecord = this.finalRecord(job, writeId);
       return transaction;
     }
-    const leaves = stored.length <= maxRecords && this.mayLeaveRecords();
+    const deferDeletes = stored.length <= maxRecords && this.mayDeferDeletes();
     const records = stored.slice(0, maxRecords);
     for (const { key, version } of records) {
       transaction.conditions.push({ key, version });
-      if (!leaves) transaction.changes.push({ delete: key });
+      if (!deferDeletes) transaction.changes.push({ delete: key });
     }
-    if (leaves) transaction.leftovers = records;
-    else transaction.removed = records;
+    if (deferDeletes) transaction.leftovers = records;
+    else transaction.deletedRecords = records;
     if (stored.length > maxRecords) return transaction;
     const { phase, tasks, doneAt } = this.finalRecord(job, writeId);
     transaction.jobRecord = {
@@ -108,39 +108,40 @@
       tasks,
       ...(doneAt === undefined ? {} : { doneAt }),
     };
-    transaction.archives = true;
+    transaction.isArchiving = true;
     return transaction;
   }
 
-  /** Of a job that is over and of which something is still left. */
+  /** The job record of an ended job of which placements or run records remain. */
   private finalRecord(job: Job, writeId: string): JobRecord {
     const { phase, spec, submittedAt } = job;
-    const whole: JobRecord = {
+    const fullRecord: JobRecord = {
       [WRITE_ID]: writeId,
       phase,
       tasks: spec.tasks,
       at: submittedAt,
       spec,
     };
-    // One accepted under larger limits may have to lose its machine types, which matter no more.
+    // A record accepted under larger limits may have to drop its machine types, which are no longer
+    // needed.
     const record =
-      fitJobRecord(whole, this.rejections.limitsFor(job).valueBytes, new Set()) ?? whole;
+      fitJobRecord(fullRecord, this.rejections.limitsFor(job).valueBytes, new Set()) ?? fullRecord;
     if (phase !== 'done') return record;
-    // Those that need it are ready from then on, also for a new leader.
+    // Dependents count as ready from this time on, under a new leader as well.
     job.doneAt ??= Math.round(this.runtime.clock.wall());
     return { ...record, doneAt: job.doneAt };
   }
 
-  /** What has changed of a job, as much of it as one transaction may carry. */
+  /** Stores the changes of a job, as many as fit into one transaction. */
   private progressTransaction(job: Job, writeId: string): JobTransaction {
-    const transaction = this.empty();
+    const transaction = this.emptyTransaction();
     if (job.phase === 'open') this.addSections(job, writeId, transaction);
     else if (!job.isPhaseStored) transaction.jobRecord = this.finalRecord(job, writeId);
     if (!job.isRewriting) return transaction;
     const written = new Set(transaction.sections);
     for (const record of job.layout.removable(written)) {
       if (transaction.changes.length >= this.rejections.limitsFor(job).txnOps - 1) break;
-      transaction.removed.push(record);
+      transaction.deletedRecords.push(record);
       transaction.conditions.push({ key: record.key, version: record.version });
       transaction.changes.push({ delete: record.key });
     }
@@ -153,7 +154,7 @@
     let bytes = 0;
     for (const { section, record } of records) {
       bytes += jsonBytes(record) + BYTES_PER_OPERATION;
-      // One change is left for the job's own record.
+      // One change is reserved for the job record.
       if (transaction.changes.length >= limits.txnOps - 1) return;
       if (bytes > MAX_TRANSACTION_BYTES && transaction.changes.length > 0) return;
       transaction.conditions.push({ key: section.key, version: section.version });
@@ -162,28 +163,28 @@
     }
   }
 
-  /** The records that have to be written; ranged ones are split until each fits. */
+  /** Returns the records that have to be written; ranged ones are split until each fits. */
   private recordsToWrite(job: Job, writeId: string, valueBytes: number): SectionRecord[] {
     const { layout } = job;
     const { clock } = this.runtime;
-    const wallOf = (monotonic: number): number =>
+    const toWallClock = (monotonic: number): number =>
       Math.round(clock.wall() + monotonic - clock.now());
     const isDue = (section: Section): boolean =>
       section.dirty || (job.isRewriting && section.inherited);
     const records: SectionRecord[] = [];
-    // `split` adds the later half behind the present section: it is reached in turn.
+    // `split` inserts the later half after the current section, so the loop reaches it next.
     for (const section of layout.sections) {
       if (!isDue(section)) continue;
-      let record = job.toRecord(section, writeId, wallOf);
+      let record = job.toRecord(section, writeId, toWallClock);
       while (layout.kind === 'ranged' && section.to - section.from > 1) {
         if (jsonBytes(record) <= valueBytes) break;
         layout.split(section);
-        record = job.toRecord(section, writeId, wallOf);
+        record = job.toRecord(section, writeId, toWallClock);
       }
       records.push({ section, record });
     }
     if (layout.kind === 'indexed') return records;
-    // Later tasks first: see `RunLayout` on splitting. Changes before what is only moved.
+    // Later tasks first, as `RunLayout` requires for splits; changed sections before moved ones.
     return records.reverse().sort((a, b) => Number(b.section.dirty) - Number(a.section.dirty));
   }
 }
--- a/src/jobs/job.ts
+++ b/src/jobs/job.ts
@@ -1,11 +1,14 @@
-/** What a job is: its kind, priority, description and phase. */
+/** Job model: kind, priority, specification and phase. */
 
 import type { Resources } from '../fleet/resources.js';
 
-/** How the tasks of a job relate: independent, all at once, or replicas that are replaced. */
+/**
+ * Kind of a job: `array` (independent tasks), `gang` (all tasks run at the same time) or `service`
+ * (replicas that are replaced).
+ */
 export type JobKind = 'array' | 'gang' | 'service';
 
-/** Smaller is more important. */
+/** Priority of a job; a smaller value is more important. */
 export enum Priority {
   Production,
   High,
@@ -14,8 +17,8 @@
 }
 
 /**
- * What a user asked for, in the terms of the glossary; durations in milliseconds, memory and images
- * in GB.
+ * Specification of a job as submitted by its user, in the terms of the glossary. Durations are in
+ * milliseconds, memory and image sizes in GB.
  */
 export interface JobSpec {
   jobClass: string;
@@ -37,8 +40,8 @@
   deadlineMs: number | null;
 }
 
-/** What the store says of a job; only `open` ever changes. */
+/** Stored phase of a job; `done` and `cancelled` are final. */
 export type JobPhase = 'open' | 'done' | 'cancelled';
 
-/** At most this many tasks of a job that asks to be spread may be in one zone. */
+/** Maximum number of tasks per zone for a job with `spread`. */
 export const spreadLimit = (tasks: number): number => Math.ceil(tasks / 2);
--- a/src/jobs/leftover-records.ts
+++ b/src/jobs/leftover-records.ts
@@ -6,36 +6,32 @@
 import { KEYS } from '../state/keys.js';
 import { RequestRejectedError, type Store } from '../state/store.js';
 
-/** A run record of a job of which the store holds only the final state. */
+/** A run record that remains of a job whose final state is stored. */
 export interface LeftoverRecord {
   key: string;
   version: number;
 }
 
-/**
- * Fraction of the transaction limit that one batch of deletes takes, so that no other write waits
- * long.
- */
+/** Fraction of the transaction limit that one batch of deletes uses, to keep other writes fast. */
 const BATCH_RATIO = 0.25;
 
 /**
- * Records beyond what the store's write rate deletes in this many seconds are deleted also while
- * other writes wait.
+ * If there are more records than the store's write rate can delete in this many seconds, they are
+ * deleted even while other writes are queued.
  */
 const MAX_LEFTOVER_SECONDS = 60;
 
 /**
- * Deletes the run records that jobs left behind whose end was written while other writes waited.
+ * Deletes the run records of jobs whose end was written while other writes were queued.
  *
- * Where many small jobs come and go the store's rate of changes is the limit. The end of a job has
- * to be announced to its users within seconds; that its run records are deleted is of use to
- * nobody. So the final state is written alone, and the deletes of several jobs share a transaction
- * later on.
+ * With many short jobs the store's write rate is the bottleneck. The end of a job has to be
+ * reported to its users within seconds, whereas deleting its run records is not urgent. So the
+ * final state is written alone, and the deletes of several jobs share a later transaction.
  *
- * Such a record means nothing: the final state was written on condition of the leader key, of the
- * job's record and of this version of the run record, when all starts of the job were proven gone,
- * and no leader writes run records of a job that is over. A leader whose term ends leaves the rest
- * to the next one, which finds them when it reads the records.
+ * Such a record is obsolete: the final state was written on condition of the leader key, the job
+ * record and this version of the run record, when all starts of the job were proven gone, and no
+ * leader writes run records of an ended job. When a leader's term ends, the remaining records are
+ * left to the next leader, which finds them when it reads the store.
  */
 export class LeftoverRecords {
   private records: LeftoverRecord[] = [];
@@ -50,7 +46,7 @@
     return this.records.length;
   }
 
-  /** True once no more records should be left behind. */
+  /** True if no further deletes should be deferred. */
   get isFull(): boolean {
     return this.records.length >= this.store.limits.effective().writeRps * MAX_LEFTOVER_SECONDS;
   }
@@ -59,10 +55,10 @@
     this.records.push(...records);
   }
 
-  async run(everyMs: number, signal: AbortSignal): Promise<void> {
+  async run(intervalMs: number, signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
-      if (this.mayDelete()) await this.deleteSome(signal);
-      else await this.runtime.clock.sleep(everyMs, signal);
+      if (this.mayDelete()) await this.deleteBatch(signal);
+      else await this.runtime.clock.sleep(intervalMs, signal);
     }
   }
 
@@ -71,25 +67,25 @@
     return this.store.queuedWrites === 0 || this.isFull;
   }
 
-  private async deleteSome(signal: AbortSignal): Promise<void> {
+  private async deleteBatch(signal: AbortSignal): Promise<void> {
     const maxBatch = Math.max(1, Math.floor(this.store.limits.effective().txnOps * BATCH_RATIO));
     const batch = this.records.slice(0, maxBatch);
     const conditions = [{ key: KEYS.leader, version: this.term.fencingToken }, ...batch];
     const changes = batch.map(({ key }) => ({ delete: key }));
     try {
       const outcome = await this.store.commit(conditions, changes, RequestPriority.Normal, signal);
-      if (outcome.ok) this.drop(new Set(batch.map(({ key }) => key)));
+      if (outcome.ok) this.remove(new Set(batch.map(({ key }) => key)));
       else if (outcome.failed.includes(KEYS.leader)) this.term.end();
-      // An earlier copy without an answer was applied: they are gone.
-      else this.drop(new Set(outcome.failed));
+      // An earlier attempt without a response was applied: these records are already deleted.
+      else this.remove(new Set(outcome.failed));
     } catch (error) {
       if (!(error instanceof RequestRejectedError)) throw error;
-      // Nothing rests on them; a later leader finds them again.
-      this.drop(new Set(batch.map(({ key }) => key)));
+      // Nothing depends on these records; a later leader finds them again.
+      this.remove(new Set(batch.map(({ key }) => key)));
     }
   }
 
-  private drop(keys: ReadonlySet<string>): void {
+  private remove(keys: ReadonlySet<string>): void {
     this.records = this.records.filter(({ key }) => !keys.has(key));
   }
 }
--- a/src/jobs/placed-entries.ts
+++ b/src/jobs/placed-entries.ts
@@ -1,8 +1,8 @@
-/** How starts of tasks stand in run records, whose layouts `run-layout.ts` explains. */
+/** Encoding of placements in run records; `run-layout.ts` describes the layouts. */
 
 import type { RangedRunRecord, RunRecord } from './records.js';
 
-/** What a record keeps of a start. */
+/** The stored part of a placement. */
 export interface RecordedStart {
   task: number;
   attempt: number;
@@ -11,15 +11,15 @@
   zone: string;
 }
 
-/** An indexed record has an entry for each start. */
-export function placedByTask(starts: RecordedStart[]): RunRecord['placed'] {
+/** Encodes placements for an indexed record, which has one entry per start. */
+export function toIndexedEntries(starts: RecordedStart[]): RunRecord['placed'] {
   return starts.map(({ task, attempt, machine, agentEpoch, zone }) => {
     return [task, attempt, machine, agentEpoch, zone];
   });
 }
 
-/** In a ranged record, starts of one attempt on one machine share an entry. */
-export function placedByMachine(starts: RecordedStart[]): RangedRunRecord['placed'] {
+/** Encodes placements for a ranged record: starts of one attempt on one machine share an entry. */
+export function toRangedEntries(starts: RecordedStart[]): RangedRunRecord['placed'] {
   const entries = new Map<string, RangedRunRecord['placed'][number]>();
   for (const { task, attempt, machine, agentEpoch, zone } of starts) {
     const key = `${machine}|${agentEpoch}|${attempt}|${zone}`;
@@ -30,24 +30,22 @@
   return [...entries.values()];
 }
 
-/** The starts that an indexed record holds. */
-export function* startsByTask({ placed }: RunRecord): Iterable<RecordedStart> {
+/** Decodes the placements in an indexed record. */
+export function* startsInIndexedRecord({ placed }: RunRecord): Iterable<RecordedStart> {
   for (const [task, attempt, machine, agentEpoch, zone] of placed) {
     yield { task, attempt, machine, agentEpoch, zone };
   }
 }
 
-/** The starts that a ranged record holds. */
-export function* startsByMachine({ placed }: RangedRunRecord): Iterable<RecordedStart> {
+/** Decodes the placements in a ranged record. */
+export function* startsInRangedRecord({ placed }: RangedRunRecord): Iterable<RecordedStart> {
   for (const [machine, agentEpoch, zone, attempt, tasks] of placed) {
     for (const task of tasks) yield { task, attempt, machine, agentEpoch, zone };
   }
 }
 
-/**
- * The tasks that an indexed record says something of; of a range of completed ones the two bounds.
- */
-export function* tasksNamed({ done, placed }: RunRecord): Iterable<number> {
+/** Yields the tasks that an indexed record mentions; for a completed range only its two bounds. */
+export function* mentionedTasks({ done, placed }: RunRecord): Iterable<number> {
   for (const bounds of done) yield* bounds;
   for (const [task] of placed) yield task;
 }
--- a/src/jobs/placement-stage.ts
+++ b/src/jobs/placement-stage.ts
@@ -1,42 +1,42 @@
 /**
  * Stages of a placement, and the transitions between them:
  *
- *   recording -> recorded                          its start is in the store
- *   recorded, recovered, dispatched -> dispatched  its start command leaves, or leaves again
- *   any -> reported                                a heartbeat of its worker shows it
+ *   recording -> recorded                          the start is in the store
+ *   recorded, recovered, dispatched -> dispatched  the start command is sent, or sent again
+ *   any -> reported                                a worker heartbeat includes it
  *
- * A start of this term begins as `recording`, one that an earlier leader recorded as `recovered`. A
- * placement that is proven gone is removed, in whichever stage.
+ * A start of this term begins as `recording`, one stored by an earlier leader as `recovered`. A
+ * placement that is proven gone is removed, whatever its stage.
  */
 
 /**
- * How far a start has come. `recording`: not yet in the store. `recorded`: may be sent.
- * `recovered`: recorded by an earlier leader, may or may not have been sent. `dispatched`: sent in
- * the answer to a heartbeat. `reported`: a heartbeat of its worker shows it.
+ * Stage of a placement. `recording`: not yet in the store. `recorded`: may be sent. `recovered`:
+ * stored by an earlier leader, which may or may not have sent it. `dispatched`: sent in a heartbeat
+ * response. `reported`: included in a heartbeat of its worker.
  */
 export type PlacementStage = 'recording' | 'recorded' | 'recovered' | 'dispatched' | 'reported';
 
-/** What has a stage: a placement. */
-interface Staged {
+/** The part of a placement that this module reads and updates. */
+interface HasStage {
   stage: PlacementStage;
 }
 
-/** Whether the start is not in the store yet, and must not be sent. */
-export function isUnrecorded({ stage }: Readonly<Staged>): boolean {
+/** Whether the start is not in the store yet and must not be sent. */
+export function isUnrecorded({ stage }: Readonly<HasStage>): boolean {
   return stage === 'recording';
 }
 
-/** The start is in the store; one that was there before keeps its stage. */
-export function markRecorded(placement: Staged): void {
+/** Marks the start as stored; if it already was, its stage stays as it is. */
+export function markRecorded(placement: HasStage): void {
   if (isUnrecorded(placement)) placement.stage = 'recorded';
 }
 
-/** The start command is on its way to the worker. */
-export function markDispatched(placement: Staged): void {
+/** Marks the start command as sent to the worker. */
+export function markDispatched(placement: HasStage): void {
   placement.stage = 'dispatched';
 }
 
-/** A heartbeat of the worker shows the start. */
-export function markReported(placement: Staged): void {
+/** Marks the start as included in a heartbeat of its worker. */
+export function markReported(placement: HasStage): void {
   placement.stage = 'reported';
 }
--- a/src/jobs/query-admission.ts
+++ b/src/jobs/query-admission.ts
@@ -1,96 +1,102 @@
-/** Admission control for users' queries. */
+/** Admission control for user queries. */
 
 import type { Clock } from '@leverhatch/core/clock';
 import { dropOldest } from '../runtime/drop-oldest.js';
 
-/** Fraction of the controller's core share that users' queries may take. */
+/** Fraction of the controller's core share that user queries may use. */
 const PROCESSOR_RATIO = 0.4;
 
-/** The same while processor time is short for what comes before them. */
+/** The same while processor time is short for work of higher priority. */
 const BUSY_PROCESSOR_RATIO = 0.1;
 
-/** Processor time of one query with its answer, measured on a developer's machine with a margin. */
+/** Processor time of one query and its response, including a safety margin. */
 const QUERY_COST_MS = 0.1;
 
-/** How many seconds' worth of queries may come at once, as when a connection breaks for all. */
+/** Burst size in seconds of the query rate, for instance when all users reconnect at once. */
 const BURST_SECONDS = 2;
 
-/** While more than this fraction of the burst is left, every query is admitted. */
-const PLENTY_RATIO = 0.5;
+/** While more than this fraction of the burst is available, every query is admitted. */
+const UNRESTRICTED_RATIO = 0.5;
 
 /**
- * For how many query timeouts a job must have been without an answer when next to nothing is
- * left. It is well within the 75 s after which a job without any answer counts as forgotten.
+ * Query timeouts since the last answer about a job that are required for admission when the rate is
+ * almost used up. This is well within the 75 s after which a job without an answer counts as
+ * forgotten.
  */
-const MAX_PAUSE_TIMEOUTS = 16;
+const MAX_UNANSWERED_TIMEOUTS = 16;
 
-/** A job that has been without an answer for this many query timeouts is overdue. */
+/** A job is overdue if no query about it was answered for this many query timeouts. */
 const OVERDUE_TIMEOUTS = 8;
 
-/** Number of jobs cached for each MB of memory, at some 100 bytes each. */
+/** Number of jobs cached per MB of memory, at about 100 bytes each. */
 const CACHED_JOBS_PER_MB = 50;
 
-/** When timers are late by this fraction of the query timeout, processor time is short. */
-const LAG_RATIO = 1 / 8;
+/** Processor time counts as short if timers are late by more than this fraction of the timeout. */
+const BUSY_LAG_RATIO = 1 / 8;
 
-/** What a controller has for users' queries. */
+/** The resources of a controller that bound its user queries. */
 export interface QueryCapacity {
-  /** How long a user waits for the answer to a poll, in milliseconds. */
+  /** How long a user waits for the response to a poll, in milliseconds. */
   queryTimeoutMs: number;
-  /** Fraction of a processor's core that the controller has. */
+  /** Fraction of a processor core that the controller has. */
   coreShare: number;
   memoryMb: number;
 }
 
 /**
- * Which users' queries are admitted, and which are answered as busy at once, so that queries
- * leave processor time for submissions, cancellations, heartbeats and leadership. They have a rate,
- * which is lower while timers are late, and busy answers are spread fairly: the less is left of the
- * rate, the longer a job must have been without an answer for a query about it to be admitted. So
- * all jobs that are queried have an answer now and then, however many queries some of them get, and
- * in whatever order.
+ * Decides which user queries are admitted and which are immediately answered as busy, so that
+ * queries leave processor time for submissions, cancellations, heartbeats and leadership.
+ *
+ * Queries are rate-limited by a token bucket, whose rate is lower while timers are late. Busy
+ * responses are spread fairly: the fewer tokens are left, the longer the last answer about a job
+ * must be ago for a query about it to be admitted. So every job that is queried is answered from
+ * time to time, however many queries other jobs get and in whatever order they arrive.
  */
 export class QueryAdmission {
-  /** When a query about each job was last answered here, the longest ago first. */
+  /** When a query about each job was last answered by this controller, oldest first. */
   private readonly answeredAt = new Map<string, number>();
-  /** How many queries may be admitted now. */
-  private available: number;
-  private filledAt: number;
+  /** Tokens: how many queries may be admitted now. */
+  private tokens: number;
+  private refilledAt: number;
   private readonly maxCached: number;
 
   constructor(
     private readonly clock: Clock,
     private readonly capacity: QueryCapacity,
-    /** By how many milliseconds timers are late. */
+    /** Event loop lag: by how many milliseconds timers fire late. */
     private readonly lagMs: () => number,
   ) {
-    this.available = this.burst;
-    this.filledAt = clock.now();
+    this.tokens = this.burst;
+    this.refilledAt = clock.now();
     this.maxCached = Math.max(1, capacity.memoryMb * CACHED_JOBS_PER_MB);
   }
 
   /**
-   * Whether a query about this job is admitted now; else its user is asked to come back.
-   * `isOverCapacity`: there are more connections than the machine has room for, and one with a
-   * query under way cannot give way to others.
+   * Whether a query about this job is admitted now; if not, its user is asked to retry.
+   *
+   * @param isOverCapacity there are more connections than the machine can handle; only overdue jobs
+   *   are admitted then, since a connection with a pending query cannot be closed to make room
    */
   admits(id: string, isOverCapacity: boolean): boolean {
     const now = this.clock.now();
     this.refill(now);
-    const pauseMs = isOverCapacity
+    const requiredMs = isOverCapacity
       ? Math.max(this.minUnansweredMs, this.overdueMs)
       : this.minUnansweredMs;
-    if (this.available < 1 || this.unansweredMs(id, now) < pauseMs) return false;
-    this.available--;
+    if (this.tokens < 1 || this.unansweredMs(id, now) < requiredMs) return false;
+    this.tokens--;
     return true;
   }
 
-  /** True if nobody was answered about this job here for long, as far as that is cached. */
+  /**
+   * True if this controller has not answered a query about this job for a long time, as far as that
+   * is cached.
+   */
   isOverdue(id: string): boolean {
     return this.unansweredMs(id, this.clock.now()) >= this.overdueMs;
   }
 
-  /** A query about this job has been answered. */
+  /** Notes that a query about this job has been answered. */
   recordAnswer(id: string): void {
     this.answeredAt.delete(id);
     this.answeredAt.set(id, this.clock.now());
@@ -105,25 +111,25 @@
     return now - (this.answeredAt.get(id) ?? -Infinity);
   }
 
-  /** How long a job must have been without an answer, by what is left of the rate. */
+  /** How long ago (ms) the last answer about a job must be, given the tokens that are left. */
   private get minUnansweredMs(): number {
-    const usedRatio = 1 - this.available / (this.burst * PLENTY_RATIO);
-    return Math.max(0, usedRatio) * this.capacity.queryTimeoutMs * MAX_PAUSE_TIMEOUTS;
+    const usedRatio = 1 - this.tokens / (this.burst * UNRESTRICTED_RATIO);
+    return Math.max(0, usedRatio) * this.capacity.queryTimeoutMs * MAX_UNANSWERED_TIMEOUTS;
   }
 
   private refill(now: number): void {
-    const isProcessorShort = this.lagMs() > this.capacity.queryTimeoutMs * LAG_RATIO;
-    const perSecond = this.perSecond(isProcessorShort ? BUSY_PROCESSOR_RATIO : PROCESSOR_RATIO);
-    const refill = ((now - this.filledAt) / 1000) * perSecond;
-    this.available = Math.min(this.burst, this.available + refill);
-    this.filledAt = now;
+    const isProcessorShort = this.lagMs() > this.capacity.queryTimeoutMs * BUSY_LAG_RATIO;
+    const rate = this.queriesPerSecond(isProcessorShort ? BUSY_PROCESSOR_RATIO : PROCESSOR_RATIO);
+    const added = ((now - this.refilledAt) / 1000) * rate;
+    this.tokens = Math.min(this.burst, this.tokens + added);
+    this.refilledAt = now;
   }
 
   private get burst(): number {
-    return Math.max(1, this.perSecond(PROCESSOR_RATIO) * BURST_SECONDS);
+    return Math.max(1, this.queriesPerSecond(PROCESSOR_RATIO) * BURST_SECONDS);
   }
 
-  private perSecond(processorRatio: number): number {
+  private queriesPerSecond(processorRatio: number): number {
     return (this.capacity.coreShare * processorRatio * 1000) / QUERY_COST_MS;
   }
 }
--- a/src/jobs/record-size.ts
+++ b/src/jobs/record-size.ts
@@ -1,15 +1,15 @@
-/** Sizes of job records within the store's limits. */
+/** Fitting of job records into the store's value limit. */
 
 import { jsonBytes } from '../state/store-limits.js';
 import type { JobRecord } from './records.js';
 
-/** What later writes of the same record may add: a longer write id, a longer phase. */
+/** Bytes that later writes of the same record may add: a longer write id or phase. */
 const REWRITE_BYTES = 64;
 
 /**
- * The record in a form that the store takes now and at each later rewrite; null if there is none.
- * All of its fields are bounded but the list of machine types, of which only those that exist mean
- * anything.
+ * Returns the record in a form that the store accepts now and at each later rewrite; null if there
+ * is none. The list of machine types is the only unbounded field; if necessary it is reduced to the
+ * types that exist, since others have no effect.
  */
 export function fitJobRecord(
   record: JobRecord,
@@ -20,16 +20,16 @@
   if (jsonBytes(record) <= maxBytes) return record;
   if (!record.spec?.types) return null;
   const known = [...new Set(record.spec.types)].filter((type) => machineTypes?.has(type) ?? true);
-  const shorter = { ...record, spec: { ...record.spec, types: known } };
-  return jsonBytes(shorter) <= maxBytes ? shorter : null;
+  const shortened = { ...record, spec: { ...record.spec, types: known } };
+  return jsonBytes(shortened) <= maxBytes ? shortened : null;
 }
 
 /**
- * A cancelled record without what nobody reads any more: where it may run, since nothing of it
- * starts again, and what it waited for. A mark stays, by which the leader removes the chunks that
- * it names.
+ * Returns a cancelled record without the fields that are no longer read: its machine types, since
+ * none of its tasks starts again, and its inline dependencies. A reference to dependency chunks
+ * stays, so that the leader can delete them.
  */
-export function smallestCancelled({ needs, spec, ...rest }: JobRecord): JobRecord {
+export function minimalCancelledRecord({ needs, spec, ...rest }: JobRecord): JobRecord {
   return {
     ...rest,
     ...(spec ? { spec: { ...spec, types: [] } } : {}),
--- a/src/jobs/records.ts
+++ b/src/jobs/records.ts
@@ -2,11 +2,14 @@
 import type { JobPhase, JobSpec } from './job.js';
 
 /**
- * The stored records of jobs and of provisioned machines. Field names are short since values have a
- * limit and every controller reads all of them when it becomes leader.
+ * Schemas of the stored records of jobs and of provisioned machines. Field names are short because
+ * values have a size limit and a controller reads all records when it becomes leader.
  */
 
-/** Field of the write id, which tells a write whose answer was lost from another controller's. */
+/**
+ * Field of the write id, which distinguishes a controller's own write whose response was lost from
+ * a write of another controller.
+ */
 export const WRITE_ID = 'w';
 
 const count = z.int().check(z.nonnegative());
@@ -48,31 +51,31 @@
 });
 
 /**
- * The jobs that a job waits for: in its own record while they are few, else in `pieces` values of
- * their own below the key that `mark` gives.
+ * The dependencies of a job: inline in the job record if the list is short, else in `pieces` chunks
+ * whose keys contain the hash `mark`, see `dependencies.ts`.
  */
 export type DependenciesRecord = z.infer<typeof needs>;
 
-/** A job: its own record. */
+/** The job record: the phase of a job and, until nothing of it can run, its spec. */
 export interface JobRecord {
   [WRITE_ID]: string;
   phase: JobPhase;
   tasks: number;
-  /** Time of day of the acceptance, and the job: left out once nothing can run any more. */
+  /** Wall-clock time of the acceptance, and the job's spec; omitted once nothing of it can run. */
   at?: number;
   spec?: JobSpec;
   /**
-   * Left out for a job that waits for none, and once the job is over. The version before this field
-   * drops it when it rewrites a record. That is sound: it rewrites a record only to end the job,
-   * never as open, and a job that is over waits for nothing. Such a version does not know how to
-   * wait either, so no job with dependencies may be submitted before all controllers are new.
+   * Omitted for a job without dependencies and once the job has ended. Versions from before this
+   * field was added drop it when they rewrite a record. That is safe: they rewrite a record only to
+   * end the job, and an ended job needs no dependencies. Such versions do not wait for dependencies
+   * either, so no job with dependencies may be submitted before all controllers are upgraded.
    */
   needs?: DependenciesRecord;
-  /** Time of day at which the job was stored as done: from then on those that need it are ready. */
+  /** Wall-clock time when the job was stored as done; its dependents are ready from then on. */
   doneAt?: number;
 }
 
-/** A job's own record; null if it cannot be read. */
+/** Parses a job record; null if it is unreadable. */
 export function parseJob(value: unknown): JobRecord | null {
   const result = z.safeParse(job, value);
   return result.success ? result.data : null;
@@ -80,7 +83,7 @@
 
 const dependencyChunk = z.object({ ids: z.array(z.string()) });
 
-/** One chunk of a long list of dependencies; null if it cannot be read. */
+/** Parses one chunk of a long dependency list; null if it is unreadable. */
 export function parseDependencyChunk(value: unknown): string[] | null {
   const result = z.safeParse(dependencyChunk, value);
   return result.success ? result.data.ids : null;
@@ -104,27 +107,27 @@
 export interface GangRecord {
   phase: 'admitted' | 'placed' | 'started' | 'suspended';
   suspensions: number;
-  /** Time of day until which a suspended gang stays inadmissible. */
+  /** Wall-clock time until which a suspended gang is not admitted. */
   until: number;
 }
 
 /** An indexed run record, see `run-layout.ts`. */
 export interface RunRecord {
   [WRITE_ID]: string;
-  /** The highest attempt given out. */
+  /** The highest attempt number assigned so far. */
   attempt: number;
   gang?: GangRecord;
-  /** Completed tasks as ranges, both ends included. */
+  /** Completed tasks as inclusive ranges. */
   done: [number, number][];
   /**
    * Task, attempt, machine, agent epoch and zone of each start that is not proven gone. The zone is
-   * kept since a new leader may place other tasks of the job before that machine sends it a
-   * heartbeat.
+   * stored because a new leader may place other tasks of the job before it gets a heartbeat from
+   * that machine.
    */
   placed: [number, number, string, number, string][];
 }
 
-/** An indexed run record; null if it cannot be read. */
+/** Parses an indexed run record; null if it is unreadable. */
 export function parseRun(value: unknown): RunRecord | null {
   const result = z.safeParse(run, value);
   return result.success ? result.data : null;
@@ -141,15 +144,15 @@
 });
 
 /**
- * A run record that says itself which tasks it holds. Starts of one attempt on one machine share an
- * entry, since that is how arrays are mostly placed.
+ * A run record that contains the range of its tasks. Starts of one attempt on one machine share an
+ * entry, since arrays are mostly placed that way.
  */
 export interface RangedRunRecord {
   [WRITE_ID]: string;
-  /** The tasks from `from` up to but without `to`. */
+  /** The tasks from `from` (inclusive) to `to` (exclusive). */
   from: number;
   to: number;
-  /** The highest attempt given out. */
+  /** The highest attempt number assigned so far. */
   attempt: number;
   /** Only in the record that begins with task 0. */
   gang?: GangRecord;
@@ -158,26 +161,27 @@
   placed: [string, number, string, number, number[]][];
 }
 
-/** A ranged run record; null if it cannot be read. */
+/** Parses a ranged run record; null if it is unreadable. */
 export function parseRangedRun(value: unknown): RangedRunRecord | null {
   const result = z.safeParse(rangedRun, value);
   return result.success ? result.data : null;
 }
 
 /**
- * Bytes below which hardly any task goes in a ranged record; what needs more is split when written.
+ * Bytes that nearly every task takes at least in a ranged record. A record that turns out too large
+ * is split when it is written.
  */
 const MIN_BYTES_PER_TASK = 16;
 
-/** How many tasks a new ranged record begins with. */
+/** Initial number of tasks in a new ranged record. */
 export function tasksPerRange(valueBytes: number): number {
   return Math.max(1, Math.floor(valueBytes / MIN_BYTES_PER_TASK));
 }
 
-/** Bytes that one task may take in a record: its placement, or its part of the ranges. */
+/** Bytes that one task may take in an indexed record, for its placement or its completed range. */
 const BYTES_PER_TASK = 80;
 
-/** How many tasks share one run record, so that it stays below the limit for a value. */
+/** Number of tasks per indexed run record that keeps the record below the value limit. */
 export function tasksPerRecord(valueBytes: number): number {
   return Math.max(1, Math.floor((valueBytes * 0.8) / BYTES_PER_TASK));
 }
@@ -191,10 +195,10 @@
   at: z.number(),
 });
 
-/** Machines that are being provisioned; `at` is the time of day (ms). */
+/** Machines that are being provisioned; `at` is wall-clock time (ms). */
 export type ProvisioningRecord = z.infer<typeof provisioning>;
 
-/** A provisioning record; null if it cannot be read. */
+/** Parses a provisioning record; null if it is unreadable. */
 export function parseProvisioning(value: unknown): ProvisioningRecord | null {
   const result = z.safeParse(provisioning, value);
   return result.success ? result.data : null;
--- a/src/jobs/run-layout.ts
+++ b/src/jobs/run-layout.ts
@@ -1,45 +1,46 @@
-/** Layout of a job's tasks over run records. */
+/** Distribution of a job's tasks over run records. */
 
 import { KEYS } from '../state/keys.js';
 import { UnknownSectionError } from './errors.js';
 
 /**
- * How the tasks of a job are spread over run records.
+ * How the tasks of a job are distributed over run records.
  *
- * `indexed`: every record holds the same number of tasks, which follows from the limit for a value,
- * and its key ends in its number. All versions read and write it.
+ * `indexed`: every record holds the same number of tasks, which is derived from the value limit,
+ * and its key ends in the record's index. All versions read and write this layout.
  *
- * `ranged`: a record says itself which tasks it holds, its key ends in `p` and the first of them,
- * and it can be split. A version that knows only indexed records cannot read these keys: it leaves
- * the job alone as one that may run, but believes what a superseded record says of placements and
- * may launch them again. So nothing is written this way before all controllers can read it.
+ * `ranged`: a record contains the range of its tasks, its key ends in `p` and the first task, and
+ * it can be split. A version that supports only indexed records cannot parse these keys: it places
+ * no tasks of the job, since they may be running, but it trusts the placements in superseded
+ * records and may launch them again. So ranged records are written only once all controllers can
+ * read them.
  */
 export type LayoutKind = 'indexed' | 'ranged';
 
-/** Which layout run records may have now. */
+/** Determines which layout run records may have at present. */
 export interface LayoutPolicy {
-  /** True once every controller reads ranged records. */
+  /** True once every controller can read ranged records. */
   rangesReadable(): boolean;
-  /** True once every controller knows that run records of a job that is over mean nothing. */
+  /** True once every controller ignores run records of ended jobs. */
   leftoversKnown(): boolean;
   /** True if records have to become smaller. */
   rangesWanted(): boolean;
 }
 
-/** The tasks from `from` up to but without `to`, which share one run record. */
+/** The tasks from `from` (inclusive) to `to` (exclusive), which share one run record. */
 export interface Section {
   key: string;
   from: number;
   to: number;
-  /** Version of its record; 0: there is none. */
+  /** Version of its record; 0 if there is none. */
   version: number;
-  /** Something changed that its record does not say. */
+  /** True if there are changes that are not in its record yet. */
   dirty: boolean;
-  /** Its tasks' state rests on a superseded record. */
+  /** True if the state of its tasks is still stored in a superseded record. */
   inherited: boolean;
 }
 
-/** A record in the store, by its key. */
+/** A stored run record and the tasks it covers. */
 export interface StoredSection {
   key: string;
   from: number;
@@ -48,11 +49,13 @@
 }
 
 /**
+ * Maps the tasks of a job to run records and tracks the versions of those.
+ *
  * A superseded record still holds the state of those tasks for which no ranged record has been
  * written. A reader applies the superseded records first, then the ranged ones in order of their
- * first tasks; a later one replaces what an earlier one says of the same tasks. Whoever writes
- * keeps to the matching order: where a section is split, the later half is stored before, or
- * together with, the shorter record of the earlier one.
+ * first tasks; a later record overrides an earlier one for the tasks that both cover. Writers keep
+ * to a matching order: when a section is split, the record of the later half is stored before, or
+ * together with, the shortened record of the earlier half.
  */
 export class RunLayout {
   kind: LayoutKind = 'indexed';
@@ -74,93 +77,97 @@
   }
 
   markDirty(task: number): void {
-    this.at(task).dirty = true;
+    this.sectionOfTask(task).dirty = true;
   }
 
   get dirty(): boolean {
     return this.sections.some((section) => section.dirty);
   }
 
-  /** The section of the indexed record of this number. */
-  sectionOf(index: number): Section {
+  /** Returns the section at this index; for the indexed layout, that of the record's index. */
+  sectionAt(index: number): Section {
     const section = this.sections[index];
     if (!section) throw new UnknownSectionError(this.job, index);
     return section;
   }
 
-  /** The section of one task. */
-  private at(task: number): Section {
+  /** Returns the section that contains a task, by binary search. */
+  private sectionOfTask(task: number): Section {
     let low = 0;
     let high = this.sections.length - 1;
     while (low < high) {
       const middle = (low + high + 1) >> 1;
-      if (this.sectionOf(middle).from <= task) low = middle;
+      if (this.sectionAt(middle).from <= task) low = middle;
       else high = middle - 1;
     }
-    return this.sectionOf(low);
+    return this.sectionAt(low);
   }
 
-  /** All records of the job in the store; superseded ones first, as they have to go first. */
+  /** All records of the job in the store; superseded ones first, as they must be deleted first. */
   stored(): StoredSection[] {
     return [...this.superseded, ...this.sections.filter((section) => section.version > 0)];
   }
 
-  /** Superseded records of which nothing is needed any more once `written` are stored. */
+  /** Superseded records that are no longer needed once the sections in `written` are stored. */
   removable(written: ReadonlySet<Section> = new Set()): StoredSection[] {
-    return this.superseded.filter((old) =>
+    return this.superseded.filter((record) =>
       this.sections.every(
         (section) =>
-          !overlaps(section, old) || written.has(section) || (!section.dirty && !section.inherited),
+          !overlaps(section, record) ||
+          written.has(section) ||
+          (!section.dirty && !section.inherited),
       ),
     );
   }
 
-  /** True while a background rewrite has something to do. */
+  /** True while superseded records are left for a background rewrite. */
   get hasSuperseded(): boolean {
     return this.superseded.length > 0;
   }
 
-  removed(record: StoredSection): void {
+  forgetRecord(record: StoredSection): void {
     this.superseded = this.superseded.filter((section) => section !== record);
   }
 
-  /** From now on the job's records are ranged ones of at most `perRecord` tasks. */
+  /** Switches the job to ranged records of at most `perRecord` tasks. */
   toRanged(perRecord: number, isEmpty: (from: number, to: number) => boolean): void {
-    const before = this.sections;
-    this.superseded = before.filter((section) => section.version > 0);
+    const previous = this.sections;
+    this.superseded = previous.filter((section) => section.version > 0);
     this.kind = 'ranged';
-    this.sections = this.fill([], perRecord, isEmpty);
+    this.sections = this.buildSections([], perRecord, isEmpty);
     for (const section of this.sections) {
-      section.dirty = before.some((old) => old.dirty && overlaps(section, old));
+      section.dirty = previous.some(
+        (previousSection) => previousSection.dirty && overlaps(section, previousSection),
+      );
     }
   }
 
-  /** Whether these tasks belong to the indexed record of this number, as we count. */
-  holds(index: number, tasks: Iterable<number>): boolean {
+  /** Whether all these tasks belong to the record of this index under the current value limit. */
+  containsTasks(index: number, tasks: Iterable<number>): boolean {
     const section = this.sections[index];
     if (!section) return false;
     for (const task of tasks) if (task < section.from || task >= section.to) return false;
     return true;
   }
 
-  /** Takes over ranged records that were read from the store, in the order of their first tasks. */
+  /** Restores ranged records that were read from the store, in order of their first tasks. */
   restoreRanged(
     records: StoredSection[],
     perRecord: number,
     isEmpty: (from: number, to: number) => boolean,
   ): void {
     const superseded = this.sections.filter((section) => section.version > 0);
-    this.restoreAbove(superseded, records, perRecord, isEmpty);
+    this.restoreOverriding(superseded, records, perRecord, isEmpty);
   }
 
   /**
-   * Takes over indexed records that were written for another limit of a value than today's: which
-   * tasks each of them holds is not known from its number. What they say of tasks is read all the
-   * same, but none of them may be written again, since it would lose tasks that it holds as well.
-   * So ranged records go above them, and each of them stays until those hold all that any of them
-   * says.
+   * Restores indexed records that were written under a different value limit, so that the tasks of
+   * a record cannot be derived from its index. Their contents are still valid, but none of them may
+   * be overwritten, since that would lose other tasks that it contains. Ranged records therefore
+   * override them, and every indexed record is kept until the ranged ones cover all of their
+   * contents.
    */
-  restoreForeign(
+  restoreMismatched(
     indexed: { index: number; version: number }[],
     records: StoredSection[],
     perRecord: number,
@@ -169,10 +176,10 @@
     const superseded = indexed.map(({ index, version }) => {
       return { key: KEYS.run(this.job, index), from: 0, to: this.tasks, version };
     });
-    this.restoreAbove(superseded, records, perRecord, isEmpty);
+    this.restoreOverriding(superseded, records, perRecord, isEmpty);
   }
 
-  private restoreAbove(
+  private restoreOverriding(
     superseded: StoredSection[],
     records: StoredSection[],
     perRecord: number,
@@ -180,13 +187,14 @@
   ): void {
     this.superseded = superseded;
     this.kind = 'ranged';
-    this.sections = this.fill(records, perRecord, isEmpty);
+    this.sections = this.buildSections(records, perRecord, isEmpty);
   }
 
   /**
-   * The stored records, each up to where the next begins, and new sections for tasks without one.
+   * Returns sections for the stored records, each ending where the next begins, and new sections
+   * for the tasks that have no record.
    */
-  private fill(
+  private buildSections(
     records: StoredSection[],
     perRecord: number,
     isEmpty: (from: number, to: number) => boolean,
@@ -198,8 +206,8 @@
         const from = next;
         next = Math.min(end, from + perRecord);
         const section = { key: KEYS.runRange(this.job, from), from, to: next, version: 0 };
-        const inherits = this.superseded.some((old) => overlaps(section, old));
-        // The first one holds what concerns the whole job.
+        const inherits = this.superseded.some((record) => overlaps(section, record));
+        // The first section also stores the state of the whole job, such as its gang phase.
         const inherited = inherits && (from === 0 || !isEmpty(from, next));
         sections.push({ ...section, dirty: false, inherited });
       }
@@ -213,7 +221,7 @@
     return sections;
   }
 
-  /** Halves a ranged section of more than one task; both halves have to be written. */
+  /** Splits a ranged section of more than one task in half; both halves have to be written. */
   split(section: Section): void {
     const middle = (section.from + section.to) >> 1;
     const later: Section = {
--- a/src/jobs/run-reader.ts
+++ b/src/jobs/run-reader.ts
@@ -5,13 +5,13 @@
 import type { Job, StoredRuns } from './tracked-job.js';
 import { parseRangedRun, parseRun } from './records.js';
 
-/** The run records of all jobs, and those that have no known job or cannot be read. */
+/** The run records of all jobs, and those that are unreadable or belong to no known job. */
 export interface ReadRuns {
   runs: Map<Job, StoredRuns>;
   unreadable: { id: string; key: string; version: number; job: Job | null }[];
 }
 
-/** Sorts run records by job, in both layouts. */
+/** Groups run records of both layouts by job. */
 export function readRuns(entries: Entry[], jobOf: (id: string) => Job | null): ReadRuns {
   const runs = new Map<Job, StoredRuns>();
   const unreadable: ReadRuns['unreadable'] = [];
@@ -28,16 +28,16 @@
 
 function addEntry(entry: Entry, job: Job, stored: StoredRuns): boolean {
   const { key, version, value } = entry;
-  const place = parseRunKey(key);
-  if (place?.kind === 'indexed') {
+  const parsedKey = parseRunKey(key);
+  if (parsedKey?.kind === 'indexed') {
     const record = parseRun(value);
-    if (!record || !job.layout.sections[place.number]) return false;
-    stored.indexed.push({ index: place.number, version, record });
+    if (!record || !job.layout.sections[parsedKey.number]) return false;
+    stored.indexed.push({ index: parsedKey.number, version, record });
     return true;
   }
-  if (place?.kind === 'ranged') {
+  if (parsedKey?.kind === 'ranged') {
     const record = parseRangedRun(value);
-    if (record?.from !== place.number || record.from >= record.to) return false;
+    if (record?.from !== parsedKey.number || record.from >= record.to) return false;
     if (record.from >= job.spec.tasks) return false;
     stored.ranged.push({ key, version, record });
     return true;
--- a/src/jobs/run-rewriter.ts
+++ b/src/jobs/run-rewriter.ts
@@ -8,8 +8,8 @@
 
 /**
  * Rewrites indexed run records as ranged ones in the background, one job at a time and only while
- * no other write waits. Nothing rests on its speed: a change of a job is written as ranged records
- * whether or not its indexed ones are still there, and those may be deleted under any limits.
+ * no other writes are queued. Its speed does not matter: changes of a job are written as ranged
+ * records whether or not its indexed ones still exist, and those can be deleted under any limits.
  */
 export class RunRewriter {
   constructor(
@@ -20,24 +20,24 @@
     private readonly policy: LayoutPolicy,
   ) {}
 
-  async run(everyMs: number, signal: AbortSignal): Promise<void> {
+  async run(intervalMs: number, signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
       if (this.policy.rangesReadable() && this.policy.rangesWanted())
-        await this.pass(everyMs, signal);
-      await this.runtime.clock.sleep(everyMs, signal);
+        await this.rewriteDueJobs(intervalMs, signal);
+      await this.runtime.clock.sleep(intervalMs, signal);
     }
   }
 
-  private async pass(everyMs: number, signal: AbortSignal): Promise<void> {
+  private async rewriteDueJobs(intervalMs: number, signal: AbortSignal): Promise<void> {
     const dueJobs = [...this.jobs.values()].filter((job) => isDue(job)).sort(mostUrgentFirst);
     for (const job of dueJobs) {
       while (this.store.queuedWrites > 0 && !signal.aborted) {
-        await this.runtime.clock.sleep(everyMs / 10, signal);
+        await this.runtime.clock.sleep(intervalMs / 10, signal);
       }
       if (!isDue(job)) continue;
       this.writer.rewrite(job);
       while (job.isRewriting && isDue(job) && !signal.aborted) {
-        await this.runtime.clock.sleep(everyMs / 10, signal);
+        await this.runtime.clock.sleep(intervalMs / 10, signal);
       }
       if (signal.aborted) return;
     }
@@ -46,13 +46,13 @@
   }
 }
 
-/** Some of its records are indexed ones, and something of it is still to be written. */
+/** Whether the job is open and readable and still has indexed records in the store. */
 function isDue(job: Job): boolean {
   if (job.phase !== 'open' || job.isUnreadable || job.isArchived) return false;
   return job.layout.kind === 'indexed' ? job.layout.stored().length > 0 : job.layout.hasSuperseded;
 }
 
-/** Running jobs of high priority first: they change soonest. */
+/** Orders running jobs first, then by priority: those are likely to change soonest. */
 function mostUrgentFirst(a: Job, b: Job): number {
   const running = Number(b.placements.size > 0) - Number(a.placements.size > 0);
   return running || a.spec.priority - b.spec.priority;
--- a/src/jobs/start-fence.ts
+++ b/src/jobs/start-fence.ts
@@ -1,13 +1,13 @@
-/** Further conditions of transactions that record starts. */
+/** Additional conditions for transactions that store starts. */
 
 import type { Condition } from '@leverhatch/core/store';
 
 /**
- * What transactions that start work are conditioned on beside the leader key: the record that their
- * starts were planned on. When it has changed they are planned anew.
+ * A condition, in addition to the leader key, for transactions that store starts: the version of
+ * the record on which the starts were planned. If the record has changed, they are planned again.
  */
 export interface StartFence {
   condition(): Condition;
-  /** A transaction failed on this condition; resolves once the present one is known. */
+  /** Called when a transaction failed on this condition; resolves once the new one is known. */
   conditionFailed(condition: Condition): Promise<void>;
 }
--- a/src/jobs/tracked-job.ts
+++ b/src/jobs/tracked-job.ts
@@ -12,11 +12,11 @@
 } from './gang-phase.js';
 import type { JobPhase, JobSpec } from './job.js';
 import {
-  placedByMachine,
-  placedByTask,
-  startsByMachine,
-  startsByTask,
-  tasksNamed,
+  toRangedEntries,
+  toIndexedEntries,
+  startsInRangedRecord,
+  startsInIndexedRecord,
+  mentionedTasks,
   type RecordedStart,
 } from './placed-entries.js';
 import type { PlacementStage } from './placement-stage.js';
@@ -24,7 +24,8 @@
 import { RunLayout, type Section } from './run-layout.js';
 
 /**
- * One start of one task. It holds its resources until it is proven gone; times are monotonic (ms).
+ * A placement: one start of one task on a machine. It occupies its resources until it is proven
+ * gone. Times are monotonic (ms).
  */
 export interface Placement extends RecordedStart {
   job: Job;
@@ -35,7 +36,7 @@
   stop: { graceMs: number } | null;
 }
 
-/** Everything that the store holds of one job's tasks. */
+/** All run records of one job in the store. */
 export interface StoredRuns {
   indexed: { index: number; version: number; record: RunRecord }[];
   ranged: { key: string; version: number; record: RangedRunRecord }[];
@@ -48,38 +49,36 @@
   readonly placements = new Map<number, Placement>();
   readonly gang: GangState | null;
   readonly layout: RunLayout;
-  /** Its records are being rewritten in the background. */
+  /** Its superseded records are being rewritten in the background. */
   isRewriting = false;
   private readonly done: CompletedTasks;
   readonly failures: FailureHistory;
-  /** How often each running task was stopped without a checkpoint, as far as this leader knows. */
+  /** Per running task, the number of stops without a checkpoint that this leader knows of. */
   readonly stopsWithoutCheckpoint = new Map<number, number>();
-  /** Exited starts whose exit is not in the store yet. */
+  /** Exited placements whose exit is not in the store yet. */
   unrecordedExits: Placement[] = [];
   isWriteInFlight = false;
-  /** Exits are about to be written. */
+  /** A delayed write of task exits is scheduled. */
   isExitFlushPending = false;
-  /** True once the job's own record says what `phase` says. */
+  /** True if `phase` is stored in the job record. */
   isPhaseStored = true;
-  /** A record of it cannot be read: all of its tasks count as running, and none is started. */
+  /** A record of the job is unreadable: all its tasks count as running, and none is started. */
   isUnreadable = false;
-  /** Its indexed records were written for another limit of a value, see `RunLayout`. */
+  /** Its indexed records were written under a different value limit, see `RunLayout`. */
   hasForeignLayout = false;
-  /** Its cancellation was announced to users, though its record has not been read here yet. */
+  /** Its cancellation was announced to users, but this leader has not read its record yet. */
   isCancellationAnnounced = false;
   /** Jobs that have to be done before any task of this one starts. */
   dependencies: readonly string[] = [];
-  /** Time of day since when it could start; null: it waits for other jobs. */
+  /** Wall-clock time since when it could start; null while it waits for dependencies. */
   readyAt: number | null;
-  /** Others wait for it: what keeps them is that its end is stored. */
+  /** True if other jobs depend on it: they can start only once its end is stored. */
   hasDependents = false;
-  /**
-   * The job that it needs and that was cancelled; null if it was not cancelled for another's sake.
-   */
+  /** The cancelled dependency that caused its cancellation; null if there is none. */
   cancelledBecauseOf: string | null = null;
-  /** Time of day at which its end was written as done; null until then. */
+  /** Wall-clock time at which it was stored as done; null until then. */
   doneAt: number | null = null;
-  /** True once only the compact final state is left in the store. */
+  /** True once only the compact final state remains in the store. */
   isArchived = false;
 
   constructor(
@@ -111,17 +110,17 @@
 
   get waitingCount(): number {
     if (this.phase !== 'open' || this.isCancellationAnnounced) return 0;
-    return this.spec.tasks - this.doneCount - this.placedUndone();
+    return this.spec.tasks - this.doneCount - this.placedIncompleteCount();
   }
 
-  private placedUndone(): number {
+  private placedIncompleteCount(): number {
     if (this.doneCount === 0) return this.placements.size;
     let count = 0;
     for (const task of this.placements.keys()) if (!this.isDone(task)) count++;
     return count;
   }
 
-  /** The first `limit` tasks that are neither done nor possibly on a machine. */
+  /** Returns the first `limit` tasks that are neither completed nor possibly on a machine. */
   waitingTasks(limit: number): number[] {
     const tasks: number[] = [];
     for (let task = 0; task < this.spec.tasks && tasks.length < limit; task++) {
@@ -131,7 +130,7 @@
   }
 
   /**
-   * How many tasks may be started: of a job that fails on every machine one at a time, as a trial.
+   * How many tasks may be started. A job that fails on every machine gets one at a time, as a trial.
    */
   get startableCount(): number {
     if (!this.failures.isSuspected || this.gang) return this.waitingCount;
@@ -156,22 +155,22 @@
     return this.layout.dirty;
   }
 
-  /** True if nothing of these tasks has to be in the store. */
+  /** True if there is nothing to store for these tasks: none is completed or placed. */
   private isEmpty(from: number, to: number): boolean {
     for (let task = from; task < to; task++)
       if (this.done.has(task) || this.placements.has(task)) return false;
     return true;
   }
 
-  /** From now on the job is written as ranged records. */
-  useRangedRecords(perRecord: number): void {
+  /** Switches the job to ranged records. */
+  switchToRangedRecords(perRecord: number): void {
     this.layout.toRanged(perRecord, (from, to) => this.isEmpty(from, to));
   }
 
   toRecord(
     section: Section,
     writeId: string,
-    wallOf: (monotonic: number) => number,
+    toWallClock: (monotonic: number) => number,
   ): RunRecord | RangedRunRecord {
     const { from, to } = section;
     const placements = [...this.placements.values()].filter(
@@ -179,34 +178,40 @@
     );
     const done = this.done.ranges(from, to);
     if (this.layout.kind === 'ranged') {
-      const gang = from === 0 ? this.gangRecord(wallOf) : {};
-      const placed = placedByMachine(placements);
+      const gang = from === 0 ? this.gangRecord(toWallClock) : {};
+      const placed = toRangedEntries(placements);
       return { [WRITE_ID]: writeId, from, to, attempt: this.attempt, done, placed, ...gang };
     }
-    const placed = placedByTask(placements);
-    return { [WRITE_ID]: writeId, attempt: this.attempt, done, placed, ...this.gangRecord(wallOf) };
+    const placed = toIndexedEntries(placements);
+    return {
+      [WRITE_ID]: writeId,
+      attempt: this.attempt,
+      done,
+      placed,
+      ...this.gangRecord(toWallClock),
+    };
   }
 
-  private gangRecord(wallOf: (monotonic: number) => number): { gang?: GangRecord } {
-    const record = this.gang && toGangRecord(this.gang, wallOf);
+  private gangRecord(toWallClock: (monotonic: number) => number): { gang?: GangRecord } {
+    const record = this.gang && toGangRecord(this.gang, toWallClock);
     return record ? { gang: record } : {};
   }
 
   /**
-   * Takes over what earlier leaders recorded; the caller adds the placements to their machines.
-   * Ranged records stand above indexed ones, see `RunLayout`.
+   * Restores what earlier leaders stored; the caller adds the placements to their machines. Ranged
+   * records override indexed ones, see `RunLayout`.
    */
   restore(stored: StoredRuns, perRange: number, now: number, wall: number): Placement[] {
-    const sinceWall = now - wall;
+    const wallToMonotonicMs = now - wall;
     for (const { index, version, record } of stored.indexed) {
-      this.layout.sectionOf(index).version = version;
+      this.layout.sectionAt(index).version = version;
       this.attempt = Math.max(this.attempt, record.attempt);
       this.done.addRanges(record.done);
-      if (this.gang && record.gang) restoreGang(this.gang, record.gang, now, sinceWall);
-      for (const start of startsByTask(record)) this.restorePlacement(start, now);
+      if (this.gang && record.gang) restoreGang(this.gang, record.gang, now, wallToMonotonicMs);
+      for (const start of startsInIndexedRecord(record)) this.restorePlacement(start, now);
     }
     const ranged = [...stored.ranged].sort((a, b) => a.record.from - b.record.from);
-    for (const { record } of ranged) this.restoreRange(record, now, sinceWall);
+    for (const { record } of ranged) this.restoreRange(record, now, wallToMonotonicMs);
     this.restoreLayout(stored.indexed, ranged, perRange);
     return [...this.placements.values()];
   }
@@ -224,13 +229,13 @@
     }));
     const isEmpty = (from: number, to: number): boolean => this.isEmpty(from, to);
     this.hasForeignLayout = indexed.some(
-      ({ index, record }) => !this.layout.holds(index, tasksNamed(record)),
+      ({ index, record }) => !this.layout.containsTasks(index, mentionedTasks(record)),
     );
-    if (this.hasForeignLayout) this.layout.restoreForeign(indexed, sections, perRange, isEmpty);
+    if (this.hasForeignLayout) this.layout.restoreMismatched(indexed, sections, perRange, isEmpty);
     else if (ranged.length > 0) this.layout.restoreRanged(sections, perRange, isEmpty);
   }
 
-  private restoreRange(record: RangedRunRecord, now: number, sinceWall: number): void {
+  private restoreRange(record: RangedRunRecord, now: number, wallToMonotonicMs: number): void {
     for (let task = record.from; task < record.to && task < this.spec.tasks; task++) {
       this.placements.delete(task);
       this.done.remove(task);
@@ -239,9 +244,9 @@
     this.done.addRanges(record.done);
     if (this.gang && record.from === 0) {
       requeueGang(this.gang);
-      if (record.gang) restoreGang(this.gang, record.gang, now, sinceWall);
+      if (record.gang) restoreGang(this.gang, record.gang, now, wallToMonotonicMs);
     }
-    for (const start of startsByMachine(record)) this.restorePlacement(start, now);
+    for (const start of startsInRangedRecord(record)) this.restorePlacement(start, now);
   }
 
   private restorePlacement(start: RecordedStart, now: number): void {
--- a/src/jobs/transaction-committer.ts
+++ b/src/jobs/transaction-committer.ts
@@ -1,4 +1,4 @@
-/** Commits of job transactions, with the resolution of conflicts and ambiguous results. */
+/** Commits job transactions and resolves conflicts and ambiguous results. */
 
 import type { Term } from '../election/term.js';
 import { KEYS } from '../state/keys.js';
@@ -17,15 +17,15 @@
 
 /** What the committer reports back to the writer. */
 export interface CommitEvents {
-  /** The job's own record was changed by another controller: cancelled by its user. */
+  /** Another controller changed the job record: its user cancelled the job. */
   jobChanged(job: Job, version: number, record: JobRecord): void;
-  /** The store rejects this write for good. */
+  /** The store rejected this write permanently. */
   rejected(job: Job, changes: Change[], error: RequestRejectedError): void;
-  /** A start condition no longer holds; resolves once its present version is known. */
+  /** A start condition no longer holds; resolves once the current version is known. */
   startConditionFailed(condition: Condition): Promise<void>;
 }
 
-/** Commits transactions of jobs, and finds out what became of those that failed. */
+/** Commits job transactions and determines the outcome of those that failed. */
 export class TransactionCommitter {
   constructor(
     private readonly store: Store,
@@ -33,7 +33,7 @@
     private readonly events: CommitEvents,
   ) {}
 
-  /** The revision at which it was applied; null if it was not, and the job has to try again. */
+  /** Returns the revision at which it was applied, or null if it was not and must be retried. */
   async commit(job: Job, writeId: string, transaction: JobTransaction): Promise<number | null> {
     const { conditions, changes } = transaction;
     const priority = requestPriorityOf(job, transaction);
@@ -45,16 +45,16 @@
       return applied;
     } catch (error) {
       if (!(error instanceof RequestRejectedError)) throw error;
-      // A copy of it that got no answer may have been applied before the limits fell.
+      // An earlier attempt without a response may have been applied before the limits fell.
       const applied = error.ambiguous ? await this.appliedAt(changes, writeId) : null;
       if (applied === null) this.events.rejected(job, changes, error);
       return applied;
     }
   }
 
-  /** The version of our own write, if an unanswered copy of it was applied after all. */
+  /** Returns the version of this write if an attempt without a response was applied, else null. */
   private async appliedAt(changes: Change[], writeId: string): Promise<number | null> {
-    // All keys of a transaction change together, so that one tells of all.
+    // A transaction is atomic, so it is enough to check one of its keys.
     const put = changes.find((change) => 'put' in change) ?? null;
     if (!put || !('put' in put)) return null;
     const entry = await this.store.readWithRetry(put.put, this.term.signal);
@@ -73,22 +73,32 @@
       this.events.jobChanged(job, entry.version, record);
       return;
     }
-    const fenced = transaction.startConditions.filter(({ key }) => failed.includes(key));
-    for (const condition of fenced) await this.events.startConditionFailed(condition);
-    const others = failed.filter((key) => !fenced.some((condition) => condition.key === key));
-    for (const key of others) await this.reconcile(job, transaction, key);
+    const failedStartConditions = transaction.startConditions.filter(({ key }) =>
+      failed.includes(key),
+    );
+    for (const condition of failedStartConditions)
+      await this.events.startConditionFailed(condition);
+    const otherKeys = failed.filter(
+      (key) => !failedStartConditions.some((condition) => condition.key === key),
+    );
+    for (const key of otherKeys) await this.adoptStoredVersion(job, transaction, key);
   }
 
   /**
-   * A run record has another version than we know. Under the leader key only our own writes can
-   * have changed it: one without an answer that was then given up, since a repeat was rejected.
+   * Adopts the stored version of a run record that differs from the tracked one. While the leader
+   * key is held, only a write of this leader can have changed it: one without a response that was
+   * abandoned because its retry was rejected.
    */
-  private async reconcile(job: Job, transaction: JobTransaction, key: string): Promise<void> {
+  private async adoptStoredVersion(
+    job: Job,
+    transaction: JobTransaction,
+    key: string,
+  ): Promise<void> {
     const entry = await this.store.readWithRetry(key, this.term.signal);
-    const removed = [...transaction.removed, ...transaction.leftovers].find(
+    const deleted = [...transaction.deletedRecords, ...transaction.leftovers].find(
       (section) => section.key === key,
     );
-    if (removed && !entry) return recordRemoved(job, removed);
+    if (deleted && !entry) return markRecordDeleted(job, deleted);
     const known = job.layout.stored().find((section) => section.key === key);
     const section = known ?? job.layout.sections.find((section) => section.key === key);
     const storedWriteId = writeIdOf(entry?.value);
@@ -104,24 +114,25 @@
   }
 }
 
-/** The write id that a stored value carries, if it is a record. */
+/** Returns the write id of a stored value, if it is a record. */
 const writeIdOf = (value: unknown): unknown =>
   (value as Partial<Record<typeof WRITE_ID, unknown>> | undefined)?.[WRITE_ID];
 
-/** A record of the job is no longer in the store. */
-export function recordRemoved(job: Job, record: StoredSection): void {
+/** Updates the tracked state after a run record was deleted from the store. */
+export function markRecordDeleted(job: Job, record: StoredSection): void {
   record.version = 0;
-  job.layout.removed(record);
+  job.layout.forgetRecord(record);
 }
 
 /**
- * Tasks of an array are of use one by one; services and gangs wait for each of theirs. The end of
- * a job that others wait for holds up all their tasks, until it is stored. What was cancelled with
- * another job is known to be cancelled already, and no task of it runs: hundreds of such records
- * must not stand before anybody's starts.
+ * Priority of a job's transaction in the queue of writes. Services and gangs come before arrays,
+ * because they need all their tasks, whereas each task of an array is useful on its own. The end of
+ * a job with dependents blocks all their tasks until it is stored. The cancellation of a dependent
+ * is already in effect before it is written, and none of its tasks runs: hundreds of such records
+ * must not delay the starts of other jobs.
  */
 function requestPriorityOf(job: Job, transaction: JobTransaction): RequestPriority {
-  if (transaction.background) return RequestPriority.Normal;
+  if (transaction.isBackground) return RequestPriority.Normal;
   if (job.phase === 'open')
     return job.spec.kind === 'array' ? RequestPriority.Normal : RequestPriority.High;
   if (job.cancelledBecauseOf !== null) return RequestPriority.Background;
--- a/src/jobs/user-requests.ts
+++ b/src/jobs/user-requests.ts
@@ -1,71 +1,71 @@
-/** Store requests on behalf of users: hedged, and bounded by their timeouts. */
+/** Store requests on behalf of users: hedged and bounded by timeouts. */
 
 import { RequestPriority } from '@leverhatch/core/store';
 import { NoResponseError } from '../http/client.js';
 import type { Clock } from '@leverhatch/core/clock';
 import type { Change, Condition, Store } from '../state/store.js';
 
-/** Fraction of the query timeout after which a request without an answer is sent again. */
+/** Fraction of the query timeout after which a request without a response is sent again. */
 export const HEDGE_RATIO = 0.25;
 
-/** More writes wait for the store's rate than a user should wait for. */
+/** The queue for the store's rate limit is longer than a user request may wait. */
 export class OverloadedError extends Error {
   constructor(readonly delayMs: number) {
-    super(`the queue of writes is ${Math.round(delayMs)} ms long`);
+    super(`request would queue for ${Math.round(delayMs)} ms`);
   }
 }
 
-/** How long users' requests to the store may take. */
+/** Timeouts of store requests on behalf of users. */
 export interface RequestTimeouts {
-  /** How long a transaction may queue for the store's rate before its user is sent away. */
+  /** How long a transaction may queue for the store's rate limit before it is rejected. */
   maxQueueMs: number;
-  /** After how long without an answer a request is sent a second time. */
+  /** Time without a response after which a request is sent a second time. */
   hedgeMs: number;
 }
 
 /**
- * A user's request to the store, sent a second time if it has no answer after `afterMs`, or gets
- * none at all; whichever copy is answered first counts. A lost answer leaves open what became of a
- * transaction: the second copy has the same conditions, so that it tells, or carries it out. A
- * rejection, for an outage or for the rate, is passed on at once: the user learns when to come back
- * instead of being held.
+ * Hedges a store request on behalf of a user: sends it a second time if there is no response after
+ * `hedgeAfterMs`, or if the first attempt ended without one, and uses the first response. After a
+ * lost response it is unknown whether a transaction was applied; the second attempt has the same
+ * conditions, so it either shows that or applies it. A rejection because of an outage or the rate
+ * limit is passed on immediately, so that the user learns when to retry instead of waiting.
  */
 export async function hedged<T>(
   clock: Clock,
-  afterMs: number,
+  hedgeAfterMs: number,
   request: () => Promise<T>,
   signal?: AbortSignal,
 ): Promise<T> {
   const first = request();
-  const answered = new AbortController();
-  const timeout = clock.sleep(afterMs, answered.signal).then(() => LATE);
+  const timeoutControl = new AbortController();
+  const timeout = clock.sleep(hedgeAfterMs, timeoutControl.signal).then(() => TIMED_OUT);
   try {
     const outcome = await Promise.race([first, timeout]);
-    if (outcome !== LATE) return outcome as T;
+    if (outcome !== TIMED_OUT) return outcome as T;
   } catch (error) {
     signal?.throwIfAborted();
     if (!(error instanceof NoResponseError)) throw error;
     return request();
   } finally {
-    answered.abort();
+    timeoutControl.abort();
   }
   signal?.throwIfAborted();
   return firstSuccess(first, request());
 }
 
-const LATE = Symbol('late');
+const TIMED_OUT = Symbol('timed out');
 
-/** The first success; if both fail, the first failure. */
+/** Returns the first success; if both fail, throws the error of `first`. */
 async function firstSuccess<T>(first: Promise<T>, second: Promise<T>): Promise<T> {
   try {
     return await Promise.any([first, second]);
   } catch {
-    // Both copies failed: the caller gets the reason of the first.
+    // Both attempts failed: report the error of the first.
     return first;
   }
 }
 
-/** Writes a user's transaction, unless more writes wait than the user should wait for. */
+/** Commits a transaction for a user unless the queue of writes is too long. */
 export async function commitForUser(
   store: Store,
   clock: Clock,
@@ -77,11 +77,11 @@
   store.assertResponsive();
   const delayMs = store.writeDelayMs(changes.length, RequestPriority.Critical);
   if (delayMs > timeouts.maxQueueMs) throw new OverloadedError(delayMs);
-  // What still queues here is not without an answer yet.
-  const afterMs = timeouts.hedgeMs + delayMs;
+  // Time in the local queue does not count as time without a response.
+  const hedgeAfterMs = timeouts.hedgeMs + delayMs;
   return hedged(
     clock,
-    afterMs,
+    hedgeAfterMs,
     () => store.tryCommit(conditions, changes, RequestPriority.Critical, signal),
     signal,
   );
--- a/src/jobs/version-checker.ts
+++ b/src/jobs/version-checker.ts
@@ -7,45 +7,42 @@
 import { HEDGE_RATIO, hedged, OverloadedError } from './user-requests.js';
 
 interface Waiter {
-  /** Aborted once the query's timeout is over: nobody waits for its answer any more. */
+  /** Aborted when the query times out: its result is no longer needed. */
   signal: AbortSignal | null;
   resolve(job: JobState | null): void;
   reject(reason: unknown): void;
 }
 
-/** A job and all who wait for its state. */
+/** A job and all queries that wait for its state. */
 type PendingCheck = [string, Waiter[]];
 
-/** A job as it was read, that it was never accepted, or why its record could not be taken in. */
+/** The state read for a job; null if it was never accepted; an error if it could not be read. */
 export type ReadState = JobState | null | Error;
 
-/** The cache that is checked against the store. */
+/** Access to the cache that is checked against the store. */
 export interface CacheReader {
-  /** What is cached of a job. */
+  /** Returns the cached state of a job. */
   cached(id: string): JobState | null;
-  /** Reads jobs from the store; each state is from some time after the call. */
+  /** Reads jobs from the store and caches them; each state is from some time after the call. */
   read(ids: readonly string[], requestClass: RequestClass): Promise<Map<string, ReadState>>;
 }
 
-/**
- * Into how many batch windows the query timeout is divided; queries of one window share a version
- * check.
- */
+/** Number of batch windows per query timeout; queries in one window share a version check. */
 const BATCH_WINDOWS_PER_QUERY = 16;
 
-/** How many version checks are in flight at once. */
+/** Maximum number of version checks in flight. */
 const CONCURRENT_CHECKS = 4;
 
-/** Fraction of the query timeout for which a query may queue; beyond it its user is sent away. */
+/** Fraction of the query timeout for which a query may queue before it is rejected. */
 const MAX_QUEUED_RATIO = 0.5;
 
-/** The same for an overdue job, see `QueryAdmission.isOverdue`. */
+/** The same for a query about an overdue job, see `QueryAdmission.isOverdue`. */
 const MAX_OVERDUE_QUEUED_RATIO = 0.75;
 
 /**
- * Queries about jobs that wait for a version check. One check serves all queries that wait when it
- * begins. Users' queries and what submissions, cancellations and workers wait
- * for have a queue each, so that a storm of the former holds up none of the latter.
+ * Batches version checks of jobs. One check serves all queries that are waiting when it begins.
+ * User queries have an instance of their own, separate from the one for submissions, cancellations
+ * and workers, so that a storm of user queries does not delay those.
  */
 export class VersionChecker {
   private pending = new Map<string, Waiter[]>();
@@ -59,12 +56,12 @@
     private readonly cache: CacheReader,
   ) {}
 
-  /** More jobs than this cost fewer requests as pages of records. */
+  /** Reading pages of records takes fewer requests than checking more jobs than this. */
   get maxJobsAtOnce(): number {
     return this.maxConditions * CONCURRENT_CHECKS;
   }
 
-  /** The state as stored at some time after this call, whatever becomes of the jobs before it. */
+  /** Returns the state as stored at some time after this call, without regard to dependencies. */
   async check(id: string, signal: AbortSignal | null, overdue = false): Promise<JobState | null> {
     this.store.assertResponsive();
     const delayMs = this.requestClass === 'question' && !this.pending.has(id) ? this.delayMs : 0;
@@ -76,9 +73,9 @@
     });
   }
 
-  /** How many jobs one version check takes. */
+  /** Maximum number of jobs in one version check. */
   get maxConditions(): number {
-    // Looked up each time: a rejection of the last version check may have lowered it.
+    // Not cached: a rejection of the previous version check may have lowered the limit.
     return this.store.limits.comparedKeys.current;
   }
 
@@ -89,16 +86,16 @@
   }
 
   private enqueue(id: string, waiters: Waiter[]): void {
-    const before = this.pending.get(id);
-    // Copied, a list that thousands wait in would cost more than all their answers.
-    if (before) for (const waiter of waiters) before.push(waiter);
+    const existing = this.pending.get(id);
+    // Appended in place: copying a list of thousands of waiters for each new one is too expensive.
+    if (existing) for (const waiter of waiters) existing.push(waiter);
     else this.pending.set(id, waiters);
   }
 
   private async checkAll(): Promise<void> {
     this.isChecking = true;
     while (this.pending.size > 0) {
-      // Users can wait this long, and a version check of one job costs as much as one of many.
+      // This delay is acceptable to users, and checking one job costs as much as checking many.
       await this.clock.sleep(this.pollMs / BATCH_WINDOWS_PER_QUERY);
       this.dropAbandoned();
       const due = [...this.pending].slice(0, this.maxJobsAtOnce);
@@ -111,7 +108,7 @@
     this.isChecking = false;
   }
 
-  /** What nobody waits for any more costs the store nothing. */
+  /** Drops queries that have timed out, so that they cause no store requests. */
   private dropAbandoned(): void {
     for (const [id, waiters] of this.pending) {
       const waiting = waiters.filter((waiter) => !waiter.signal?.aborted);
@@ -120,7 +117,7 @@
     }
   }
 
-  /** Answers the queries of a batch; those whose jobs have changed are left to be read. */
+  /** Answers the queries of a batch; returns those whose jobs have changed and must be read. */
   private async checkOrReject(batch: PendingCheck[]): Promise<PendingCheck[]> {
     try {
       return await this.checkBatch(batch);
@@ -129,17 +126,17 @@
         this.splitBatch(batch);
         return [];
       }
-      // The user learns at once that there is no answer now, and when to come back: held until
-      // the store serves again, queries would pile up and come late all the same.
+      // Fail immediately, so that users learn when to retry. If queries were held until the store
+      // is available again, they would pile up and still be answered late.
       rejectAll(batch, error);
       return [];
     }
   }
 
   /**
-   * The store takes fewer conditions than this version check had. Its limit may have fallen without
-   * any announcement; if it were rejected for good, jobs that are queried together would look
-   * forgotten.
+   * Queues a batch again in smaller parts after the store rejected it as too large. The store's
+   * limit may have been reduced without an announcement; if the queries failed for good, jobs that
+   * are queried together would never be answered and would count as forgotten.
    */
   private splitBatch(batch: PendingCheck[]): void {
     this.store.limits.comparedKeys.reduceBelow(batch.length);
@@ -152,32 +149,34 @@
       key: KEYS.job(id),
       version: job?.version ?? 0,
     }));
-    const failed = new Set(await this.differing(conditions));
+    const failed = new Set(await this.differingKeys(conditions));
     const changed = batch.filter(([id]) => failed.has(KEYS.job(id)));
     for (const [id, waiters] of batch) {
       if (failed.has(KEYS.job(id))) continue;
       const job = checked.get(id) ?? null;
-      // Of a failed version check only the keys it names are known to differ; nothing is concluded
-      // about the others.
+      // A failed version check only shows that the keys it names differ; the others are unknown.
       if (failed.size > 0) this.enqueue(id, waiters);
-      // What was checked is the answer also if the job has been dropped from memory since then:
-      // an accepted job must never look as if it were unknown.
+      // The checked state is the answer even if the job has been evicted since: an accepted job
+      // must never be reported as unknown.
       else for (const waiter of waiters) waiter.resolve(this.cache.cached(id) ?? job);
     }
     return changed;
   }
 
-  /** Where one answer is lost, all queries that share the version check would wait for it. */
-  private differing(conditions: Condition[]): Promise<string[]> {
-    // What still queues here is not without an answer yet.
+  /**
+   * Returns the keys whose versions differ. The request is hedged, because all queries that share
+   * the version check would wait for a lost response.
+   */
+  private differingKeys(conditions: Condition[]): Promise<string[]> {
+    // Time in the local queue does not count as time without a response.
     const queuedMs = this.requestClass === 'question' ? this.store.queryDelayMs(1) : 0;
-    const afterMs = this.pollMs * HEDGE_RATIO + queuedMs;
-    return hedged(this.clock, afterMs, () =>
+    const hedgeAfterMs = this.pollMs * HEDGE_RATIO + queuedMs;
+    return hedged(this.clock, hedgeAfterMs, () =>
       this.store.compareVersions(conditions, this.requestClass),
     );
   }
 
-  /** One job that cannot be read now leaves the other answers of its version check alone. */
+  /** Answers queries about changed jobs; a job that cannot be read does not affect the others. */
   private async readChanged(changed: Map<string, Waiter[]>): Promise<void> {
     if (changed.size === 0) return;
     let read: Map<string, ReadState>;
--- a/src/jobs/write-rejections.ts
+++ b/src/jobs/write-rejections.ts
@@ -4,38 +4,36 @@
 import type { Job } from './tracked-job.js';
 
 /**
- * A rejected write of a job is tried again after this fraction of the time for which exits wait,
- * doubled with every rejection up to that time.
+ * A rejected write is retried first after this fraction of the maximum delay, which is the batch
+ * delay of task exits; the delay doubles with every further rejection.
  */
-const FIRST_RETRY_RATIO = 1 / 50;
+const FIRST_DELAY_RATIO = 1 / 50;
 
-/** How often a transaction is made half as large before it is left at that. */
+/** Maximum number of times that each limit of a job's transactions is halved. */
 const MAX_HALVINGS = 3;
 
-/** How much of the limit for a value is used: the store may count some more bytes than we do. */
+/** Fraction of the value limit that is used, since the store may count a few more bytes. */
 const VALUE_FILL_RATIO = 0.9;
 
-/** A write of one job that the store rejected for good: too large, say. */
+/** State of a job whose last write the store rejected, for example because it was too large. */
 interface Rejection {
-  /** How long the job waits after the next one. */
-  nextWaitMs: number;
-  /** How many times its transactions have been given half as many changes. */
+  /** Retry delay after the next rejection. */
+  nextRetryDelayMs: number;
+  /** How often the maximum number of changes per transaction has been halved. */
   halvedOps: number;
-  /** How many times its values have been made half as large; only ranged records can be. */
+  /** How often the value limit has been halved; only ranged records can be made smaller. */
   halvedBytes: number;
-  /** No write of the job is tried before this time. */
+  /** Monotonic time (ms) before which no write of the job is tried. */
   until: number;
 }
 
-/**
- * Which jobs the store has rejected a write of, when each is tried again, and how large it may be.
- */
+/** Tracks the jobs with rejected writes: when each is retried and how large its writes may be. */
 export class WriteRejections {
   private readonly byJob = new WeakMap<Job, Rejection>();
 
   constructor(
     private readonly limits: StoreLimits,
-    private readonly longestWaitMs: number,
+    private readonly maxRetryDelayMs: number,
   ) {}
 
   has(job: Job): boolean {
@@ -47,28 +45,29 @@
     return this.byJob.get(job)?.until ?? 0;
   }
 
-  /** Notes that a write of the job was rejected; returns how long it waits, in milliseconds. */
+  /** Notes that a write of the job was rejected; returns the delay before its retry (ms). */
   add(job: Job, now: number): number {
-    const before = this.byJob.get(job);
-    const waitMs = before?.nextWaitMs ?? this.firstRetryMs;
-    const half = (times: number): number => Math.min(times + 1, MAX_HALVINGS);
+    const previous = this.byJob.get(job);
+    const retryDelayMs = previous?.nextRetryDelayMs ?? this.firstRetryDelayMs;
+    const oneMoreHalving = (times: number): number => Math.min(times + 1, MAX_HALVINGS);
     this.byJob.set(job, {
-      nextWaitMs: Math.min(waitMs * 2, this.longestWaitMs),
-      // The first rejection may mean no more than that the announced limits hold by now.
-      halvedOps: before ? half(before.halvedOps) : 0,
-      halvedBytes: before && job.layout.kind === 'ranged' ? half(before.halvedBytes) : 0,
-      until: now + waitMs,
+      nextRetryDelayMs: Math.min(retryDelayMs * 2, this.maxRetryDelayMs),
+      // The first rejection may only mean that the announced limits have come into force.
+      halvedOps: previous ? oneMoreHalving(previous.halvedOps) : 0,
+      halvedBytes:
+        previous && job.layout.kind === 'ranged' ? oneMoreHalving(previous.halvedBytes) : 0,
+      until: now + retryDelayMs,
     });
-    return waitMs;
+    return retryDelayMs;
   }
 
-  /** What was rejected has another form now, and may be tried again soon. */
+  /** Resets the retry delay: the job's writes have another layout now and may be accepted. */
   layoutChanged(job: Job): void {
     const rejection = this.byJob.get(job);
-    if (rejection) rejection.nextWaitMs = this.firstRetryMs;
+    if (rejection) rejection.nextRetryDelayMs = this.firstRetryDelayMs;
   }
 
-  /** Limits for one job's transaction: smaller ones after the store has rejected one. */
+  /** Returns the limits for a job's transactions, which are reduced after rejections. */
   limitsFor(job: Job): { valueBytes: number; txnOps: number } {
     const { valueBytes, txnOps } = this.limits.effective();
     const rejection = this.byJob.get(job);
@@ -78,7 +77,7 @@
     };
   }
 
-  private get firstRetryMs(): number {
-    return this.longestWaitMs * FIRST_RETRY_RATIO;
+  private get firstRetryDelayMs(): number {
+    return this.maxRetryDelayMs * FIRST_DELAY_RATIO;
   }
 }
