--- a/src/election/leader-election.ts
+++ b/src/election/leader-election.ts
@@ -1,6 +1,6 @@
 /**
- * Leader election: campaigns for the leader key of the store, keeps it by renewing the leader lease, and
- * gives it up when others can lead better.
+ * Leader election: campaigns for the leader key in the store, holds it by renewing the leader
+ * lease, and resigns when another controller is better placed to lead.
  */
 import { RequestPriority } from '@leverhatch/core/store';
 import { setMaxListeners } from 'node:events';
@@ -22,50 +22,68 @@
 import type { SuccessorPolicy } from './successor-policy.js';
 import { Term } from './term.js';
 
-/** How long a vote extends a term, as a share of the leader lease. */
-const EXTENSION_RATIO = 0.45;
-/** How long past its expiry a leader whose renewals are unanswered goes on, as a share of its lease. */
-const EXPIRED_WAIT_RATIO = 0.5;
-/** For how many leader leases a controller that resigned does not campaign. */
+/** How long a granted vote extends a term, as a share of the leader lease. */
+const VOTE_EXTENSION_RATIO = 0.45;
+/**
+ * How long after its term has expired a leader keeps renewing while the store does not answer, as a
+ * share of the leader lease.
+ */
+const MAX_EXPIRED_RENEWAL_RATIO = 0.5;
+/** How many leader leases a controller waits after resigning before it campaigns again. */
 const RESIGN_BACKOFF_LEASES = 3;
-/** The same where no other controller is heard: enough for one that does watch the key to take it. */
-const LONE_RESIGN_BACKOFF_LEASES = 0.25;
+/**
+ * The same if no other controller is reachable over the peer connections: long enough for one that
+ * watches the leader key in the store to acquire it.
+ */
+const NO_PEERS_RESIGN_BACKOFF_LEASES = 0.25;
 
-/** How often the leader lease is renewed within its duration. */
+/** Number of renewals per lease duration. */
 const RENEWALS_PER_LEASE = 5;
-/** How often renewal is tried within an extension while it fails. */
+/** Number of renewal attempts per vote extension while renewals fail. */
 const RETRIES_PER_EXTENSION = 4;
-/** Unanswered renewals in a row that count; a single one may be due to a stall of this process. */
+/**
+ * Consecutive unanswered renewals after which the store counts as unresponsive; a single one may be
+ * caused by a pause of this process.
+ */
 const MIN_UNANSWERED_RENEWALS = 2;
-/** Tries within a leader lease to read the leader key while the store does not serve. */
+/** Number of attempts per lease duration to read the leader key while the store is unavailable. */
 const READ_RETRIES_PER_LEASE = 16;
-/** Tries within a leader lease to create the leader key, and to have others confirm their promises. */
+/**
+ * Number of attempts per lease duration to create the leader key, and to have the peers confirm
+ * that no promise is in force.
+ */
 const CAMPAIGN_RETRIES_PER_LEASE = 20;
-/** Looks within a leader lease at whether the campaign is still blocked. */
-const BLOCK_CHECKS_PER_LEASE = 10;
+/** Number of checks per lease duration whether campaigning is still blocked. */
+const CAMPAIGN_BLOCK_CHECKS_PER_LEASE = 10;
 
-/** The unit of the delay before a campaign is the leader lease divided by this. */
+/** Campaign delays are counted in units of the leader lease divided by this. */
 const CAMPAIGN_DELAY_UNITS_PER_LEASE = 10;
-/** Units of delay where a controller that started later could lead. */
-const YOUNGER_PEER_DELAY = 1;
-/** Units of delay where this controller has no backup in time and another has. */
-const NO_BACKUP_DELAY = 2;
-/** Units of delay where the same holds for workers of other zones alone. */
-const NO_ZONE_BACKUP_DELAY = 0.7;
-
-/** Timers fire in steps of one or a few milliseconds. */
+/** Delay if a controller that started later could lead. */
+const YOUNGER_PEER_DELAY_UNITS = 1;
+/**
+ * Delay if workers of this controller could not fail over within their lease, but workers of
+ * another controller could.
+ */
+const NO_BACKUP_DELAY_UNITS = 2;
+/** The same if it applies only to workers of other zones during a partition between zones. */
+const NO_ZONE_BACKUP_DELAY_UNITS = 0.7;
+
+/** Safety margin for timers, which fire with a resolution of one or a few milliseconds. */
 const TIMER_RESOLUTION_MS = 10;
 
 /** The stored value of the leader key. */
 const leaderValue = z.object({ term: z.string(), member: z.string() });
 type LeaderValue = z.infer<typeof leaderValue>;
 
-/** Whether this controller leads and, if not, whom it last knew as leader and by which fencing token. */
+/**
+ * Whether this controller is the leader; for a follower also the last known leader and its fencing
+ * token.
+ */
 export type Role =
   | { kind: 'leader'; term: Term }
   | { kind: 'follower'; leader: string | null; fencingToken: number };
 
-/** How the renewals of the current leader lease fare. */
+/** Tracks the outcome of recent renewals of the leader lease. */
 class RenewalHealth {
   private unansweredInARow = 0;
   private failing = false;
@@ -74,7 +92,10 @@
     return this.failing;
   }
 
-  /** An unanswered request may have been carried out; a refused one was not. */
+  /**
+   * Whether the store leaves renewals unanswered. An unanswered request may have been applied; a
+   * rejected one was not.
+   */
   get isUnanswered(): boolean {
     return this.unansweredInARow >= MIN_UNANSWERED_RENEWALS;
   }
@@ -90,32 +111,32 @@
   }
 }
 
-/** What an election rests on. */
+/** Dependencies and settings of the leader election. */
 export interface LeaderElectionOptions {
   store: Store;
   peerTransport: PeerTransport;
   runtime: Runtime;
   /** The name of this controller. */
   member: string;
-  /** How long the leader lease lasts, in milliseconds. */
+  /** Duration of the leader lease, in milliseconds. */
   leaderLeaseMs: number;
   successorPolicy: SuccessorPolicy;
-  /** Whether a controller is known to understand requests for reinstatement. */
+  /** Whether a peer is known to support reinstatement requests. */
   supportsReinstatement(peer: string): boolean;
 }
 
-/** Holds the leader key or campaigns for it, for as long as it runs. */
+/** Campaigns for the leader key and renews its lease while this controller holds it. */
 export class LeaderElection {
   readonly role = new BehaviorSubject<Role>({ kind: 'follower', leader: null, fencingToken: 0 });
 
   private readonly extensionVote: LeaseExtensionVote;
-  /** A campaign is under way, or its write may still be carried out by the store. */
+  /** True from the campaign's first write until the store has given a definite answer. */
   private isCampaigning = false;
-  /** Monotonic, in milliseconds. */
+  /** Earliest time of the next campaign; monotonic, in milliseconds. */
   private campaignNotBefore = 0;
   /**
-   * The version at which this process last read the leader key from the store; null once it has
-   * campaigned after that. While it is set, no term of this process can be newer.
+   * Version of the leader key when this process last read it from the store; null if it has
+   * campaigned since. While it is set, no term of this process can have a newer fencing token.
    */
   private lastReadToken: number | null = null;
 
@@ -141,7 +162,7 @@
     });
   }
 
-  /** Takes part in elections until the signal aborts. */
+  /** Runs the election loop until the signal aborts. */
   async run(signal: AbortSignal): Promise<void> {
     const { clock, random, log } = this.runtime;
     const subscription = this.extensionVote.listen();
@@ -168,7 +189,7 @@
     }
   }
 
-  /** Returns once the leader key is gone. */
+  /** Follows the current leader; returns once the leader key has been deleted. */
   private async watchLeaderKey(entry: Entry, signal: AbortSignal): Promise<void> {
     let current: Entry | null = entry;
     let revision = entry.version;
@@ -202,15 +223,15 @@
   private becomeFollower(entry: Entry): void {
     const value = z.parse(leaderValue, entry.value);
     this.lastReadToken = entry.version;
-    const before = this.role.value;
-    if (before.kind === 'follower' && before.fencingToken === entry.version) return;
+    const previousRole = this.role.value;
+    if (previousRole.kind === 'follower' && previousRole.fencingToken === entry.version) return;
     this.role.next({ kind: 'follower', leader: value.member, fencingToken: entry.version });
   }
 
   /**
-   * Waits while this controller has promised not to campaign. One that has just started may have
-   * promised so before it was restarted: it waits as long as any promise lasts, or until all others
-   * confirm that none is in force.
+   * Waits while this controller has promised not to campaign. A process that has just started may
+   * have made a promise before its restart, so it waits for the maximum duration of a promise, or
+   * until all peers confirm that none is in force. Also waits out the backoff after a resignation.
    */
   private async waitForPromises(signal: AbortSignal): Promise<void> {
     const { clock } = this.runtime;
@@ -225,41 +246,50 @@
         this.campaignNotBefore - clock.now(),
       );
       if (waitMs <= 0 || signal.aborted) return;
-      await clock.sleep(Math.min(waitMs, this.leaderLeaseMs / BLOCK_CHECKS_PER_LEASE), signal);
+      await clock.sleep(
+        Math.min(waitMs, this.leaderLeaseMs / CAMPAIGN_BLOCK_CHECKS_PER_LEASE),
+        signal,
+      );
     }
   }
 
   /**
-   * Gives better placed controllers a head start. In a rolling restart every controller would end a
-   * term if chance chose the next leader, whereas one that has been restarted already is the last to
-   * be restarted again: whoever knows of a younger process waits. It waits longer if its workers,
-   * should it become unresponsive, would lose their leases before they found a responsive controller;
-   * and less long if only those of other zones would, should the zones be cut off from each other.
+   * Gives better placed controllers a head start:
+   * - A controller that knows of a younger process waits. During a rolling restart a random choice
+   *   of the next leader could cause a change of leader at every restart, whereas a controller that
+   *   has already been restarted is the last to be restarted again.
+   * - It waits longer if its workers would lose their leases before they reached a responsive
+   *   controller, should this one become unresponsive.
+   * - It waits a shorter time if only workers of other zones would, should the zones be partitioned
+   *   from each other.
    */
   private async delayCampaign(signal: AbortSignal): Promise<void> {
     const { clock, startedAt } = this.runtime;
     const role = this.role.value;
     const lastLeader = role.kind === 'follower' ? role.leader : null;
-    const isYoungerKnown = this.peerTransport.peers.some(
+    const hasYoungerPeer = this.peerTransport.peers.some(
       (peer) =>
         peer !== lastLeader &&
         (this.peerTransport.startedAt(peer) ?? -Infinity) > startedAt + this.leaderLeaseMs,
     );
     const units =
-      YOUNGER_PEER_DELAY * Number(isYoungerKnown) +
-      NO_BACKUP_DELAY * Number(this.successorPolicy.shouldYield(lastLeader)) +
-      NO_ZONE_BACKUP_DELAY * Number(this.successorPolicy.shouldYieldAcrossZones(lastLeader));
+      YOUNGER_PEER_DELAY_UNITS * Number(hasYoungerPeer) +
+      NO_BACKUP_DELAY_UNITS * Number(this.successorPolicy.shouldYield(lastLeader)) +
+      NO_ZONE_BACKUP_DELAY_UNITS * Number(this.successorPolicy.shouldYieldAcrossZones(lastLeader));
     if (units === 0) return;
     await clock.sleep((units * this.leaderLeaseMs) / CAMPAIGN_DELAY_UNITS_PER_LEASE, signal);
   }
 
-  /** The new term and the id of its lease; null if another controller won or this one must not. */
+  /**
+   * Tries to create the leader key. Returns the new term and the id of its lease, or null if
+   * another controller won or this one has promised not to campaign.
+   */
   private async campaign(signal: AbortSignal): Promise<{ term: Term; lease: number } | null> {
     const { clock, random } = this.runtime;
     const value = { term: random.unique(), member: this.member };
     const sentAt = clock.now();
     const lease = await this.store.grantLease(this.leaderLeaseMs, signal);
-    // Until the store's definite answer this controller must not promise to abstain: see `mayBeLeader`.
+    // From here until the store's definite answer no promise may be made: see `mayBeLeader`.
     if (this.extensionVote.campaignBlockedForMs > 0) return null;
     this.isCampaigning = true;
     this.lastReadToken = null;
@@ -275,7 +305,10 @@
     return null;
   }
 
-  /** The leader key's version if it is now ours; null if it certainly is not. */
+  /**
+   * Returns the version of the leader key if this controller has created it, or null if it
+   * certainly has not.
+   */
   private async createLeaderKey(
     value: LeaderValue,
     lease: number,
@@ -299,7 +332,7 @@
       } catch (error) {
         if (error instanceof LeaseNotFoundError) return null;
         if (error instanceof NoResponseError) ambiguous = true;
-        // A refused write was not applied; one without an answer still may be.
+        // A rejected write was not applied; an unanswered one may still be applied later.
         else if (!ambiguous) return null;
       }
       await this.runtime.clock.sleep(jitter(this.campaignRetryMs, this.runtime.random), signal);
@@ -311,18 +344,21 @@
       await this.store.get(KEYS.leader, RequestPriority.Critical);
       return true;
     } catch {
-      // Whatever the cause, the store cannot renew a lease for this controller now.
+      // Whatever the error, this controller could not renew a lease at the store now.
       return false;
     }
   }
 
   /**
-   * Resigns because others can serve better, and lets them campaign first. A reachable successor does
-   * so at once; if no other controller is heard there may be none, and without a leader every worker
-   * that comes here would be turned away.
+   * Ends the term because another controller is better placed to lead, and waits before campaigning
+   * again. A reachable successor campaigns at once. If no peer is reachable there may be no
+   * successor, and the wait is short: without a leader, every worker that contacts this controller
+   * is rejected.
    */
   resign(term: Term, isSuccessorReachable: boolean): void {
-    const backoffLeases = isSuccessorReachable ? RESIGN_BACKOFF_LEASES : LONE_RESIGN_BACKOFF_LEASES;
+    const backoffLeases = isSuccessorReachable
+      ? RESIGN_BACKOFF_LEASES
+      : NO_PEERS_RESIGN_BACKOFF_LEASES;
     this.campaignNotBefore = this.runtime.clock.now() + this.leaderLeaseMs * backoffLeases;
     term.end();
   }
@@ -335,7 +371,10 @@
     return term;
   }
 
-  /** Until when a lease counts that was requested at `sentAt`; both monotonic, in milliseconds. */
+  /**
+   * Local expiry of a lease that was requested at `sentAt`, with margins for clock drift and timer
+   * resolution; both times are monotonic, in milliseconds.
+   */
   private leaseExpiry(sentAt: number): number {
     return sentAt + this.leaderLeaseMs * (1 - MAX_CLOCK_DRIFT) - TIMER_RESOLUTION_MS;
   }
@@ -348,34 +387,41 @@
     return this.leaderLeaseMs / CAMPAIGN_RETRIES_PER_LEASE;
   }
 
-  /** Shorter than the lease, since a controller that has just started must wait it out. */
+  /**
+   * Duration of a vote extension. It is shorter than the lease because a controller that has just
+   * started must wait it out before it campaigns.
+   */
   private get extensionMs(): number {
-    return this.leaderLeaseMs * EXTENSION_RATIO;
+    return this.leaderLeaseMs * VOTE_EXTENSION_RATIO;
   }
 
   /**
-   * A renewal without an answer may have been applied. A leader whose lease has expired, and that goes
-   * on renewing, would keep the key from those who do hear the store's answers. A refused renewal was
-   * not applied, and keeps nothing from anybody.
+   * Whether the term expired so long ago that unanswered renewals must stop. An unanswered renewal
+   * may have been applied, so a leader that continues to renew after its lease has expired could
+   * keep the key from controllers that do receive the store's answers. A rejected renewal was not
+   * applied and blocks no other controller.
    */
   private hasLongExpired(term: Term): boolean {
-    return !term.isActive(this.runtime.clock.now() - this.leaderLeaseMs * EXPIRED_WAIT_RATIO);
+    return !term.isActive(
+      this.runtime.clock.now() - this.leaderLeaseMs * MAX_EXPIRED_RENEWAL_RATIO,
+    );
   }
 
   /**
-   * Requests votes from the others. Once the lease has expired a promise for the time to come is not
-   * enough, since another leader may have come and gone: they have to attest that none did.
+   * Requests the peers' votes to extend the term. Once the term has expired, promises not to
+   * campaign are not enough, since another controller may have led in the meantime: the peers must
+   * also attest that none did.
    */
   private async requestVotes(term: Term): Promise<void> {
     const { clock, log } = this.runtime;
     const { fencingToken } = term;
     const sentAt = clock.now();
     const expiresAt = sentAt + this.extensionMs * (1 - MAX_CLOCK_DRIFT) - TIMER_RESOLUTION_MS;
-    const withinMs = this.extensionMs / 2;
+    const timeoutMs = this.extensionMs / 2;
     const isExpired = !term.isActive(sentAt);
     const granted = isExpired
-      ? await this.extensionVote.requestReinstatement(fencingToken, this.extensionMs, withinMs)
-      : await this.extensionVote.requestExtension(fencingToken, this.extensionMs, withinMs);
+      ? await this.extensionVote.requestReinstatement(fencingToken, this.extensionMs, timeoutMs)
+      : await this.extensionVote.requestExtension(fencingToken, this.extensionMs, timeoutMs);
     log.debug({ fencingToken, granted, isExpired }, 'votes requested');
     if (!granted) return;
     if (!isExpired) {
@@ -387,26 +433,27 @@
   }
 
   /**
-   * Renews until the lease has ended. Past its expiry the term is not active, but if the store then
-   * renews the lease after all, the key was ours all the time and the term goes on; where no answer
-   * comes for long it is given up, see `hasLongExpired`.
+   * Renews the lease until the term ends. After the local expiry the term is not active, but if the
+   * store still renews the lease, this controller has held the key throughout and the term
+   * continues. If the store leaves renewals unanswered for too long, the controller resigns: see
+   * `hasLongExpired`.
    */
   private async renewLease(term: Term, lease: number, signal: AbortSignal): Promise<void> {
     const { clock, random, log } = this.runtime;
     const { fencingToken } = term;
     const intervalMs = this.leaderLeaseMs / RENEWALS_PER_LEASE;
     const retryMs = this.extensionMs / RETRIES_PER_EXTENSION;
-    const eitherSignal = AbortSignal.any([signal, term.signal]);
-    // Every request of the term listens to it.
-    setMaxListeners(0, eitherSignal);
+    const combinedSignal = AbortSignal.any([signal, term.signal]);
+    // Every request of the term adds a listener.
+    setMaxListeners(0, combinedSignal);
     const health = new RenewalHealth();
     try {
       while (!signal.aborted) {
-        await clock.sleep(jitter(health.isFailing ? retryMs : intervalMs, random), eitherSignal);
-        // Not awaited: an unresponsive store must not hold up the renewals.
+        await clock.sleep(jitter(health.isFailing ? retryMs : intervalMs, random), combinedSignal);
+        // Not awaited, so that outstanding votes do not delay the renewals.
         if (health.isFailing) void this.requestVotes(term);
-        // The leader ends the term by itself when the store contradicts its records.
-        if (eitherSignal.aborted) break;
+        // The term also ends when the leader resigns or finds that the store contradicts its state.
+        if (combinedSignal.aborted) break;
         const sentAt = clock.now();
         try {
           await this.store.renewLease(lease, intervalMs, signal);
@@ -434,7 +481,10 @@
     }
   }
 
-  /** Lets others campaign without waiting for the lease to expire, which it does if this fails. */
+  /**
+   * Revokes the lease so that other controllers can campaign before it expires. A failure is
+   * ignored, since the lease then expires by itself.
+   */
   private revokeLease(lease: number): Promise<unknown> {
     return this.store.revokeLease(lease).catch(() => undefined);
   }
--- a/src/election/successor-policy.ts
+++ b/src/election/successor-policy.ts
@@ -1,38 +1,48 @@
-/** Which controller should lead so that workers find a responsive one before their leases expire. */
+/**
+ * Successor policy: which controller should lead so that workers can fail over to a responsive
+ * controller before their leases expire.
+ */
 import type { PeerTransport } from '../peer/peer-transport.js';
 import type { Clock } from '@leverhatch/core/clock';
 
-/** What a worker spends on an unresponsive controller: the wait for an answer, and a pause. */
+/** Time that a worker spends on an unresponsive controller: request time-out and retry delay. */
 const WORKER_TIMEOUT_MS = 4000;
 const WORKER_RETRY_DELAY_MS = 1000;
 
-/** Worker heartbeats come at their interval give or take a quarter. */
+/** Upper bound of the jitter on worker heartbeat intervals, which is a quarter either way. */
 const MAX_HEARTBEAT_JITTER = 1.25;
 
-/** A controller sends to the others once a heartbeat interval; after so many it counts as unresponsive. */
+/**
+ * Heartbeat intervals without a message after which a controller counts as unresponsive.
+ * Controllers send to each other once per interval.
+ */
 const UNRESPONSIVE_INTERVALS = 1.5;
 
-/** For what share of the workers' lease the next controllers are unresponsive before the leader hands over. */
-const TRANSFER_RATIO = 0.5;
+/**
+ * How long the next controllers must be unresponsive before the leader transfers leadership, as a
+ * share of the workers' lease.
+ */
+const TRANSFER_LEASE_RATIO = 0.5;
 
-/** What is needed to tell which controllers a worker passes on failover, and for how long it may. */
+/** Cluster layout and timing that determine how long a worker's failover takes and may take. */
 export interface SuccessorPolicyOptions {
   self: string;
-  /** The zone of each controller, this one included. */
+  /** The zone of each controller, including this one. */
   zones: ReadonlyMap<string, string>;
   heartbeatIntervalMs: number;
-  /** How long a worker's lease lasts. */
+  /** Duration of a worker's lease, in milliseconds. */
   leaseMs: number;
 }
 
 /**
- * Which controllers a worker tries after another, and whether it finds a responsive one before its
- * lease expires. A worker whose controller is unresponsive tries the next one of its list, and waits
- * for each unresponsive one in full: two in a row can take a whole lease. No controller can shorten
- * that failover once it has begun, so it matters who leads before: one with a responsive backup.
+ * Models worker failover: in which order workers try the controllers, and whether they reach a
+ * responsive one before their lease expires. A worker whose controller is unresponsive tries the
+ * next one on its list, and spends a full time-out on each unresponsive controller: two in a row
+ * can take a whole lease. No controller can shorten a failover that has begun, so the leader should
+ * be a controller with a responsive backup.
  *
- * The order is assumed to be that of the controllers' names. Only the length of a short wait depends
- * on it.
+ * Workers are assumed to try the controllers in the order of their names. Only the length of a
+ * short delay depends on this assumption.
  */
 export class SuccessorPolicy {
   private readonly order: string[];
@@ -47,22 +57,31 @@
     );
   }
 
-  /** A controller that has ended, so that connections to it are refused at once, is not unresponsive. */
+  /**
+   * Whether a controller has been silent for longer than `silenceMs`. A controller whose process
+   * has ended is not unresponsive: connections to it are refused at once.
+   */
   private isUnresponsive(
     member: string,
-    forMs = this.options.heartbeatIntervalMs * UNRESPONSIVE_INTERVALS,
+    silenceMs = this.options.heartbeatIntervalMs * UNRESPONSIVE_INTERVALS,
   ): boolean {
     if (member === this.options.self) return false;
     const heardAt = this.peerTransport.lastHeardAt(member);
-    return heardAt !== null && this.clock.now() - heardAt > forMs;
+    return heardAt !== null && this.clock.now() - heardAt > silenceMs;
   }
 
-  /** Whether it is heard now; one whose connection was closed is neither responsive nor unresponsive. */
+  /**
+   * Whether messages arrive from a controller. One whose connection was closed is neither
+   * responsive nor unresponsive.
+   */
   private isResponsive(member: string): boolean {
     return this.peerTransport.lastHeardAt(member) !== null && !this.isUnresponsive(member);
   }
 
-  /** How long a worker takes at most, from its last answered heartbeat, to pass so many unresponsive controllers. */
+  /**
+   * Maximum time from a worker's last answered heartbeat until it has passed this many unresponsive
+   * controllers, in milliseconds.
+   */
   private failoverMs(unresponsiveCount: number): number {
     return (
       this.options.heartbeatIntervalMs * MAX_HEARTBEAT_JITTER +
@@ -71,56 +90,63 @@
   }
 
   /**
-   * How long workers may take to come here, past every controller that is unresponsive now, in
-   * milliseconds. The last leader may be unresponsive to them alone (an asymmetric partition); each
-   * responsive controller costs them a pause.
+   * Maximum time that workers take to fail over to this controller, past every controller that is
+   * unresponsive now, in milliseconds. At least one unresponsive controller is assumed, since the
+   * last leader may be unreachable for the workers only (an asymmetric partition). Each responsive
+   * controller on the way costs one retry delay.
    */
   get workerFailoverMs(): number {
-    const others = this.order.length - 1;
+    const peerCount = this.order.length - 1;
     const unresponsiveCount = Math.max(
       1,
       this.order.filter((member) => this.isUnresponsive(member)).length,
     );
     return (
       this.failoverMs(unresponsiveCount) +
-      Math.max(0, others - unresponsiveCount) * WORKER_RETRY_DELAY_MS
+      Math.max(0, peerCount - unresponsiveCount) * WORKER_RETRY_DELAY_MS
     );
   }
 
-  /** The other controllers in the order in which workers try them after this one. */
+  /** The other controllers, in the order in which workers try them after `member`. */
   private failoverOrder(member: string): string[] {
-    const at = this.order.indexOf(member);
-    return [...this.order.slice(at + 1), ...this.order.slice(0, at)];
+    const index = this.order.indexOf(member);
+    return [...this.order.slice(index + 1), ...this.order.slice(0, index)];
   }
 
-  /** Whether a worker comes in time to the controller at this place of its failover; -1: there is none. */
-  private isWithinLease(place: number): boolean {
-    return place >= 0 && this.failoverMs(place + 1) < this.options.leaseMs;
+  /**
+   * Whether a worker reaches the controller at this index of its failover order before its lease
+   * expires; -1 means that there is none.
+   */
+  private isReachedWithinLease(failoverIndex: number): boolean {
+    return failoverIndex >= 0 && this.failoverMs(failoverIndex + 1) < this.options.leaseMs;
   }
 
-  /** Whether the workers of this controller would find the next in time if it became unresponsive. */
+  /** Whether workers of `member` would fail over within their lease if it became unresponsive. */
   private hasBackup(member: string): boolean {
-    return this.isWithinLease(
+    return this.isReachedWithinLease(
       this.failoverOrder(member).findIndex((next) => !this.isUnresponsive(next)),
     );
   }
 
   /**
-   * The same for this controller, where only those count as unresponsive that have been so for long
-   * and are not behind a partition between zones: workers there are kept alive by a delegate of their
-   * zone, which would lose them with a change of leader.
+   * The same for this controller, but a peer counts as unresponsive only if it has been silent for
+   * long and its zone is not partitioned. The delegate of a partitioned zone keeps the workers
+   * there alive, and could no longer do so after a change of leader.
    */
-  private hasBackupForNow(): boolean {
+  private hasBackupIgnoringBriefOutages(): boolean {
     const { self, leaseMs } = this.options;
-    const forMs = leaseMs * TRANSFER_RATIO;
+    const silenceMs = leaseMs * TRANSFER_LEASE_RATIO;
     const next = this.failoverOrder(self).findIndex(
-      (member) => !this.isUnresponsive(member, forMs) || this.isPartitioned(member),
+      (member) => !this.isUnresponsive(member, silenceMs) || this.isZonePartitioned(member),
     );
-    return this.isWithinLease(next);
+    return this.isReachedWithinLease(next);
   }
 
-  /** Whether nobody in the zone of this controller is heard: its zone may be partitioned from ours. */
-  private isPartitioned(member: string): boolean {
+  /**
+   * Whether all controllers in the zone of `member` are unresponsive: the zone may be partitioned
+   * from the zone of this controller.
+   */
+  private isZonePartitioned(member: string): boolean {
     const { zones } = this.options;
     return this.order.every(
       (other) => zones.get(other) !== zones.get(member) || this.isUnresponsive(other),
@@ -128,27 +154,29 @@
   }
 
   /**
-   * Whether the workers of each other zone, if they could reach none but their own, would find a
-   * controller there in time. All others are unresponsive to them then, also those in this one's zone.
+   * Whether workers in each zone other than that of `member` would reach a controller of their own
+   * zone within their lease if they could reach no other zone. All controllers of other zones then
+   * count as unresponsive, including those in the zone of `member`.
    */
   private hasBackupInEveryZone(member: string): boolean {
     const { zones } = this.options;
-    const after = this.failoverOrder(member);
-    const others = new Set(
-      after.map((next) => zones.get(next)).filter((zone) => zone !== zones.get(member)),
+    const failoverOrder = this.failoverOrder(member);
+    const otherZones = new Set(
+      failoverOrder.map((next) => zones.get(next)).filter((zone) => zone !== zones.get(member)),
     );
-    return [...others].every((zone) =>
-      this.isWithinLease(after.findIndex((next) => zones.get(next) === zone)),
+    return [...otherZones].every((zone) =>
+      this.isReachedWithinLease(failoverOrder.findIndex((next) => zones.get(next) === zone)),
     );
   }
 
   /**
-   * To whom the leader should transfer leadership, since its workers would not find the next controller
-   * in time if it became unresponsive and that one's would; null: it should not.
+   * The controller to which the leader should transfer leadership, or null if it should stay. A
+   * transfer is due if the leader's workers would not fail over within their lease, but those of
+   * the successor would.
    */
   preferredSuccessor(isStoreAvailableTo: (member: string) => boolean): string | null {
     const { self } = this.options;
-    if (this.hasBackupForNow()) return null;
+    if (this.hasBackupIgnoringBriefOutages()) return null;
     const isBetter = (member: string): boolean =>
       member !== self &&
       this.isResponsive(member) &&
@@ -158,14 +186,15 @@
   }
 
   /**
-   * Whether another controller should lead rather than this one, since its workers would find the
-   * next one in time and ours would not. `lastLeader` does not campaign for a while.
+   * Whether another controller should lead instead of this one because its workers would fail over
+   * within their lease and those of this controller would not. `lastLeader` is not considered,
+   * since it does not campaign for a while.
    */
   shouldYield(lastLeader: string | null): boolean {
     return this.isOutranked((member) => this.hasBackup(member), lastLeader);
   }
 
-  /** The same for workers of other zones, if the zones were partitioned from each other. */
+  /** The same for workers of other zones during a partition between zones. */
   shouldYieldAcrossZones(lastLeader: string | null): boolean {
     return this.isOutranked((member) => this.hasBackupInEveryZone(member), lastLeader);
   }
--- a/src/election/term.ts
+++ b/src/election/term.ts
@@ -1,9 +1,12 @@
-/** A leader's term: its fencing token, and until when it may act. All times are monotonic, in milliseconds. */
+/**
+ * A leader's term: its fencing token, and until when the leader may act. All times are monotonic,
+ * in milliseconds.
+ */
 import { setMaxListeners } from 'node:events';
 
 /**
- * One leader's term. Its fencing token is the version at which the leader key was created, so
- * tokens only rise, and the key is not written again during the term.
+ * One leader's term. Its fencing token is the version at which the leader key was created. The key
+ * is not written again during the term, so tokens increase from term to term.
  */
 export class Term {
   private readonly ended = new AbortController();
@@ -17,41 +20,44 @@
     leaseExpiresAt: number,
   ) {
     this.leaseExpiresAt = leaseExpiresAt;
-    // Every request of the term listens to it.
+    // Every request of the term adds a listener.
     setMaxListeners(0, this.ended.signal);
   }
 
-  /** True while no other controller can have become leader: by the store's lease or others' votes. */
+  /** True while the store's lease or the peers' votes rule out that another controller leads. */
   isActive(now: number): boolean {
     return (
       !this.ended.signal.aborted && now < Math.max(this.leaseExpiresAt, this.extensionExpiresAt)
     );
   }
 
-  /** True while the store's lease alone is enough; only then may anything new be started. */
+  /** True while the store's lease is valid, without votes; only then may new work be started. */
   holdsLease(now: number): boolean {
     return !this.ended.signal.aborted && now < this.leaseExpiresAt;
   }
 
-  /** The store has renewed the lease. */
+  /** Records that the store has renewed the lease. */
   renewLease(expiresAt: number): void {
     this.leaseExpiresAt = Math.max(this.leaseExpiresAt, expiresAt);
   }
 
-  /** Votes only extend a term that has not expired: in a gap another leader may have come and gone. */
+  /**
+   * Extends the term after the peers' votes. An expired term is not extended, since another
+   * controller may have led in the meantime.
+   */
   extendByVotes(now: number, expiresAt: number): void {
     if (this.isActive(now)) this.extensionExpiresAt = Math.max(this.extensionExpiresAt, expiresAt);
   }
 
   /**
-   * All other controllers have promised not to campaign, and attest that nobody has led since this
-   * term began: it is extended even where it had expired.
+   * Extends the term even if it has expired. Requires that all other controllers have promised not
+   * to campaign and attest that none of them has led since this term began.
    */
   reinstate(expiresAt: number): void {
     this.extensionExpiresAt = Math.max(this.extensionExpiresAt, expiresAt);
   }
 
-  /** Ends the term for good. */
+  /** Ends the term permanently. */
   end(): void {
     this.ended.abort(new Error('the term is over'));
   }
--- a/src/election/zone-delegate.ts
+++ b/src/election/zone-delegate.ts
@@ -1,4 +1,4 @@
-/** Zone delegates: a follower's right to answer workers of its zone, and the leader's view of it. */
+/** Zone delegates: followers that answer workers of their zone, and the leader's view of them. */
 import { RequestPriority } from '@leverhatch/core/store';
 import { z } from 'zod/mini';
 import { MAX_CLOCK_DRIFT } from '@leverhatch/core/clock';
@@ -8,23 +8,23 @@
 
 const zoneDelegateValue = z.object({ member: z.string(), token: z.number() });
 
-/** The field of a stored record that holds its write id. */
+/** Name of the stored field that holds the id of the write. */
 const WRITE_ID_FIELD = 'w';
 
-/** How long one write of the zone delegate key is valid, as a share of the leader lease. */
+/** Duration of a delegation, as a share of the leader lease. */
 const DELEGATION_RATIO = 0.5;
 
-/** How long one write of the zone delegate key is valid, in milliseconds. */
+/** How long a delegation lasts after a write of the zone delegate key, in milliseconds. */
 export const zoneDelegationMs = (leaderLeaseMs: number): number => leaderLeaseMs * DELEGATION_RATIO;
 
 /**
- * A follower's right to keep alive the workers of its own zone that cannot reach the leader. It
- * rests on a key of that zone, written anew for every stretch of time and only while the leader
- * key is the one whose fencing token the workers know. The leader reads these keys before it takes
- * an unresponsive machine for gone.
+ * A follower's delegation to keep alive the workers of its own zone that cannot reach the leader.
+ * It is granted by writing the zone delegate key, which has to be rewritten for each further
+ * period. The write succeeds only while the leader key still has the fencing token that the workers
+ * know. The leader reads these keys before it declares an unresponsive machine lost.
  */
 export class ZoneDelegate {
-  /** Monotonic, in milliseconds. */
+  /** Expiry of the delegation; monotonic, in milliseconds. */
   private expiresAt = -Infinity;
   private fencingToken = 0;
   private version: number | null = null;
@@ -38,14 +38,17 @@
     private readonly delegationMs: number,
   ) {}
 
-  /** Resolves to true if workers that know this fencing token may be answered now. */
+  /**
+   * Resolves to true if workers that know this fencing token may be answered now. Acquires or
+   * extends the delegation as needed.
+   */
   async holds(fencingToken: number): Promise<boolean> {
     const now = this.runtime.clock.now();
-    const leftMs = this.fencingToken === fencingToken ? this.expiresAt - now : 0;
-    if (leftMs < this.delegationMs / 2) {
+    const remainingMs = this.fencingToken === fencingToken ? this.expiresAt - now : 0;
+    if (remainingMs < this.delegationMs / 2) {
       this.writing ??= this.write(fencingToken).finally(() => (this.writing = null));
       // A delegation that is still valid is extended in the background.
-      if (leftMs <= 0) await this.writing;
+      if (remainingMs <= 0) await this.writing;
     }
     return this.fencingToken === fencingToken && this.runtime.clock.now() < this.expiresAt;
   }
@@ -73,19 +76,20 @@
       this.fencingToken = fencingToken;
       this.expiresAt = sentAt + this.delegationMs * (1 - MAX_CLOCK_DRIFT);
     } catch (error) {
-      // Ambiguous: the version is read again before the next try, and no worker is answered on a guess.
+      // The write may or may not have been applied. The version is read again before the next
+      // attempt, and no worker is answered on the strength of this write.
       this.version = null;
       log.debug({ fencingToken, error: String(error) }, 'zone delegate key not written');
     }
   }
 }
 
-/** The leader's view of the zone delegates: until when one may have answered a zone's workers. */
+/** The leader's view of the zone delegates: until when they may have answered workers. */
 export class ZoneDelegateWatch {
   private readonly versions = new Map<string, number>();
-  /** By zone; monotonic, in milliseconds. */
+  /** Latest possible end of the delegation of each zone; monotonic, in milliseconds. */
   private readonly expiries = new Map<string, number>();
-  /** When the last complete refresh began; monotonic, in milliseconds. */
+  /** Start time of the last completed refresh; monotonic, in milliseconds. */
   confirmedAsOf = -Infinity;
   private refreshing = false;
 
@@ -95,13 +99,16 @@
     private readonly delegationMs: number,
   ) {}
 
-  /** Until when a zone delegate may have answered; for an unknown zone the latest of all. */
+  /**
+   * Until when a zone delegate may have answered workers of the zone. For an unknown zone (empty
+   * name) the latest time of all zones.
+   */
   expiryOf(zone: string): number {
     if (zone !== '') return this.expiries.get(zone) ?? -Infinity;
     return Math.max(-Infinity, ...this.expiries.values());
   }
 
-  /** Reads all zone delegate keys; does nothing while another refresh is under way. */
+  /** Reads all zone delegate keys; does nothing while another refresh is in progress. */
   async refresh(signal: AbortSignal): Promise<void> {
     if (this.refreshing) return;
     this.refreshing = true;
