--- a/src/fleet/boot-times.ts
+++ b/src/fleet/boot-times.ts
@@ -1,19 +1,24 @@
-/** How long machines take to boot, and which of them are late or have failed to. */
+/** Observed boot times of machines, and detection of machines whose boot is late or has failed. */
 import type { MachineType } from './resources.js';
 
-/** Boot times after which a machine is late: it is no longer counted on and may be replaced. */
-const LATE_BOOTS = 1.8;
+/**
+ * Multiple of the expected boot time after which a machine is late: it no longer counts as expected
+ * capacity and may be replaced.
+ */
+const LATE_BOOT_FACTOR = 1.8;
 
-/** Boot times after which a late machine is given up without further evidence. */
-const FAILED_BOOTS = 3;
+/**
+ * Multiple of the expected boot time after which a late machine has failed, without other evidence.
+ */
+const FAILED_BOOT_FACTOR = 3;
 
-/** The same while several machines of its type are late: then the whole cloud boots slowly. */
-const SLOW_CLOUD_FAILED_BOOTS = 6;
+/** The same while several machines of the type are late, which indicates that the cloud is slow. */
+const SLOW_CLOUD_FAILED_BOOT_FACTOR = 6;
 
-/** Late machines of one type that indicate a slow cloud rather than a machine that never comes up. */
-const SLOW_CLOUD_LATE_MACHINES = 2;
+/** Number of late machines of one type that indicates a slow cloud, not a failed machine. */
+const SLOW_CLOUD_MIN_LATE_MACHINES = 2;
 
-/** What a boot is judged by. */
+/** The state of a machine that determines whether its boot is late or has failed. */
 interface BootingMachine {
   readonly type: MachineType | null;
   /** Monotonic time in milliseconds. */
@@ -23,8 +28,8 @@
   readonly isReleasing: boolean;
 }
 
-/** The most recently provisioned machine of a type among those that have come up. */
-interface Boot {
+/** Boot of the most recently provisioned machine of a type that has booted. */
+interface ObservedBoot {
   /** Monotonic time in milliseconds. */
   provisionedAt: number;
   /** From provisioning to the first heartbeat, in milliseconds. */
@@ -32,51 +37,54 @@
 }
 
 /**
- * Boot times observed in this term. Once a machine provisioned no earlier has come up, a late one is
- * unlikely to come up at all. Without such evidence the whole cloud may be slow: releasing its late
- * machines would then mean that none ever comes up.
+ * Boot times observed in this term. A late machine is unlikely to boot once a machine that was
+ * provisioned at the same time or later has booted. Without such evidence the whole cloud may be
+ * slow; if late machines were then released, none would ever finish booting.
  */
 export class BootTimes {
-  private readonly latest = new Map<string, Boot>();
+  private readonly latestBoots = new Map<string, ObservedBoot>();
 
-  /** The first heartbeat of a booting machine has arrived; times are monotonic milliseconds. */
+  /**
+   * Records the boot of a machine whose first heartbeat has arrived; times are monotonic, in
+   * milliseconds.
+   */
   recordBoot(type: string, provisionedAt: number, now: number): void {
-    const before = this.latest.get(type);
-    if (before && before.provisionedAt > provisionedAt) return;
-    this.latest.set(type, { provisionedAt, bootMs: now - provisionedAt });
+    const previous = this.latestBoots.get(type);
+    if (previous && previous.provisionedAt > provisionedAt) return;
+    this.latestBoots.set(type, { provisionedAt, bootMs: now - provisionedAt });
   }
 
-  /** How long a machine of this type should take to boot. */
+  /** Expected boot time of a machine type: the larger of the nominal and the last observed one. */
   expectedMs(type: MachineType): number {
-    return Math.max(type.bootMs, this.latest.get(type.name)?.bootMs ?? 0);
+    return Math.max(type.bootMs, this.latestBoots.get(type.name)?.bootMs ?? 0);
   }
 
-  /** The machine has been booting for longer than expected. */
+  /** Whether the machine has been booting for much longer than expected. */
   isLate(machine: BootingMachine, now: number): boolean {
     return (
       machine.isBooting &&
       machine.type !== null &&
-      now - machine.provisionedAt > this.expectedMs(machine.type) * LATE_BOOTS
+      now - machine.provisionedAt > this.expectedMs(machine.type) * LATE_BOOT_FACTOR
     );
   }
 
-  /** The machine is late, and there is no evidence yet that it has failed. */
+  /** Whether the machine is late, but there is no evidence yet that it has failed. */
   mayStillBoot(machine: BootingMachine, now: number, machines: Iterable<BootingMachine>): boolean {
     return this.isLate(machine, now) && !this.hasFailed(machine, now, machines);
   }
 
-  /** The machine is paid for and will not come up. */
+  /** Whether the boot has failed: the machine is unlikely to come up but still costs money. */
   hasFailed(machine: BootingMachine, now: number, machines: Iterable<BootingMachine>): boolean {
     if (machine.type === null || !this.isLate(machine, now)) return false;
-    if (this.isOvertaken(machine, machine.type)) return true;
-    const isSlow = this.isCloudSlow(machine.type, now, machines);
-    const maxBoots = isSlow ? SLOW_CLOUD_FAILED_BOOTS : FAILED_BOOTS;
-    return now - machine.provisionedAt > this.expectedMs(machine.type) * maxBoots;
+    if (this.hasLaterMachineBooted(machine, machine.type)) return true;
+    const isCloudSlow = this.isCloudSlow(machine.type, now, machines);
+    const factor = isCloudSlow ? SLOW_CLOUD_FAILED_BOOT_FACTOR : FAILED_BOOT_FACTOR;
+    return now - machine.provisionedAt > this.expectedMs(machine.type) * factor;
   }
 
-  /** A machine provisioned no earlier has come up. */
-  private isOvertaken(machine: BootingMachine, type: MachineType): boolean {
-    return (this.latest.get(type.name)?.provisionedAt ?? -Infinity) >= machine.provisionedAt;
+  /** Whether a machine that was provisioned at the same time or later has booted. */
+  private hasLaterMachineBooted(machine: BootingMachine, type: MachineType): boolean {
+    return (this.latestBoots.get(type.name)?.provisionedAt ?? -Infinity) >= machine.provisionedAt;
   }
 
   private isCloudSlow(type: MachineType, now: number, machines: Iterable<BootingMachine>): boolean {
@@ -84,7 +92,8 @@
     for (const machine of machines) {
       if (machine.type?.name !== type.name || machine.isReleasing || !this.isLate(machine, now))
         continue;
-      if (!this.isOvertaken(machine, type) && ++count >= SLOW_CLOUD_LATE_MACHINES) return true;
+      if (!this.hasLaterMachineBooted(machine, type) && ++count >= SLOW_CLOUD_MIN_LATE_MACHINES)
+        return true;
     }
     return false;
   }
--- a/src/fleet/fleet.ts
+++ b/src/fleet/fleet.ts
@@ -1,4 +1,4 @@
-/** The fleet as the leader sees it: placements per machine, reconciled with heartbeats. */
+/** The leader's view of the fleet: machines and their placements, reconciled with heartbeats. */
 import { MAX_CLOCK_DRIFT } from '@leverhatch/core/clock';
 import { markDispatched, markReported } from '../jobs/placement-stage.js';
 import type { Placement } from '../jobs/tracked-job.js';
@@ -14,77 +14,81 @@
 import type { MachineType } from './resources.js';
 import { startCommand, stopCommand } from './worker-commands.js';
 
-/** Released machines that are remembered, at some 100 bytes each. */
-const MAX_RELEASED_REMEMBERED = 5000;
+/** Maximum number of ids of released machines that are kept, at about 100 bytes each. */
+const MAX_RELEASED_IDS = 5000;
 
-/** A machine without a heartbeat for the lease divided by this gets no new work. */
+/** A machine gets no new work if its last heartbeat is older than the lease divided by this. */
 const SCHEDULABLE_LEASE_DIVISOR = 3;
 
-/** A pause between heartbeats of more than this share of the lease counts as a gap. */
+/** A longer interval between heartbeats than this share of the lease counts as a gap. */
 const HEARTBEAT_GAP_LEASE_RATIO = 1 / 2;
 
-/** An agent epoch that ends after this share of the lease without a gap shows that answers get lost. */
+/**
+ * If an agent epoch ends although heartbeats have arrived without a gap for more than this share of
+ * the lease, the worker does not receive the answers.
+ */
 const STEADY_LEASE_RATIO = 1.1;
 
-/** Added to every lease before it counts as expired. */
+/** Safety margin added to every lease before it counts as expired. */
 const LEASE_MARGIN_MS = 50;
 
-/** What heartbeats prove about placements. */
+/** Callbacks for what the fleet has proven about placements. */
 interface FleetEvents {
   running(placement: Placement): void;
   exited(placement: Placement, exitReason: ExitReason, checkpointed: boolean): void;
-  /** Proven gone without a reported exit. */
+  /** The task is proven to be gone, but no exit was reported. */
   lost(placement: Placement): void;
 }
 
-/** Until when zone delegates may have renewed a zone's leases, and when that was last looked up. */
+/** Until when zone delegates may have renewed a zone's leases, and as of when this is known. */
 interface ZoneDelegateExpiries {
-  /** Monotonic time in milliseconds. */
+  /** Monotonic time in milliseconds until which leases in the zone may have been renewed. */
   expiryOf(zone: string): number;
-  /** Monotonic time in milliseconds. */
+  /** Monotonic time in milliseconds at which the last complete lookup began. */
   readonly confirmedAsOf: number;
 }
 
 /**
- * Machines and their placements. A recorded placement stays on its machine until one of these proofs:
- * a newer heartbeat of the same agent epoch that carries our fencing token and does not report it, a
- * later agent epoch, a confirmed release, a failed machine, or lease expiry.
+ * Machines and their placements. A recorded placement stays on its machine until one of the
+ * following proves that it is gone: a newer heartbeat of the same agent epoch that carries this
+ * term's fencing token and does not report it, a later agent epoch, a confirmed release, a failed
+ * machine, or lease expiry.
  */
 export class Fleet {
   readonly machines = new Map<string, Machine>();
   readonly bootTimes = new BootTimes();
-  /** Machines released lately: delayed copies of their heartbeats may still arrive. */
+  /** Recently released machines, whose delayed heartbeats may still arrive. */
   private readonly releasedIds = new Set<string>();
 
   constructor(
     private readonly events: FleetEvents,
     private readonly fencingToken: number,
-    /** Since when no other controller could answer a worker; monotonic milliseconds. */
+    /** Time since which no other controller could answer workers; monotonic, in milliseconds. */
     private readonly exclusiveSince: number,
     private readonly leaseMs: number,
     private readonly zoneDelegates: ZoneDelegateExpiries,
   ) {}
 
-  /** Number of machines with a heartbeat in this term. */
+  /** Number of machines that have sent a heartbeat in this term. */
   get heard(): number {
     let count = 0;
     for (const machine of this.machines.values()) if (machine.lastHeartbeatAt !== null) count++;
     return count;
   }
 
-  /** The machine of this name, created if unknown. */
+  /** Returns the machine with this id, and adds it if it is unknown. */
   getOrCreate(id: string, now: number): Machine {
     let machine = this.machines.get(id);
     if (!machine) {
       machine = new Machine(id, now);
-      // The cloud never reuses a name, so a released machine must get no work.
+      // The cloud never reuses an id, so a released machine must not get work.
       if (this.releasedIds.has(id)) machine.beginRelease();
       this.machines.set(id, machine);
     }
     return machine;
   }
 
-  /** Whether a machine may get new work, which requires a recent heartbeat. */
+  /** Whether a machine may get new work; this requires a recent heartbeat. */
   isSchedulable(machine: Machine, now: number): boolean {
     return machine.isSchedulable(now, this.leaseMs / SCHEDULABLE_LEASE_DIVISOR);
   }
@@ -97,31 +101,33 @@
   }
 
   /**
-   * Applies one heartbeat and returns the commands for its answer. While records are still being read
-   * `mayAct` is false: then nothing is concluded or commanded, but the lease is renewed.
+   * Applies one heartbeat and returns the commands for its answer. While the records are still
+   * being read (`areRecordsLoaded` is false), the lease is renewed, but placements are not
+   * reconciled and no commands are sent.
    */
   applyHeartbeat(
     heartbeat: WorkerHeartbeat,
     type: MachineType | null,
     now: number,
-    mayAct: boolean,
+    areRecordsLoaded: boolean,
   ): WorkerCommand[] {
     const machine = this.getOrCreate(heartbeat.machine, now);
     const { agentEpoch, sequence } = heartbeat;
-    // A delayed copy does not show that the machine is reachable: work placed on a partitioned one
-    // would wait for its lease, whose expiry would then look as if the worker missed our answers. Nor
-    // does its answer renew a lease, which counts from when the newest heartbeat was sent.
+    // A delayed copy does not prove that the machine is reachable. Work placed on a partitioned
+    // machine would have to wait until its lease expires, and the expiry would look as if the
+    // worker had not received the answers. Nor does the answer renew the lease, which counts from
+    // the time at which the newest heartbeat was sent.
     if (!machine.isNewerHeartbeat(agentEpoch, sequence)) return [];
     machine.lastHeartbeat = { agentEpoch, sequence };
     machine.lastAnsweredAt = now;
-    // Overtaken by the response to a direct command. Its answer still renews the lease, and then must
-    // not lack a stop.
+    // A response to a direct command has overtaken this heartbeat. The answer still renews the
+    // lease, so it must include pending stops.
     if (!machine.isNewer(agentEpoch, sequence))
       return agentEpoch === machine.agentEpoch ? this.pendingStopCommands(machine) : [];
     if (machine.isBooting && machine.type)
       this.bootTimes.recordBoot(machine.type.name, machine.provisionedAt, now);
     machine.recordHeartbeat(heartbeat, type, now, this.leaseMs * HEARTBEAT_GAP_LEASE_RATIO);
-    if (!mayAct) return [];
+    if (!areRecordsLoaded) return [];
     if (agentEpoch > machine.agentEpoch) this.beginEpoch(machine, agentEpoch, now);
     if (heartbeat.fencingToken >= this.fencingToken) machine.isTokenConfirmed = true;
     return this.reconcileHeartbeat(machine, heartbeat);
@@ -156,8 +162,9 @@
   }
 
   /**
-   * Applies the heartbeat in the response to a direct command. It proves nothing lost: a command in
-   * the answer to an ordinary heartbeat may not have been carried out yet. Nor does it renew the lease.
+   * Applies the heartbeat in the response to a direct command. A placement that it does not report
+   * is not lost, since the worker may not have executed a command from the answer to an ordinary
+   * heartbeat yet. The response does not renew the lease either.
    */
   applyDirectResponse(heartbeat: WorkerHeartbeat): void {
     const machine = this.machines.get(heartbeat.machine);
@@ -170,7 +177,7 @@
     for (const status of heartbeat.tasks) this.applyTaskStatus(machine, heartbeat, status);
   }
 
-  /** Applies the status of one task; false if it belongs to no recorded placement. */
+  /** Applies the status of one task; returns false if it matches no recorded placement. */
   private applyTaskStatus(
     machine: Machine,
     heartbeat: WorkerHeartbeat,
@@ -188,22 +195,22 @@
       return true;
     }
     markReported(placement);
-    const before = placement.state;
+    const previousState = placement.state;
     placement.state = status.state;
-    if (status.state !== before) {
+    if (status.state !== previousState) {
       machine.noteImage(
         placement.job.spec.image,
         placement.job.spec.imageGb,
         status.state !== 'fetching',
       );
     }
-    if (status.state === 'running' && before !== 'running') this.events.running(placement);
+    if (status.state === 'running' && previousState !== 'running') this.events.running(placement);
     return true;
   }
 
   /**
-   * Commands that have come up since the newest heartbeat was applied, whose answer is still held
-   * back. What it reported is still the latest that is known.
+   * Commands that became due after the newest heartbeat was applied, while its answer is held back
+   * (long polling). The report in that heartbeat is still the latest known state.
    */
   pendingCommands(machine: Machine): WorkerCommand[] {
     const commands = this.pendingStopCommands(machine);
@@ -219,7 +226,7 @@
     return commands;
   }
 
-  /** Stops of tasks that the newest heartbeat reported. */
+  /** Stop commands for tasks that the worker has reported. */
   pendingStopCommands(machine: Machine): WorkerCommand[] {
     const commands: WorkerCommand[] = [];
     for (const placement of machine.placements.values()) {
@@ -240,7 +247,10 @@
     return startCommand(placement);
   }
 
-  /** On the machine but not in our records, or an exited start whose exit is recorded. */
+  /**
+   * Adds the command for a reported task without a recorded placement: a stop if it has not exited,
+   * else a forget, unless the exit still has to be recorded.
+   */
   private addOrphanCommands(
     machine: Machine,
     status: TaskStatus,
@@ -254,20 +264,22 @@
     }
   }
 
-  /** A recorded placement that its worker does not report. */
+  /**
+   * Handles a recorded placement that the worker does not report: dispatches it or marks it lost.
+   */
   private handleMissing(
     machine: Machine,
     placement: Placement,
     heartbeat: WorkerHeartbeat,
     starts: WorkerCommand[],
   ): void {
-    // A heartbeat from before our term may have been delayed while an earlier leader had the start
-    // executed; only one that carries our token proves that it never will be. For a start of our own
-    // term the next newer heartbeat proves it, whatever its token: the worker had by then taken or
-    // dropped the answer with the command.
+    // A heartbeat from before this term may have been delayed while an earlier leader's start
+    // command was executed. Only a heartbeat that carries this term's token proves that the start
+    // will not be executed any more. For a start of this term, the next newer heartbeat proves it
+    // whatever its token: by then the worker has accepted or dropped the answer with the command.
     if (placement.stage === 'recovered' && heartbeat.fencingToken < this.fencingToken) return;
     if (placement.stage === 'reported' || placement.stop) {
-      // Reported before and now missing, or never executed and no longer wanted.
+      // Either reported earlier and now missing, or not executed and to be stopped anyway.
       this.markLost(machine, placement);
       return;
     }
@@ -280,28 +292,29 @@
     this.events.lost(placement);
   }
 
-  /** Withdraws a start that was recorded in this term and never dispatched. */
+  /** Withdraws a start that was recorded in this term but never dispatched. */
   withdraw(placement: Placement): void {
     const machine = this.machines.get(placement.machine);
     if (machine) this.markLost(machine, placement);
   }
 
-  /** The exit of a start is in the store: its worker may forget it. */
+  /** Records that the exit of a start is in the store, so that the worker may forget it. */
   acknowledgeExit(placement: Placement): void {
     this.machines
       .get(placement.machine)
       ?.unrecordedExits.delete(startKey(placement.job.id, placement.task, placement.attempt));
   }
 
-  /** The cloud has confirmed the release of the machine. */
+  /** Removes a machine whose release the cloud has confirmed. */
   confirmReleased(id: string): void {
     this.releasedIds.add(id);
-    // A heartbeat of one dropped here creates a machine that no listing has, which is soon removed.
-    dropOldest(this.releasedIds, MAX_RELEASED_REMEMBERED);
+    // If an id is dropped here, a late heartbeat adds the machine again. No listing contains it, so
+    // it is soon removed.
+    dropOldest(this.releasedIds, MAX_RELEASED_IDS);
     this.removeMachine(id);
   }
 
-  /** The machine no longer exists, nor do the placements on it. */
+  /** Removes a machine that no longer exists and marks its placements as lost. */
   removeMachine(id: string): void {
     const machine = this.machines.get(id);
     if (!machine) return;
@@ -309,7 +322,7 @@
     this.machines.delete(id);
   }
 
-  /** From when on a machine without heartbeats has an expired lease, if no zone delegate renewed it. */
+  /** Time after which the lease of a machine has expired, as far as zone delegates are known. */
   leaseExpiryOf(machine: Machine): number {
     const renewedAt = Math.max(
       machine.lastAnsweredAt ?? -Infinity,
@@ -320,8 +333,8 @@
   }
 
   /**
-   * Marks placements on machines with expired leases as lost. Returns true if zone delegates have to
-   * be looked up first: one that came after the last lookup may have renewed a lease.
+   * Marks placements on machines with expired leases as lost. Returns true if the zone delegates
+   * have to be looked up first, since one may have renewed a lease after the last lookup.
    */
   expireLeases(now: number): boolean {
     let needsLookup = false;
@@ -337,8 +350,8 @@
   }
 
   /**
-   * The lease of an unresponsive machine has certainly expired: zone delegates were looked up after
-   * its expiry, so that none can have renewed it unknown to us.
+   * Whether the lease of an unresponsive machine has certainly expired: the zone delegates were
+   * looked up after the expiry, so none can have renewed it unnoticed.
    */
   isLeaseExpired(machine: Machine, now: number): boolean {
     const expiry = this.leaseExpiryOf(machine);
--- a/src/fleet/image-cache.ts
+++ b/src/fleet/image-cache.ts
@@ -1,9 +1,9 @@
-/** The container images on one machine, as far as the leader knows them. */
+/** The leader's view of the container images that are cached on one machine. */
 
-/** Images remembered for one machine, whatever their sizes. */
+/** Maximum number of images tracked per machine, whatever their sizes. */
 const MAX_IMAGES = 200;
 
-/** One image on a machine or on its way there. */
+/** An image that a machine has or is fetching. */
 export interface CachedImage {
   /** Size in gigabytes. */
   gb: number;
@@ -11,14 +11,14 @@
   isPresent: boolean;
 }
 
-/** An image cache with least-recently-used eviction; images that tasks use are never evicted. */
+/** Model of an image cache with least-recently-used eviction; images in use are never evicted. */
 export class ImageCache {
   private readonly entries = new Map<string, CachedImage>();
 
   /** @param isInUse whether a task placed on the machine uses the image */
   constructor(private readonly isInUse: (image: string) => boolean) {}
 
-  /** Least recently used first. */
+  /** The cached images, least recently used first. */
   get images(): ReadonlyMap<string, CachedImage> {
     return this.entries;
   }
@@ -26,7 +26,7 @@
   /**
    * Records that a task needs the image.
    *
-   * @param isPresent whether a task has begun to run with it
+   * @param isPresent whether a task has started with it, so that the machine has fetched it
    * @param cacheGb capacity of the machine's cache
    */
   note(image: string, gb: number, isPresent: boolean, cacheGb: number): void {
@@ -43,7 +43,9 @@
     }
   }
 
-  /** A worker gives up a fetch once no task waits for the image. */
+  /**
+   * Drops an image that is still being fetched: a worker cancels the fetch when no task needs it.
+   */
   cancelFetch(image: string): void {
     if (!this.entries.get(image)?.isPresent && !this.isInUse(image)) this.entries.delete(image);
   }
--- a/src/fleet/machine-provisioner.ts
+++ b/src/fleet/machine-provisioner.ts
@@ -1,4 +1,4 @@
-/** Provisions, lists and releases machines at the cloud. */
+/** Provisions, lists and releases machines through the API of the cloud. */
 import type { Runtime } from '@leverhatch/core/duty';
 import { jitter } from '@leverhatch/core/random';
 import { RequestPriority } from '@leverhatch/core/store';
@@ -21,54 +21,54 @@
 } from '../wire/cloud.js';
 import { ProvisioningRecords } from './provisioning-records.js';
 
-/** Share of the cloud's rate limit that is used. */
-const RATE_RATIO = 0.9;
+/** Share of the cloud's rate limit that is used on average. */
+const RATE_LIMIT_SHARE = 0.9;
 
-/** Requests may queue for as long as the cloud takes for this many time-outs' worth of calls. */
-const PENDING_TIMEOUTS = 4;
+/** Bound on pending requests: as many as the rate limit admits within this many call time-outs. */
+const MAX_PENDING_TIMEOUTS = 4;
 
-/** Divides the time-out of a call into the pause before a provisioning request is first repeated. */
-const FIRST_RETRY_TIMEOUT_DIVISOR = 8;
+/** The first retry of a provisioning request is delayed by the call time-out divided by this. */
+const PROVISION_RETRY_TIMEOUT_DIVISOR = 8;
 
-/** Divides the time-out of a call into the pause before a release is repeated. */
+/** A retry of a release is delayed by the call time-out divided by this. */
 const RELEASE_RETRY_TIMEOUT_DIVISOR = 4;
 
-/** Listing lags after which the machines of an answered request are certainly listed. */
-const LISTED_LIST_LAGS = 2;
+/** Number of listing lags after which the machines of a request are certainly listed. */
+const LISTING_COMPLETE_LIST_LAGS = 2;
 
-/** Listing lags for which an offer that is out of capacity is backed off at first. */
-const BACKOFF_LIST_LAGS = 2;
+/** Initial backoff for an offer that is out of capacity, in listing lags. */
+const INITIAL_BACKOFF_LIST_LAGS = 2;
 
-/** Bound on doublings of that time while the offer stays out of capacity. */
+/** Maximum number of doublings of the backoff while the offer stays out of capacity. */
 const MAX_BACKOFF_DOUBLINGS = 2;
 
-/** What a reply to a provisioning request means. */
+/** The outcome of a provisioning request according to the reply. */
 type ProvisioningOutcome = 'provisioned' | 'out of capacity' | 'malformed' | 'unavailable';
 
-/** A request whose machines are not all known yet. */
+/** A provisioning request whose machines are not known by id yet. */
 interface PendingRequest extends ScaleOutRequest {
   request: string;
-  /** Monotonic time after which its machines must be listed if there are any. */
+  /** Monotonic time after which its machines, if any, are certainly listed. */
   until: number;
 }
 
-/** An offer that is out of capacity. */
+/** Backoff state of an offer that is out of capacity. */
 interface CapacityBackoff {
-  /** Monotonic time until which it is not requested. */
+  /** Monotonic time until which the offer is not requested. */
   until: number;
   doublings: number;
 }
 
-/** What the cloud's answers bring. */
+/** Callbacks for results from the cloud. */
 interface ProvisioningEvents {
   provisioned(ids: string[], request: ScaleOutRequest): void;
-  /** A complete listing. */
+  /** All machines of a complete listing. */
   listed(machines: ListedMachine[]): void;
   /** The cloud has confirmed the release. */
   released(ids: string[]): void;
 }
 
-/** The cloud rejected a provisioning request as malformed; repeating it is pointless. */
+/** The cloud rejected a provisioning request as malformed; it is not retried. */
 class MalformedRequestError extends Error {
   constructor(readonly request: string) {
     super(`the cloud rejects provisioning request ${request} as malformed`);
@@ -76,7 +76,7 @@
   }
 }
 
-/** The leader's client of the cloud. */
+/** The leader's client of the cloud API. */
 export class MachineProvisioner {
   private readonly rateLimiter: RateLimiter;
   private readonly records: ProvisioningRecords;
@@ -98,11 +98,11 @@
     private readonly events: ProvisioningEvents,
   ) {
     const { rps } = settings.cloud;
-    this.rateLimiter = new RateLimiter(runtime.clock, rps * RATE_RATIO, rps);
+    this.rateLimiter = new RateLimiter(runtime.clock, rps * RATE_LIMIT_SHARE, rps);
     this.records = new ProvisioningRecords(store, term);
   }
 
-  /** After a failover: takes over a request whose machines may not be listed yet. */
+  /** Restores a request of an earlier leader whose machines may not be listed yet. */
   restore(entry: Entry): void {
     const restored = this.records.restore(entry);
     if (!restored) return;
@@ -110,28 +110,28 @@
     this.pending.set(restored.request, {
       ...restored.record,
       request: restored.request,
-      until: clock.now() + this.settings.cloud.listLagMs * LISTED_LIST_LAGS,
+      until: clock.now() + this.settings.cloud.listLagMs * LISTING_COMPLETE_LIST_LAGS,
     });
   }
 
-  /** Requests for machines that are not known by name yet. */
+  /** Returns the requests whose machines are not known by id yet, and drops expired ones. */
   pendingRequests(now: number): ScaleOutRequest[] {
     for (const [request, pending] of this.pending) {
       if (pending.until < now) {
         this.pending.delete(request);
-        // Left behind, the record is harmless: the next leader lets it expire in the same way.
+        // If the deletion fails, the record is harmless: the next leader lets it expire as well.
         void this.records.remove(request).catch(() => undefined);
       }
     }
     return [...this.pending.values()];
   }
 
-  /** Whether the offer ran out of capacity lately and is not to be requested now. */
+  /** Whether the offer was recently out of capacity and must not be requested now. */
   isBackedOff(type: string, zone: string, spot: boolean): boolean {
     return (this.backoffs.get(offerKey(type, zone, spot))?.until ?? 0) > this.runtime.clock.now();
   }
 
-  /** Requests machines; what exceeds the bound on pending requests is left to a later cycle. */
+  /** Requests machines. Those beyond the bound on pending requests are left to a later cycle. */
   provision(scaleOut: ScaleOutRequest): void {
     let remaining = scaleOut.count;
     while (remaining > 0) {
@@ -139,7 +139,7 @@
       if (this.pending.size >= this.maxPendingRequests) return;
       remaining -= count;
       const request = this.runtime.random.unique();
-      // Pending until it is answered, so that no cycle requests the same again.
+      // Pending until it is answered, so that no cycle requests the same machines again.
       this.pending.set(request, { ...scaleOut, count, request, until: Infinity });
       void this.submitRequest(request, { ...scaleOut, count }).catch((error: unknown) => {
         this.pending.delete(request);
@@ -148,9 +148,9 @@
     }
   }
 
-  /** More requests than the rate limit admits within some time-outs would only queue. */
+  /** More requests than the rate limit admits within a few time-outs would only wait in a queue. */
   private get maxPendingRequests(): number {
-    return Math.ceil(((this.settings.cloud.rps * this.timeoutMs) / 1000) * PENDING_TIMEOUTS);
+    return Math.ceil(((this.settings.cloud.rps * this.timeoutMs) / 1000) * MAX_PENDING_TIMEOUTS);
   }
 
   private async submitRequest(request: string, scaleOut: ScaleOutRequest): Promise<void> {
@@ -158,20 +158,22 @@
     const { signal } = this.term;
     if (!(await this.records.add(request, { ...scaleOut, at: clock.wall() }))) return;
     const body = provisioningBody({ request, ...scaleOut });
-    let waitMs = this.timeoutMs / FIRST_RETRY_TIMEOUT_DIVISOR;
+    let retryDelayMs = this.timeoutMs / PROVISION_RETRY_TIMEOUT_DIVISOR;
     for (;;) {
       let reply: Reply | null = null;
       try {
         reply = await this.call('POST', CLOUD_PATHS.provision, body);
       } catch (error) {
-        // The request may have been carried out; repeated under its name it yields the same machines.
+        // The request may have been carried out. A retry with the same id returns the same
+        // machines.
         if (!(error instanceof NoResponseError)) throw error;
       }
       switch (outcomeOf(reply)) {
         case 'provisioned':
           this.completeRequest(request, scaleOut, reply?.body);
-          // Its machines may not be listed yet, and a successor would provision the same again.
-          await clock.sleep(this.settings.cloud.listLagMs * LISTED_LIST_LAGS, signal);
+          // The machines may not be listed yet; without the record a new leader would provision the
+          // same machines again.
+          await clock.sleep(this.settings.cloud.listLagMs * LISTING_COMPLETE_LIST_LAGS, signal);
           await this.records.remove(request);
           return;
         case 'out of capacity':
@@ -183,9 +185,9 @@
           await this.records.remove(request);
           throw new MalformedRequestError(request);
         case 'unavailable':
-          await clock.sleep(jitter(waitMs, random), signal);
+          await clock.sleep(jitter(retryDelayMs, random), signal);
           signal.throwIfAborted();
-          waitMs = Math.min(waitMs * 2, this.timeoutMs);
+          retryDelayMs = Math.min(retryDelayMs * 2, this.timeoutMs);
       }
     }
   }
@@ -200,8 +202,9 @@
   }
 
   /**
-   * A request that finds no capacity costs the store two writes and the cloud a call. During a shortage
-   * of minutes, repeating it at the same pace would delay starts and users' submissions.
+   * Backs off from an offer that is out of capacity. Each request without capacity costs two store
+   * writes and one cloud call. At a constant rate, retries during a shortage that lasts minutes
+   * would delay starts and users' submissions.
    */
   private backOff(scaleOut: ScaleOutRequest): void {
     const key = offerKey(scaleOut.type, scaleOut.zone, scaleOut.spot);
@@ -209,13 +212,13 @@
       (this.backoffs.get(key)?.doublings ?? -1) + 1,
       MAX_BACKOFF_DOUBLINGS,
     );
-    const pauseMs = this.settings.cloud.listLagMs * BACKOFF_LIST_LAGS * 2 ** doublings;
+    const pauseMs = this.settings.cloud.listLagMs * INITIAL_BACKOFF_LIST_LAGS * 2 ** doublings;
     const until = this.runtime.clock.now() + jitter(pauseMs, this.runtime.random);
     this.backoffs.set(key, { until, doublings });
     this.runtime.log.debug({ ...scaleOut, pauseMs }, 'offer out of capacity, backing off');
   }
 
-  /** Releases a machine; repeated until the cloud confirms it or the term ends. */
+  /** Releases a machine. The call is retried until the cloud confirms it or the term ends. */
   release(id: string): void {
     this.releaseQueue.add(id);
     if (!this.isReleasing) void this.releaseQueued();
@@ -225,13 +228,13 @@
     this.isReleasing = true;
     while (this.releaseQueue.size > 0 && !this.term.signal.aborted) {
       const ids = [...this.releaseQueue].slice(0, MAX_MACHINES_PER_RELEASE);
-      // Whatever kept the call from an answer, the release is repeated.
+      // The release is retried whatever the error.
       const reply = await this.call('POST', CLOUD_PATHS.release, releaseBody(ids)).catch(
         () => null,
       );
       if (reply?.status === 200) {
         for (const id of ids) this.releaseQueue.delete(id);
-        // The capacity that they held is available again.
+        // The capacity of the released machines may be available again.
         this.backoffs.clear();
         this.events.released(ids);
       } else {
@@ -244,19 +247,22 @@
     this.isReleasing = false;
   }
 
-  /** Reads the whole listing once; false if any page of it is missing, and then nothing is reported. */
+  /**
+   * Reads the complete listing once. Returns false and reports nothing if any page could not be
+   * read.
+   */
   async listMachines(): Promise<boolean> {
     const machines: ListedMachine[] = [];
-    let after: string | null = null;
+    let lastId: string | null = null;
     for (;;) {
-      // A failed call is logged by its outcome; the listing is read again at its next interval.
-      const reply = await this.call('GET', listPath(after), null).catch(() => null);
+      // `recordOutcome` logs outages; the listing is read again after the usual interval.
+      const reply = await this.call('GET', listPath(lastId), null).catch(() => null);
       if (reply?.status !== 200) return false;
       const page = parseMachineList(reply.body);
       machines.push(...page.machines);
       const last = page.machines.at(-1);
       if (!page.more || last === undefined) break;
-      after = last.id;
+      lastId = last.id;
     }
     this.events.listed(machines);
     return true;
@@ -269,8 +275,9 @@
       path === CLOUD_PATHS.release ? RequestPriority.Critical : RequestPriority.High,
       signal,
     );
-    // The cloud knows no fencing tokens: a controller that was paused may be unaware of a new leader. It
-    // would release machines with placements on them, or provision what has been provisioned already.
+    // The cloud API has no fencing tokens, and a controller that was paused may not know of a new
+    // leader yet. It could release machines that have placements, or provision machines a second
+    // time.
     if (method === 'POST' && !this.term.isActive(this.runtime.clock.now())) {
       throw new NoResponseError('leadership has lapsed');
     }
@@ -287,7 +294,8 @@
   }
 
   /**
-   * Logs outages: without these lines a fleet that cannot grow looks in the log like one that need not.
+   * Tracks and logs outages of the cloud. Without these log lines, a fleet that cannot grow looks
+   * like one that does not need to.
    */
   private recordOutcome(isServed: boolean): void {
     const { clock, log } = this.runtime;
@@ -304,7 +312,7 @@
   }
 }
 
-/** Key of one kind of machine at one price in one zone. */
+/** Key of an offer: a machine type in one zone, spot or on demand. */
 const offerKey = (type: string, zone: string, spot: boolean): string => `${type}|${zone}|${spot}`;
 
 const isOutOfCapacity = (body: unknown): boolean =>
--- a/src/fleet/machine-type-catalog.ts
+++ b/src/fleet/machine-type-catalog.ts
@@ -1,4 +1,4 @@
-/** The catalog of machine types, from the store or the cloud. */
+/** The catalog of machine types, loaded from the store or the cloud. */
 import { RequestPriority } from '@leverhatch/core/store';
 import { BehaviorSubject } from 'rxjs';
 import type { Transport } from '../http/client.js';
@@ -9,19 +9,19 @@
 import { z } from 'zod/mini';
 import type { MachineType } from './resources.js';
 
-/** Divides the cloud's time-out into the pause between attempts to load the types. */
+/** The delay between attempts to load the types is the cloud's call time-out divided by this. */
 const RETRY_TIMEOUT_DIVISOR = 4;
 
 const storedTypes = z.object({ types: z.unknown() });
 
 /**
- * The machine types. They are stored as the cloud gave them, so that a controller that starts while
- * the cloud is unavailable knows them too.
+ * The machine types. The store keeps a copy of the cloud's response, so that a controller that
+ * starts while the cloud is unavailable can load them too.
  */
 export class MachineTypeCatalog {
-  /** By name; null until loaded. */
+  /** Machine types by name; null until loaded. */
   readonly types = new BehaviorSubject<ReadonlyMap<string, MachineType> | null>(null);
-  private raw: unknown = null;
+  private rawTypes: unknown = null;
 
   constructor(
     private readonly store: Store,
@@ -31,10 +31,10 @@
     private readonly timeoutMs: number,
   ) {}
 
-  /** Loads the types from the store, else from the cloud, until one of them has answered. */
+  /** Loads the types from the store or else from the cloud, and retries until one succeeds. */
   async load(signal: AbortSignal): Promise<void> {
     while (!this.types.value) {
-      // A store that is unavailable is no obstacle: the cloud is asked instead, and both again later.
+      // If the store is unavailable, the types are read from the cloud.
       const entry = await this.store
         .get(KEYS.types, RequestPriority.High, signal)
         .catch(() => null);
@@ -45,7 +45,7 @@
     }
   }
 
-  /** Reads the types at their current prices from the cloud; false if it does not serve them. */
+  /** Reads the types with current prices from the cloud; returns false on an error response. */
   async refresh(signal: AbortSignal): Promise<boolean> {
     const reply = await this.cloud.request('GET', CLOUD_PATHS.types, null, this.timeoutMs, signal);
     if (reply.status !== 200) return false;
@@ -54,12 +54,12 @@
   }
 
   private async persist(signal: AbortSignal): Promise<void> {
-    // The first write wins. A conflict or an unavailable store is ignored: another controller's copy is
-    // as good as ours, and the next start tries again.
+    // The first write wins. A conflict is ignored because any controller's copy will do. So is an
+    // unavailable store, because the next start tries again.
     await this.store
       .tryCommit(
         [{ key: KEYS.types, version: 0 }],
-        [{ put: KEYS.types, value: { types: this.raw } }],
+        [{ put: KEYS.types, value: { types: this.rawTypes } }],
         RequestPriority.High,
         signal,
       )
@@ -68,7 +68,7 @@
 
   private update(body: unknown): void {
     const types = parseMachineTypes(body);
-    this.raw = body;
+    this.rawTypes = body;
     this.types.next(new Map(types.map((type) => [type.name, type])));
   }
 }
--- a/src/fleet/machine.ts
+++ b/src/fleet/machine.ts
@@ -1,4 +1,7 @@
-/** What the leader knows of one machine: heartbeats, state in the cloud, placements, images, failures. */
+/**
+ * The leader's view of one machine: heartbeats, state at the cloud, placements, images and
+ * failures.
+ */
 import type { FailureHistory } from '../jobs/failure-history.js';
 import type { Placement } from '../jobs/tracked-job.js';
 import type { ListedMachine } from '../wire/cloud.js';
@@ -9,50 +12,52 @@
 import type { MachineType, Resources } from './resources.js';
 import { subtract } from './resources.js';
 
-/** Jobs that run well elsewhere and failed on a machine, from which on it counts as faulty. */
-const FAULTY_JOBS = 2;
+/** A machine is faulty once this many jobs that run well elsewhere have failed on it. */
+const FAULTY_MIN_FAILED_JOBS = 2;
 
 /** Key of a task. */
 export const taskKey = (job: string, task: number): string => `${job}/${task}`;
 
-/** Key of one start of a task. */
+/** Key of one attempt to run a task. */
 export const startKey = (job: string, task: number, attempt: number): string =>
   `${job}/${task}/${attempt}`;
 
-/** One machine, and the placements that may be on it. Times are monotonic milliseconds. */
+/** One machine and the placements that may be on it. Times are monotonic, in milliseconds. */
 export class Machine {
   type: MachineType | null = null;
   zone = '';
   spot = false;
-  /** Agent epoch and sequence number of the newest heartbeat; -1: none yet. */
+  /** Agent epoch and sequence number of the newest heartbeat or direct response; -1 if none. */
   agentEpoch = -1;
   sequence = -1;
-  /** Of the newest ordinary heartbeat, which the response to a direct command may have overtaken. */
+  /** The same for ordinary heartbeats only, which a response to a direct command may overtake. */
   lastHeartbeat = { agentEpoch: -1, sequence: -1 };
-  /** A heartbeat has carried our fencing token: our answers reach the worker. */
+  /** Whether a heartbeat has carried this term's fencing token, so answers reach the worker. */
   isTokenConfirmed = false;
   firstHeartbeatAt: number | null = null;
-  /** When the last heartbeat arrived, and when one was last answered; null: not in this term. */
+  /**
+   * When the last heartbeat was applied, and when one was last answered; null if not in this term.
+   */
   lastHeartbeatAt: number | null = null;
   lastAnsweredAt: number | null = null;
-  /** Since when heartbeats have arrived without a gap. */
+  /** Time since which heartbeats have arrived without a gap in this agent epoch. */
   steadySince = 0;
-  /** Where the worker takes direct commands; null: no heartbeat yet. */
+  /** Address at which the worker accepts direct commands; null before the first heartbeat. */
   address: string | null = null;
   cloudState: ListedMachine['state'] | null = null;
-  /** When a listing first reported it as running. */
+  /** When a listing first reported the machine as running. */
   cloudRunningSince: number | null = null;
   provisionedAt: number;
-  /** Listings in a row that lacked it. */
+  /** Consecutive listings that did not contain the machine. */
   missedListings = 0;
   preemptionNoticeAt: number | null = null;
   isReleasing = false;
-  /** Its tasks are being stopped so that it can be released. */
+  /** The tasks of the machine are being stopped so that it can be released. */
   isDraining = false;
-  /** Agent epochs that ended although we answered: the worker does not receive our answers. */
+  /** Agent epochs that ended although heartbeats were answered: the worker misses the answers. */
   unansweredEpochs = 0;
   readonly placements = new Map<string, Placement>();
-  /** Exited starts whose exit is not in the store yet, so that their worker must keep them. */
+  /** Keys of exited attempts whose exit is not in the store yet; the worker must keep them. */
   readonly unrecordedExits = new Set<string>();
   idleSince: number;
   private readonly failedJobs: FailedJobs;
@@ -67,19 +72,21 @@
     this.failedJobs = new FailedJobs(id);
   }
 
-  /** Images on the machine or on their way, least recently used first. */
+  /** Images that the machine has or is fetching, least recently used first. */
   get images(): ReadonlyMap<string, CachedImage> {
     return this.imageCache.images;
   }
 
-  /** Takes origin and age from the first listing that names the machine. */
+  /** Sets zone, price class and age from the first listing that contains the machine. */
   discover(listed: ListedMachine, now: number): void {
     this.provisionedAt = now - listed.ageMs;
     this.zone = listed.zone;
     this.spot = listed.spot;
   }
 
-  /** A listing names the machine; `type` is null where the catalog lacks it. */
+  /**
+   * Applies a listing that contains the machine; `type` is null if the catalog does not have it.
+   */
   applyListing(state: ListedMachine['state'], type: MachineType | null, now: number): void {
     this.type ??= type;
     this.cloudState = state;
@@ -87,22 +94,22 @@
     this.missedListings = 0;
   }
 
-  /** A listing lacks the machine. */
+  /** Counts a listing that does not contain the machine. */
   recordMissedListing(): void {
     this.missedListings++;
   }
 
-  /** The machine is to be released: it gets no new work. */
+  /** Marks the machine for release; it gets no new work. */
   beginRelease(): void {
     this.isReleasing = true;
   }
 
-  /** Its tasks are to be evicted, so that it can be released. */
+  /** Marks the machine for draining: its tasks are evicted so that it can be released. */
   beginDrain(): void {
     this.isDraining = true;
   }
 
-  /** Takes what a newer heartbeat says of the machine itself, except for the agent epoch. */
+  /** Updates the state of the machine itself from a newer heartbeat, except for the agent epoch. */
   recordHeartbeat(
     heartbeat: WorkerHeartbeat,
     type: MachineType | null,
@@ -123,28 +130,30 @@
   }
 
   /**
-   * A new agent epoch has begun: the lease of the one before ran out.
+   * Starts a new agent epoch, after the lease of the previous one expired.
    *
-   * @param maxSteadyMs heartbeats without a gap for longer than this should have kept that lease alive
+   * @param maxSteadyMs a longer time of heartbeats without a gap should have kept that lease alive
    */
   beginEpoch(agentEpoch: number, now: number, maxSteadyMs: number): void {
-    // Heartbeats arrive and are answered, and the lease ran out all the same: answers get lost.
+    // Heartbeats were received and answered, but the lease expired nevertheless: answers get lost.
     if (this.agentEpoch >= 0 && now - this.steadySince > maxSteadyMs) this.unansweredEpochs++;
     this.agentEpoch = agentEpoch;
     this.steadySince = now;
     this.unrecordedExits.clear();
   }
 
-  /** A task of the job failed here. */
+  /** Records that a task of the job failed on this machine. */
   recordFailure(job: FailureHistory): void {
     this.failedJobs.record(job);
   }
 
-  /** It may get new work: it is responsive, stays in the fleet and has not proven faulty. */
+  /**
+   * Whether the machine may get new work: it is responsive, stays in the fleet and is not faulty.
+   */
   isSchedulable(now: number, maxHeartbeatAgeMs: number): boolean {
     return (
       this.type !== null &&
-      // Heard only while records were being read: its agent epoch is not known yet.
+      // Heartbeats that arrive while the records are being read do not set the agent epoch.
       this.agentEpoch >= 0 &&
       this.isReachable(now, maxHeartbeatAgeMs) &&
       !this.isReleasing &&
@@ -157,7 +166,7 @@
     );
   }
 
-  /** Nothing on it changes by itself: it is idle, or holds running replicas only. */
+  /** Whether the machine is idle or has only running replicas, so no change is expected on it. */
   get isIdleOrServing(): boolean {
     if (this.preemptionNoticeAt !== null || this.isReleasing) return false;
     for (const placement of this.placements.values()) {
@@ -168,14 +177,14 @@
     return true;
   }
 
-  /** A start on it is being recorded. */
+  /** Whether a start on the machine is being recorded. */
   get hasStartBeingRecorded(): boolean {
     for (const placement of this.placements.values())
       if (placement.stage === 'recording') return true;
     return false;
   }
 
-  /** Our answers reach the worker, or its first heartbeat is recent. */
+  /** Whether answers are known to reach the worker, or its first heartbeat is recent. */
   private isReachable(now: number, timeoutMs: number): boolean {
     return (
       this.isTokenConfirmed ||
@@ -183,22 +192,28 @@
     );
   }
 
-  /** Quarantined: its worker misses our answers, or jobs that run well elsewhere fail here. */
+  /**
+   * Whether the machine is quarantined: its worker misses answers, or jobs that run well elsewhere
+   * fail on it.
+   */
   get isFaulty(): boolean {
-    return this.unansweredEpochs > 0 || this.failedJobs.count(['sound'], 0) >= FAULTY_JOBS;
+    return (
+      this.unansweredEpochs > 0 || this.failedJobs.count(['sound'], 0) >= FAULTY_MIN_FAILED_JOBS
+    );
   }
 
   /**
-   * Jobs failed here that may fail everywhere. The machine gets no work meanwhile; the retries of
-   * those jobs elsewhere soon clear it or prove it faulty.
+   * Whether jobs failed here for which it is not known yet if they fail everywhere. The machine
+   * gets no work in the meantime; retries of those jobs elsewhere soon clear it or prove it faulty.
    */
   private isSuspect(now: number): boolean {
-    return this.failedJobs.count(['sound', 'open'], now) >= FAULTY_JOBS;
+    return this.failedJobs.count(['sound', 'open'], now) >= FAULTY_MIN_FAILED_JOBS;
   }
 
   /**
-   * No heartbeat yet, but one is expected within `timeoutMs` of when the cloud reported it as running.
-   * A machine whose boot is late is not expected, so that another is provisioned in its place.
+   * Whether the first heartbeat of the machine is still expected, which is until `timeoutMs` after
+   * the cloud first reported it as running. A machine whose boot is late is not expected, so that
+   * another is provisioned in its place.
    */
   isExpected(now: number, timeoutMs: number, boots: BootTimes): boolean {
     if (this.lastHeartbeatAt !== null || this.placements.size > 0 || this.type === null)
@@ -207,12 +222,12 @@
     return this.cloudRunningSince !== null && now - this.cloudRunningSince < timeoutMs;
   }
 
-  /** The cloud reports it as booting, and its worker has not sent a heartbeat. */
+  /** Whether the cloud reports the machine as booting and no heartbeat has arrived. */
   get isBooting(): boolean {
     return this.lastHeartbeatAt === null && this.cloudState === 'booting';
   }
 
-  /** Capacity without what its placements take. */
+  /** Capacity of the machine minus the requests of its placements. */
   freeCapacity(): Resources {
     const capacity: Resources = this.type
       ? { ...this.type.capacity }
@@ -221,12 +236,12 @@
     return capacity;
   }
 
-  /** Records that a task needs the image; `isPresent` once one has begun to run with it. */
+  /** Records that a task needs the image; `isPresent` is true once one has started with it. */
   noteImage(image: string, gb: number, isPresent: boolean): void {
     this.imageCache.note(image, gb, isPresent, this.type?.cacheGb ?? Infinity);
   }
 
-  /** The worker gives up a fetch once no task waits for the image. */
+  /** Drops an image that is still being fetched if no task needs it any more. */
   cancelFetch(image: string): void {
     this.imageCache.cancelFetch(image);
   }
@@ -237,14 +252,14 @@
     return false;
   }
 
-  /** Whether a heartbeat or direct response was sent after the newest one that has arrived. */
+  /** Whether a heartbeat or direct response is newer than the newest one that has been applied. */
   isNewer(agentEpoch: number, sequence: number): boolean {
     return (
       agentEpoch > this.agentEpoch || (agentEpoch === this.agentEpoch && sequence > this.sequence)
     );
   }
 
-  /** Whether an ordinary heartbeat was sent after the newest one that has arrived. */
+  /** Whether an ordinary heartbeat is newer than the newest one that has arrived. */
   isNewerHeartbeat(agentEpoch: number, sequence: number): boolean {
     const { lastHeartbeat } = this;
     return (
--- a/src/fleet/provisioning-records.ts
+++ b/src/fleet/provisioning-records.ts
@@ -1,17 +1,17 @@
-/** Stored records of provisioning requests, by which a new leader does not provision twice. */
+/** Stored records of provisioning requests, which keep a new leader from provisioning twice. */
 import { RequestPriority } from '@leverhatch/core/store';
 import type { Term } from '../election/term.js';
 import { parseProvisioning, type ProvisioningRecord } from '../jobs/records.js';
 import { KEYS } from '../state/keys.js';
 import type { Entry, Store } from '../state/store.js';
 
-/** Stored field that names the request of a record. */
+/** Name of the stored field that holds the id of the request. */
 const REQUEST_FIELD = 'w';
 
 /**
- * Value of the guard key. Earlier versions read it as a request for no machines: they count nothing
- * for it, and delete it when they lead. That is sound, since all writes that it fences off belong to
- * an earlier term.
+ * Value of the guard key. Earlier versions read it as a request for zero machines: they count no
+ * machines for it, and delete it when they lead. This is safe, since all writes that the guard
+ * fences off then belong to an earlier term.
  */
 const EMPTY_REQUEST: ProvisioningRecord = {
   [REQUEST_FIELD]: 'guard',
@@ -24,18 +24,18 @@
 
 /**
  * The stored records of requests whose machines the cloud's listing may not show yet, so that a new
- * leader does not provision the same again.
+ * leader does not provision the same machines again.
  *
- * A write with an ambiguous result may be applied long after its record was deleted. It must then fail
- * one of its conditions, or the record of a finished request comes back, and the next leader counts
- * on machines that nobody requested. The leader key protects later terms. Within a term the guard
- * does: a key whose version is a condition of every such write, and which is written together with
- * the deletion of a record that still has an ambiguous write.
+ * A write with an ambiguous result may be applied long after its record was deleted. It must then
+ * fail one of its conditions; otherwise the record of a finished request reappears, and the next
+ * leader counts on machines that nobody requested. In later terms the condition on the leader key
+ * ensures this. Within a term the guard key does: its version is a condition of every such write,
+ * and it is written together with the deletion of any record that still has an ambiguous write.
  */
 export class ProvisioningRecords {
-  /** Version of the guard as far as known; 0: there is none. */
+  /** Last known version of the guard key; 0 if it does not exist. */
   private guardVersion = 0;
-  /** Requests with a write that may still be applied. */
+  /** Ids of requests with a write that may still be applied. */
   private readonly ambiguousWrites = new Set<string>();
 
   constructor(
@@ -43,7 +43,7 @@
     private readonly term: Term,
   ) {}
 
-  /** The request that an earlier leader left in an entry; null: the entry holds none. */
+  /** Returns the request of an earlier leader that the entry holds, or null if it holds none. */
   restore(entry: Entry): { request: string; record: ProvisioningRecord } | null {
     if (entry.key === KEYS.provisioningGuard) {
       this.guardVersion = entry.version;
@@ -53,7 +53,7 @@
     return record && { request: entry.key.slice(KEYS.provisioningRequests.length), record };
   }
 
-  /** Records a request before it is sent to the cloud; false if the term is over. */
+  /** Records a request before it is sent to the cloud; returns false if the term has ended. */
   async add(request: string, record: Omit<ProvisioningRecord, 'w'>): Promise<boolean> {
     const { signal, fencingToken } = this.term;
     const key = KEYS.provisioningRequest(request);
@@ -66,7 +66,7 @@
           { key: KEYS.provisioningGuard, version: this.guardVersion },
         ],
         [{ put: key, value }],
-        // Machines take longer to come up than anything else: their records never wait behind starts.
+        // Booting takes longer than anything else, so these records must not wait behind starts.
         RequestPriority.Critical,
         signal,
       );
@@ -76,7 +76,8 @@
         this.term.end();
         return false;
       }
-      // Either an ambiguous write was applied, or the guard has moved and none of them ever will be.
+      // Either an ambiguous write was applied, or the guard has a new version and no such write can
+      // be applied any more.
       if (await this.store.readWithRetry(key, signal)) return true;
       this.ambiguousWrites.delete(request);
       this.guardVersion =
@@ -84,7 +85,7 @@
     }
   }
 
-  /** Deletes the record of a finished request for good. */
+  /** Deletes the record of a finished request permanently. */
   async remove(request: string): Promise<void> {
     const needsGuard = this.ambiguousWrites.delete(request);
     const outcome = await this.store.commit(
--- a/src/fleet/resources.ts
+++ b/src/fleet/resources.ts
@@ -1,4 +1,4 @@
-/** Resources of tasks and machines, and the arithmetic of packing one into the other. */
+/** Resources of tasks and machines, and functions to fit requests into capacity. */
 
 /** A resource request of one task, or the capacity of one machine. */
 export interface Resources {
@@ -7,7 +7,7 @@
   memoryGb: number;
 }
 
-/** A type of machine that the cloud offers. Prices are in the cloud's unit. */
+/** A machine type that the cloud offers. Prices are in the cloud's unit. */
 export interface MachineType {
   name: string;
   capacity: Resources;
@@ -22,7 +22,10 @@
   zones: string[];
 }
 
-/** Sums of decimal amounts may be off in the last digits; a shortfall of this much still fits. */
+/**
+ * Tolerance for rounding errors in sums of decimal amounts: a request that exceeds the capacity by
+ * this much still fits.
+ */
 const EPSILON = 1e-6;
 
 /** Whether the request fits into the capacity. */
@@ -34,7 +37,7 @@
   );
 }
 
-/** Takes the request from the capacity, in place, as many times as told. */
+/** Subtracts the request from the capacity `times` times, in place. */
 export function subtract(capacity: Resources, request: Resources, times = 1): void {
   capacity.cpus -= request.cpus * times;
   capacity.gpus -= request.gpus * times;
@@ -43,14 +46,14 @@
 
 /** How many tasks with this request fit into the capacity. */
 export function copiesThatFit(request: Resources, capacity: Resources): number {
-  // Called for every machine many times a cycle, and most are full.
+  // Fast path: this is called for every machine many times per cycle, and most machines are full.
   if (!fits(request, capacity)) return 0;
   return Math.min(
-    per(request.cpus, capacity.cpus),
-    per(request.gpus, capacity.gpus),
-    per(request.memoryGb, capacity.memoryGb),
+    taskCount(request.cpus, capacity.cpus),
+    taskCount(request.gpus, capacity.gpus),
+    taskCount(request.memoryGb, capacity.memoryGb),
   );
 }
 
-const per = (requested: number, available: number): number =>
+const taskCount = (requested: number, available: number): number =>
   requested <= 0 ? Infinity : Math.floor((available + EPSILON) / requested);
--- a/src/fleet/stop-commands.ts
+++ b/src/fleet/stop-commands.ts
@@ -1,4 +1,4 @@
-/** Direct stop commands to workers. */
+/** Sends stop commands directly to workers. */
 import { NoResponseError, type Transport } from '../http/client.js';
 import type { Term } from '../election/term.js';
 import type { Runtime } from '@leverhatch/core/duty';
@@ -15,13 +15,13 @@
 export type WorkerTransports = (address: string) => Transport;
 
 /**
- * Stop commands that go straight to workers instead of waiting for their next heartbeats. Only stops
- * do: a direct command may be carried out minutes late, which is harmless for a stop but not for a
- * start. Lost commands are repeated in the answers to heartbeats.
+ * Sends stop commands directly to workers instead of in the answers to their next heartbeats. Only
+ * stops are sent this way: a direct command may be executed minutes late, which is harmless for a
+ * stop but not for a start. Lost commands are repeated in the answers to heartbeats.
  */
 export class StopCommands {
-  private readonly queued = new Map<Machine, WorkerCommand[]>();
-  /** Requests without a response yet. */
+  private readonly queuedCommands = new Map<Machine, WorkerCommand[]>();
+  /** Number of requests without a response yet. */
   private inFlight = 0;
 
   constructor(
@@ -30,26 +30,26 @@
     private readonly term: Term,
     /** Time-out of one request, in milliseconds. */
     private readonly timeoutMs: number,
-    /** Bound on requests in flight; a stop beyond it goes with the answer to a heartbeat. */
+    /** Bound on requests in flight; stops beyond it are sent in the answers to heartbeats. */
     private readonly maxInFlight: number,
     private readonly onResponse: (heartbeat: WorkerHeartbeat) => void,
   ) {}
 
-  /** Queues a command; those of the same turn reach a machine in one request. */
+  /** Queues a command; all commands to a machine from one event loop turn share a request. */
   add(machine: Machine, command: WorkerCommand): void {
-    const commands = this.queued.get(machine);
+    const commands = this.queuedCommands.get(machine);
     if (commands) commands.push(command);
     else {
-      if (this.queued.size === 0) queueMicrotask(() => this.sendAll());
-      this.queued.set(machine, [command]);
+      if (this.queuedCommands.size === 0) queueMicrotask(() => this.flush());
+      this.queuedCommands.set(machine, [command]);
     }
   }
 
-  private sendAll(): void {
-    const batches = [...this.queued];
-    this.queued.clear();
+  private flush(): void {
+    const batches = [...this.queuedCommands];
+    this.queuedCommands.clear();
     for (const [machine, commands] of batches) {
-      void this.send(machine, commands).catch((error: unknown) => {
+      void this.sendBatch(machine, commands).catch((error: unknown) => {
         if (!(error instanceof NoResponseError)) throw error;
         this.runtime.log.debug(
           { machine: machine.id, error: error.message },
@@ -59,7 +59,7 @@
     }
   }
 
-  private async send(machine: Machine, commands: WorkerCommand[]): Promise<void> {
+  private async sendBatch(machine: Machine, commands: WorkerCommand[]): Promise<void> {
     if (machine.address === null || !this.term.holdsLease(this.runtime.clock.now())) return;
     if (this.inFlight >= this.maxInFlight) return;
     this.inFlight++;
--- a/src/fleet/worker-commands.ts
+++ b/src/fleet/worker-commands.ts
@@ -1,4 +1,4 @@
-/** Commands to workers, built from the placements that they are about. */
+/** Builds the commands that start and stop the tasks of placements. */
 import type { Placement } from '../jobs/tracked-job.js';
 import type { WorkerCommand } from '../wire/worker-heartbeat.js';
 
@@ -8,7 +8,7 @@
   return { kind: 'start', job: job.id, task, attempt };
 }
 
-/** The command that stops the task of a placement, with `graceMs` to save its state. */
+/** The command that stops the task of a placement, which has `graceMs` to save its state. */
 export function stopCommand(placement: Placement, graceMs: number): WorkerCommand {
   const { job, task, attempt } = placement;
   return { kind: 'stop', job: job.id, task, attempt, graceMs };
