--- a/src/membership/membership.ts
+++ b/src/membership/membership.ts
@@ -1,4 +1,4 @@
-/** Which record formats, frames and features the controllers of this cluster understand. */
+/** Which record formats, frame versions and features the controllers of this cluster support. */
 import { RequestPriority } from '@leverhatch/core/store';
 import { z } from 'zod/mini';
 import { FRAME_VERSIONS } from '../peer/frames.js';
@@ -9,68 +9,71 @@
 import { VERSION } from '../version.js';
 
 /**
- * Formats of stored records. A change of any record or key gets the next number here, and none ever
- * changes its meaning: a program that reads a format also reads all before it. Versions without a
- * member record know the first alone.
+ * Formats of stored records. Every change to a record or key adds the next number here, and the
+ * meaning of a number never changes: a program that reads a format also reads all earlier ones.
+ * Versions without a member record support the first format only.
  *
- * `leftoverRuns`: run records may be left of a job of which only the final state is stored.
+ * `leftoverRuns`: run records may remain for a job of which only the final state is stored.
  */
 export const RECORD_FORMATS = { indexedRuns: 1, rangedRuns: 2, leftoverRuns: 3 } as const;
 
-/** What a program understands of what others write. */
+/** The formats and features that a program supports. */
 export interface Formats {
-  /** The newest record format. */
+  /** The newest supported record format. */
   recordFormat: number;
-  /** Versions of the frames between controllers. */
+  /** Supported versions of the frames that controllers exchange. */
   frameVersions: readonly number[];
-  /** Parts that are switched on and change what others have to know. */
+  /** Enabled features that the other controllers have to support or know about. */
   features?: readonly string[];
 }
 
-/** What this program understands. */
+/** The formats that this program supports. */
 export const OWN_FORMATS: Formats = {
   recordFormat: Math.max(...Object.values(RECORD_FORMATS)),
   frameVersions: FRAME_VERSIONS,
 };
 
-const count = z.int().check(z.nonnegative());
+const nonNegativeInt = z.int().check(z.nonnegative());
 
 const memberRecord = z.object({
   name: z.string(),
   version: z.string(),
   startedAt: z.number(),
-  recordFormat: count,
-  frameVersions: z.array(count),
+  recordFormat: nonNegativeInt,
+  frameVersions: z.array(nonNegativeInt),
   features: z.optional(z.array(z.string())),
 });
 
-/** What a controller says of its program, in the store. It stays there when the process ends. */
+/**
+ * A controller's description of its program in the store. It is not deleted when the process ends.
+ */
 export interface MemberRecord extends Formats {
   name: string;
   version: string;
-  /** Time of day at which the process began, in milliseconds. */
+  /** Wall-clock time at which the process started, in milliseconds. */
   startedAt: number;
 }
 
-/** The controllers that there are. */
+/** The names of the controllers in the cluster. */
 export interface MembershipNames {
   self: string;
   peers: string[];
-  /** How many controllers there are in all. */
+  /** Total number of controllers, including this one. */
   size: number;
 }
 
 /**
- * Which formats every controller understands. Each writes a record of itself when it starts. A
- * version from before these records writes none, and nothing is concluded from a missing one: a
- * controller without a record is taken for one that knows the first format alone. A format may be
- * written once every controller has a record that names it or a later one; from then on it stays so,
- * since records are never deleted. Each format is judged by itself: what all knew before an upgrade
- * began they know throughout, whatever newer format the upgrade brings.
+ * Tracks which formats every controller supports. Each controller writes a member record when it
+ * starts. Versions from before member records write none, so a controller without a record is
+ * assumed to support the first format only. A format may be written once every controller has a
+ * record that names this format or a later one. From then on it may always be written, since member
+ * records are never deleted. Each format is decided independently: a format that all supported
+ * before an upgrade stays usable throughout the upgrade, whatever newer format the upgrade
+ * introduces.
  */
 export class Membership {
   private readonly members = new Map<string, MemberRecord>();
-  /** The newest record format that all controllers read; 0: not known of all. */
+  /** The newest record format that all controllers read; 0 while member records are missing. */
   private commonFormat = 0;
 
   constructor(
@@ -78,21 +81,24 @@
     private readonly runtime: Runtime,
     private readonly names: MembershipNames,
     private readonly refreshMs: number,
-    /** What this program understands. */
+    /** The formats and features that this program supports. */
     private readonly own: Formats = OWN_FORMATS,
   ) {}
 
-  /** True once all controllers read records of this format. */
+  /** Whether all controllers are known to read records of this format. */
   allRead(recordFormat: number): boolean {
     return this.commonFormat >= recordFormat;
   }
 
-  /** True if this peer has said that it reads frames of this version. */
+  /** Whether this peer is known to read frames of this version. */
   readsFrames(peer: string, version: number): boolean {
     return this.members.get(peer)?.frameVersions.includes(version) ?? false;
   }
 
-  /** True once all others understand whatever this program does: no record can change anything then. */
+  /**
+   * Whether all peers are known to support every format of this program. Further member records
+   * cannot change anything then.
+   */
   private get isComplete(): boolean {
     const { recordFormat, frameVersions } = this.own;
     return (
@@ -103,17 +109,17 @@
     );
   }
 
-  /** Writes our own record, then reads those of the others until all are up to date. */
+  /** Writes this controller's member record, then refreshes until all peers are up to date. */
   async run(signal: AbortSignal): Promise<void> {
     await this.writeOwnRecord(signal);
     while (!signal.aborted && !this.isComplete) {
-      // While the store does not serve, no new format is written; the next refresh tries again.
+      // If the store is unavailable, no new format is enabled; the next refresh tries again.
       await this.refresh(signal).catch(() => undefined);
       if (!this.isComplete) await this.runtime.clock.sleep(this.refreshMs, signal);
     }
   }
 
-  /** Writes our own record, however long it takes. */
+  /** Writes this controller's member record, and retries until it succeeds. */
   private async writeOwnRecord(signal: AbortSignal): Promise<void> {
     const { clock, random, log, startedAt } = this.runtime;
     const record: MemberRecord = {
@@ -122,14 +128,14 @@
       startedAt: Math.round(clock.wall() - (clock.now() - startedAt)),
       recordFormat: this.own.recordFormat,
       frameVersions: [...this.own.frameVersions],
-      // One that has none writes what earlier versions write.
+      // Without features the record is the same as that of earlier versions.
       ...(this.own.features ? { features: this.own.features } : {}),
     };
     const key = KEYS.member(record.name);
-    // Conditioned on what it replaces: an ambiguous write may be applied after a later program of this
-    // controller has written its own record.
+    // Conditional on the version that it replaces: an ambiguous write might otherwise be applied
+    // after a later process of this controller has written its own record.
     let version = 0;
-    let waitMs = this.refreshMs / 4;
+    let retryDelayMs = this.refreshMs / 4;
     while (!signal.aborted) {
       try {
         const { ok } = await this.store.tryCommit(
@@ -146,28 +152,31 @@
         return;
       } catch (error) {
         log.debug({ error: String(error) }, 'member record not written');
-        await clock.sleep(jitter(waitMs, random), signal);
-        waitMs = Math.min(waitMs * 2, this.refreshMs * 4);
+        await clock.sleep(jitter(retryDelayMs, random), signal);
+        retryDelayMs = Math.min(retryDelayMs * 2, this.refreshMs * 4);
       }
     }
   }
 
   /**
-   * Whether every controller says now that it has a part switched on. Unlike formats a part can be
-   * switched off again, so this is read each time.
+   * Whether every controller currently has a feature enabled. Unlike a format, a feature can be
+   * disabled again, so the member records are read from the store each time.
    */
   async haveAllEnabled(feature: string, signal?: AbortSignal): Promise<boolean> {
     const { items } = await this.store.range(KEYS.members, signal);
-    const having = new Set<string>();
+    const enabledMembers = new Set<string>();
     for (const { value } of items) {
       const result = z.safeParse(memberRecord, value);
-      if (result.success && result.data.features?.includes(feature)) having.add(result.data.name);
+      if (result.success && result.data.features?.includes(feature))
+        enabledMembers.add(result.data.name);
     }
     const { self, peers, size } = this.names;
-    return having.size >= size && [self, ...peers].every((name) => having.has(name));
+    return (
+      enabledMembers.size >= size && [self, ...peers].every((name) => enabledMembers.has(name))
+    );
   }
 
-  /** Reads the records of all controllers once; throws if the store does not serve. */
+  /** Reads the member records of all controllers once; throws if the store is unavailable. */
   async refresh(signal?: AbortSignal): Promise<void> {
     if (this.isComplete) return;
     const { items } = await this.store.range(KEYS.members, signal);
@@ -179,27 +188,27 @@
   }
 
   private updateCommonFormat(): void {
-    const before = this.commonFormat;
+    const previousFormat = this.commonFormat;
     while (this.commonFormat < this.own.recordFormat && this.isReadByAll(this.commonFormat + 1))
       this.commonFormat++;
-    if (this.commonFormat === before) return;
+    if (this.commonFormat === previousFormat) return;
     const members = [...this.members.keys()];
     this.runtime.log.info(
       { members, recordFormat: this.commonFormat },
       'record format read by all controllers',
     );
     const { rangedRuns } = RECORD_FORMATS;
-    // The announced limits can come at any moment from now on.
-    if (before < rangedRuns && this.allRead(rangedRuns)) this.store.limits.applyAnnounced();
+    // From now on the store may apply its announced limits at any time.
+    if (previousFormat < rangedRuns && this.allRead(rangedRuns)) this.store.limits.applyAnnounced();
   }
 
   /** Whether every controller has a record that names this format or a later one. */
   private isReadByAll(recordFormat: number): boolean {
     const { self, peers, size } = this.names;
-    const current = [...this.members.values()].filter(
+    const supporting = [...this.members.values()].filter(
       (member) => member.recordFormat >= recordFormat,
     );
-    const names = new Set(current.map((member) => member.name));
+    const names = new Set(supporting.map((member) => member.name));
     return names.size >= size && [self, ...peers].every((name) => names.has(name));
   }
 }
