--- a/src/election/leader-election.ts
+++ b/src/election/leader-election.ts
@@ -85,7 +85,7 @@
 
 /** Tracks the outcome of recent renewals of the leader lease. */
 class RenewalHealth {
-  private unansweredInARow = 0;
+  private consecutiveUnanswered = 0;
   private failing = false;
 
   get isFailing(): boolean {
@@ -97,17 +97,18 @@
    * rejected one was not.
    */
   get isUnanswered(): boolean {
-    return this.unansweredInARow >= MIN_UNANSWERED_RENEWALS;
+    return this.consecutiveUnanswered >= MIN_UNANSWERED_RENEWALS;
   }
 
   recordSuccess(): void {
     this.failing = false;
-    this.unansweredInARow = 0;
+    this.consecutiveUnanswered = 0;
   }
 
   recordFailure(error: unknown): void {
     this.failing = true;
-    this.unansweredInARow = error instanceof NoResponseError ? this.unansweredInARow + 1 : 0;
+    this.consecutiveUnanswered =
+      error instanceof NoResponseError ? this.consecutiveUnanswered + 1 : 0;
   }
 }
 
--- a/src/fleet/boot-times.ts
+++ b/src/fleet/boot-times.ts
@@ -23,7 +23,7 @@
   readonly type: MachineType | null;
   /** Monotonic time in milliseconds. */
   readonly provisionedAt: number;
-  /** The cloud reports it as booting, and its worker has not sent a heartbeat. */
+  /** Whether the cloud reports the machine as booting and no heartbeat has arrived. */
   readonly isBooting: boolean;
   readonly isReleasing: boolean;
 }
--- a/src/fleet/image-cache.ts
+++ b/src/fleet/image-cache.ts
@@ -7,7 +7,7 @@
 export interface CachedImage {
   /** Size in gigabytes. */
   gb: number;
-  /** False while it is still being fetched. */
+  /** False while the image is still being fetched. */
   isPresent: boolean;
 }
 
--- a/src/fleet/machine-provisioner.ts
+++ b/src/fleet/machine-provisioner.ts
@@ -84,7 +84,7 @@
   private readonly backoffs = new Map<string, CapacityBackoff>();
   private readonly releaseQueue = new Set<string>();
   private isReleasing = false;
-  /** Monotonic time since which the cloud has been unavailable; null while it serves. */
+  /** Monotonic time since which the cloud has been unavailable; null while it is available. */
   unavailableSince: number | null = null;
 
   constructor(
--- a/src/fleet/machine.ts
+++ b/src/fleet/machine.ts
@@ -215,10 +215,10 @@
    * the cloud first reported it as running. A machine whose boot is late is not expected, so that
    * another is provisioned in its place.
    */
-  isExpected(now: number, timeoutMs: number, boots: BootTimes): boolean {
+  isExpected(now: number, timeoutMs: number, bootTimes: BootTimes): boolean {
     if (this.lastHeartbeatAt !== null || this.placements.size > 0 || this.type === null)
       return false;
-    if (this.cloudState === 'booting') return !boots.isLate(this, now);
+    if (this.cloudState === 'booting') return !bootTimes.isLate(this, now);
     return this.cloudRunningSince !== null && now - this.cloudRunningSince < timeoutMs;
   }
 
--- a/src/membership/membership.ts
+++ b/src/membership/membership.ts
@@ -55,7 +55,7 @@
 }
 
 /** The names of the controllers in the cluster. */
-export interface MembershipNames {
+export interface ControllerNames {
   self: string;
   peers: string[];
   /** Total number of controllers, including this one. */
@@ -79,10 +79,10 @@
   constructor(
     private readonly store: Store,
     private readonly runtime: Runtime,
-    private readonly names: MembershipNames,
+    private readonly names: ControllerNames,
     private readonly refreshMs: number,
     /** The formats and features that this program supports. */
-    private readonly own: Formats = OWN_FORMATS,
+    private readonly ownFormats: Formats = OWN_FORMATS,
   ) {}
 
   /** Whether all controllers are known to read records of this format. */
@@ -100,7 +100,7 @@
    * cannot change anything then.
    */
   private get isComplete(): boolean {
-    const { recordFormat, frameVersions } = this.own;
+    const { recordFormat, frameVersions } = this.ownFormats;
     return (
       this.allRead(recordFormat) &&
       this.names.peers.every((peer) =>
@@ -126,10 +126,10 @@
       name: this.names.self,
       version: VERSION,
       startedAt: Math.round(clock.wall() - (clock.now() - startedAt)),
-      recordFormat: this.own.recordFormat,
-      frameVersions: [...this.own.frameVersions],
+      recordFormat: this.ownFormats.recordFormat,
+      frameVersions: [...this.ownFormats.frameVersions],
       // Without features the record is the same as that of earlier versions.
-      ...(this.own.features ? { features: this.own.features } : {}),
+      ...(this.ownFormats.features ? { features: this.ownFormats.features } : {}),
     };
     const key = KEYS.member(record.name);
     // Conditional on the version that it replaces: an ambiguous write might otherwise be applied
@@ -189,7 +189,10 @@
 
   private updateCommonFormat(): void {
     const previousFormat = this.commonFormat;
-    while (this.commonFormat < this.own.recordFormat && this.isReadByAll(this.commonFormat + 1))
+    while (
+      this.commonFormat < this.ownFormats.recordFormat &&
+      this.isReadByAll(this.commonFormat + 1)
+    )
       this.commonFormat++;
     if (this.commonFormat === previousFormat) return;
     const members = [...this.members.keys()];
