--- a/src/scheduler/backfill.ts
+++ b/src/scheduler/backfill.ts
@@ -4,7 +4,7 @@
 import type { JobView } from './scheduling-model.js';
 import type { TaskStarter } from './task-starter.js';
 
-interface BackfillWork {
+interface DeferredJob {
   job: JobView;
   /** Tasks that found no capacity. */
   missing: number;
@@ -13,7 +13,7 @@
 
 /** Schedules backfill after all work that cannot wait. */
 export class BackfillScheduler {
-  private readonly deferred: BackfillWork[] = [];
+  private readonly deferredJobs: DeferredJob[] = [];
 
   constructor(
     private readonly context: CycleContext,
@@ -22,7 +22,7 @@
 
   /** Keeps `missing` tasks of a job for `schedule`. */
   defer(job: JobView, missing: number, rules: ZoneRules): void {
-    this.deferred.push({ job, missing, rules });
+    this.deferredJobs.push({ job, missing, rules });
   }
 
   /**
@@ -31,30 +31,31 @@
    */
   schedule(): void {
     this.startDeferred();
-    const { snapshot, reservations, up } = this.context;
+    const { snapshot, reservations, upMachines } = this.context;
     let { leavingCpus } = snapshot;
     const upcoming = snapshot.upcomingJobs.map((job) => ({
       job,
       missing: job.waitingTasks,
       rules: new ZoneRules(job.spec, job.tasksByZone),
     }));
-    for (const { job, missing, rules } of [...this.deferred, ...upcoming]) {
+    for (const { job, missing, rules } of [...this.deferredJobs, ...upcoming]) {
       const { cpus } = job.spec.need;
-      const covered = cpus > 0 ? Math.min(missing, Math.floor(leavingCpus / cpus)) : missing;
-      leavingCpus -= covered * cpus;
-      const uncovered = missing - covered;
-      const reserved = reservations.reserveOn(job, uncovered, up, rules);
+      const waitsForRunning =
+        cpus > 0 ? Math.min(missing, Math.floor(leavingCpus / cpus)) : missing;
+      leavingCpus -= waitsForRunning * cpus;
+      const uncovered = missing - waitsForRunning;
+      const reserved = reservations.reserveOn(job, uncovered, upMachines, rules);
       reservations.reserveOrScaleOut(job, uncovered - reserved, rules);
     }
   }
 
   private startDeferred(): void {
-    const { snapshot, up } = this.context;
-    for (const work of this.deferred) {
-      const { job, missing, rules } = work;
+    const { snapshot, upMachines } = this.context;
+    for (const deferred of this.deferredJobs) {
+      const { job, missing, rules } = deferred;
       const team = snapshot.teams.get(job.spec.team);
       if (!team || job.gang) continue;
-      work.missing -= this.starter.startTasks(job, missing, rules, team, up);
+      deferred.missing -= this.starter.startTasks(job, missing, rules, team, upMachines);
     }
   }
 }
--- a/src/scheduler/capacity-finder.ts
+++ b/src/scheduler/capacity-finder.ts
@@ -10,10 +10,10 @@
 export class CapacityFinder {
   /** By list of machines, the shapes of which no task fits there any more. */
   private readonly fullShapes = new Map<MachineView[], Set<string>>();
-  private readonly byShape = new Map<string, MachineView[]>();
+  private readonly suitableByShape = new Map<string, MachineView[]>();
 
   constructor(
-    private readonly up: MachineView[],
+    private readonly upMachines: MachineView[],
     private readonly contended: ContendedTypes,
   ) {}
 
@@ -22,15 +22,15 @@
    * a list of machines has none for a shape, no other job of that shape looks there again: with
    * hundreds of jobs waiting, a cycle would else cost more than all heartbeats.
    */
-  find(
+  placeTasks(
     job: JobView,
     count: number,
     rules: ZoneRules,
     machines: MachineView[],
-    onlyBesideGpus = false,
+    keepGpuShare = false,
   ): Placed[] {
     if (this.isFull(job.spec, machines)) return [];
-    return placeTasks(job, count, machines, rules, this.contended, onlyBesideGpus);
+    return placeTasks(job, count, machines, rules, this.contended, keepGpuShare);
   }
 
   /** True if no task of this shape fits on any of these machines. */
@@ -45,16 +45,16 @@
   }
 
   /** Machines that are up and could hold a task of this shape if they were empty. */
-  suitable(spec: JobSpec): MachineView[] {
+  suitableMachines(spec: JobSpec): MachineView[] {
     const shape = schedulingShape(spec);
-    let machines = this.byShape.get(shape);
+    let machines = this.suitableByShape.get(shape);
     if (!machines) {
-      machines = this.up.filter(
+      machines = this.upMachines.filter(
         (machine) =>
           isAllowedOn(spec, machine.type.name, machine.zone, machine.spot) &&
           fits(spec.need, machine.type.capacity),
       );
-      this.byShape.set(shape, machines);
+      this.suitableByShape.set(shape, machines);
     }
     return machines;
   }
--- a/src/scheduler/consolidation.ts
+++ b/src/scheduler/consolidation.ts
@@ -5,7 +5,7 @@
 import { findMoves, type TaskMove } from './task-moves.js';
 
 /** A machine with an idle timeout of more boot times than this is not worth draining. */
-const MAX_IDLE_BOOTS = 2;
+const MAX_IDLE_TIMEOUT_BOOTS = 2;
 
 /**
  * Long-running replicas stay behind on many half-empty machines once the work around them has ended.
@@ -13,30 +13,34 @@
  * fuller machines that hold replicas: each is down for the few seconds of a stop and a start, and
  * the machine can be scaled in. One machine at a time, so that few replicas are down at once.
  */
-export function consolidate(movable: ReplicaView[], up: MachineView[], jobs: JobView[]): TaskId[] {
+export function consolidate(
+  movable: ReplicaView[],
+  upMachines: MachineView[],
+  jobs: JobView[],
+): TaskId[] {
   const byMachine = new Map<string, ReplicaView[]>();
   for (const replica of movable) {
-    const list = byMachine.get(replica.machine);
-    if (list) list.push(replica);
+    const replicas = byMachine.get(replica.machine);
+    if (replicas) replicas.push(replica);
     else byMachine.set(replica.machine, [replica]);
   }
-  const drainable = up
+  const drainable = upMachines
     .filter((machine) => {
       const replicas = byMachine.get(machine.id)?.length ?? 0;
       const tasks = [...machine.tasksOf.values()].reduce((a, b) => a + b, 0);
       return (
         replicas > 0 &&
         tasks === replicas &&
-        machine.idleTimeoutMs <= machine.type.bootMs * MAX_IDLE_BOOTS
+        machine.idleTimeoutMs <= machine.type.bootMs * MAX_IDLE_TIMEOUT_BOOTS
       );
     })
     .sort((a, b) => b.free.gpus / b.type.capacity.gpus - a.free.gpus / a.type.capacity.gpus);
   const byId = new Map(jobs.map((job) => [job.id, job]));
-  const hosts = machinesForAny(movable, up);
-  for (const from of drainable) {
-    const replicas = byMachine.get(from.id) ?? [];
-    const fuller = hosts.filter((machine) => isFuller(machine, from));
-    if (fuller.length > 0 && findReplicaMoves(replicas, from, fuller, byId)) {
+  const replicaMachines = machinesThatFitAny(movable, upMachines);
+  for (const source of drainable) {
+    const replicas = byMachine.get(source.id) ?? [];
+    const targets = replicaMachines.filter((machine) => isFuller(machine, source));
+    if (targets.length > 0 && findReplicaMoves(replicas, source, targets, byId)) {
       return replicas.map(({ job, task }) => ({ job, task }));
     }
   }
@@ -47,11 +51,11 @@
  * Machines that hold replicas and on which at least one of the movable replicas fits. In a large
  * fleet they are few, and all of them are looked at for each machine that could be drained.
  */
-function machinesForAny(movable: ReplicaView[], up: MachineView[]): MachineView[] {
+function machinesThatFitAny(movable: ReplicaView[], upMachines: MachineView[]): MachineView[] {
   const needs = new Map<string, Resources>();
   for (const { job, spec } of movable) needs.set(job, spec.need);
   const distinctNeeds = [...needs.values()];
-  return up.filter(
+  return upMachines.filter(
     (machine) => machine.replicas > 0 && distinctNeeds.some((need) => fits(need, machine.free)),
   );
 }
@@ -62,7 +66,7 @@
 
 function findReplicaMoves(
   replicas: ReplicaView[],
-  from: MachineView,
+  source: MachineView,
   targets: MachineView[],
   jobs: ReadonlyMap<string, JobView>,
 ): TaskMove[] | null {
@@ -72,7 +76,7 @@
     freeOn: (machine) => machine.free,
     tasksByZone: (job) => {
       const zones = new Map(job.tasksByZone);
-      return zones.set(from.zone, (zones.get(from.zone) ?? 0) - 1);
+      return zones.set(source.zone, (zones.get(source.zone) ?? 0) - 1);
     },
     isTarget: ({ job, spec }, machine, rules, moves) =>
       // No two replicas of one service share a machine, so that one loss takes few of them.
@@ -81,6 +85,6 @@
       machine.images.has(spec.image) &&
       fetchSeconds(spec, machine) === 0 &&
       // Several of one job may leave together: their own zone has capacity for what left it.
-      (machine.zone === from.zone || rules.remaining(machine.zone) > 0),
+      (machine.zone === source.zone || rules.remaining(machine.zone) > 0),
   });
 }
--- a/src/scheduler/contended-types.ts
+++ b/src/scheduler/contended-types.ts
@@ -5,16 +5,16 @@
 import type { JobView, MachineView } from './scheduling-model.js';
 
 /** Cost, in seconds of waiting, of a type that others depend on. */
-const CONTENDED_SECONDS = 12;
+const CONTENDED_PENALTY_SECONDS = 12;
 
 /** The same where little capacity is left for those that depend on it. */
-const SCARCE_SECONDS = 60;
+const SCARCE_PENALTY_SECONDS = 60;
 
 /** A low-priority job pays this many times the cost. */
 const LOW_PRIORITY_FACTOR = 4;
 
 /** Capacity for this share of the dependents' unfinished tasks is kept for those that come next. */
-const KEPT_RATIO = 0.25;
+const RESERVED_RATIO = 0.25;
 
 /** The jobs that can use one machine type only. */
 interface Dependents {
@@ -33,7 +33,7 @@
   constructor(
     jobs: JobView[],
     private readonly types: MachineType[],
-    private readonly up: MachineView[],
+    private readonly upMachines: MachineView[],
   ) {
     if (types.length < 2) return;
     for (const { spec, unfinishedTasks } of jobs) {
@@ -43,11 +43,13 @@
   }
 
   /** What a task of `spec` should pay, in seconds of waiting, for a machine. */
-  prices(spec: JobSpec): (machine: MachineView) => number {
+  penaltySeconds(spec: JobSpec): (machine: MachineView) => number {
     if (this.dependents.size === 0 || this.fittingTypes(spec).length < 2) return () => 0;
     const byType = new Map<string, { price: number; spot: boolean }>();
     for (const [name, dependents] of this.dependents) {
-      const seconds = this.isScarce(name, dependents) ? SCARCE_SECONDS : CONTENDED_SECONDS;
+      const seconds = this.isScarce(name, dependents)
+        ? SCARCE_PENALTY_SECONDS
+        : CONTENDED_PENALTY_SECONDS;
       const price = spec.priority === Priority.Low ? seconds * LOW_PRIORITY_FACTOR : seconds;
       byType.set(name, { price, spot: dependents.spot });
     }
@@ -58,9 +60,9 @@
   }
 
   /** Seconds to fetch its image on the types without dependents; Infinity if there are none. */
-  fetchSecondsOutside(spec: JobSpec): number {
-    const outside = this.fittingTypes(spec).filter((type) => !this.dependents.has(type.name));
-    return Math.min(...outside.map((type) => spec.imageGb / type.fetchGbPerS));
+  minFetchSecondsOnUncontended(spec: JobSpec): number {
+    const uncontended = this.fittingTypes(spec).filter((type) => !this.dependents.has(type.name));
+    return Math.min(...uncontended.map((type) => spec.imageGb / type.fetchGbPerS));
   }
 
   private addDependent(type: string, spec: JobSpec, unfinishedTasks: number): void {
@@ -74,8 +76,8 @@
   }
 
   private isScarce(name: string, dependents: Dependents): boolean {
-    let missing = dependents.unfinishedTasks * KEPT_RATIO;
-    for (const machine of this.up) {
+    let missing = dependents.unfinishedTasks * RESERVED_RATIO;
+    for (const machine of this.upMachines) {
       if (machine.type.name === name && (dependents.spot || !machine.spot))
         missing -= copiesThatFit(dependents.spec.need, machine.free);
     }
--- a/src/scheduler/cycle-context.ts
+++ b/src/scheduler/cycle-context.ts
@@ -11,7 +11,7 @@
 export interface CycleContext {
   snapshot: Snapshot;
   /** Machines that are up. Always this very list: `CapacityFinder` remembers lists by identity. */
-  up: MachineView[];
+  upMachines: MachineView[];
   /** Jobs within their team's guarantee. */
   guaranteed: ReadonlySet<string>;
   contended: ContendedTypes;
@@ -27,21 +27,21 @@
 /** The state in which a cycle begins. */
 export function createCycleContext(snapshot: Snapshot): CycleContext {
   const { jobs, machines, teams, types, offers, preemptionCandidates } = snapshot;
-  const up = machines.filter((machine) => machine.isUp);
+  const upMachines = machines.filter((machine) => machine.isUp);
   const booting = machines.filter((machine) => !machine.isUp);
   const dependents = jobs.filter((job) => !isOpportunistic(job));
-  const contended = new ContendedTypes(dependents, types, up);
+  const contended = new ContendedTypes(dependents, types, upMachines);
   const guaranteed = withinGuarantee(jobs, teams);
-  const finder = new CapacityFinder(up, contended);
+  const finder = new CapacityFinder(upMachines, contended);
   const scaleOutPlan = new ScaleOutPlan(offers, machines);
   return {
     snapshot,
-    up,
+    upMachines,
     guaranteed,
     contended,
     finder,
     scaleOutPlan,
     reservations: new Reservations(finder, scaleOutPlan, booting),
-    preemption: new Preemption(preemptionCandidates, up, teams, guaranteed),
+    preemption: new Preemption(preemptionCandidates, upMachines, teams, guaranteed),
   };
 }
--- a/src/scheduler/gang-reservations.ts
+++ b/src/scheduler/gang-reservations.ts
@@ -3,7 +3,7 @@
 import type { CycleContext } from './cycle-context.js';
 import type { JobView, MachineView } from './scheduling-model.js';
 import { rank } from './job-order.js';
-import { mayUse, schedulingShape, ZoneRules } from './placement-rules.js';
+import { canUse, schedulingShape, ZoneRules } from './placement-rules.js';
 import type { Preemption } from './preemption.js';
 import type { ScaleOutPlan } from './scale-out-plan.js';
 import type { Reservations } from './reservations.js';
@@ -12,10 +12,10 @@
 /** Reserves capacity for whole gangs in one scheduling cycle. */
 export class GangReservations {
   /** By shape and rank, the size in tasks of the smallest gang that found no capacity. */
-  private readonly tooLarge = new Map<string, number>();
+  private readonly unplaceableSizes = new Map<string, number>();
 
   private readonly machines: MachineView[];
-  private readonly up: MachineView[];
+  private readonly upMachines: MachineView[];
   private readonly guaranteed: ReadonlySet<string>;
   private readonly finder: CapacityFinder;
   private readonly scaleOutPlan: ScaleOutPlan;
@@ -24,7 +24,7 @@
 
   constructor(context: CycleContext) {
     this.machines = context.snapshot.machines;
-    this.up = context.up;
+    this.upMachines = context.upMachines;
     this.guaranteed = context.guaranteed;
     this.finder = context.finder;
     this.scaleOutPlan = context.scaleOutPlan;
@@ -48,10 +48,10 @@
     // is no smaller finds too little as well.
     const kind = `${schedulingShape(spec)}|${spec.oneZone}|${rank(job.priority, this.isGuaranteed(job))}`;
     const isUnrestricted = job.avoidedMachines.size === 0 && job.tasksByZone.size === 0;
-    if (isUnrestricted && spec.tasks >= (this.tooLarge.get(kind) ?? Infinity)) return false;
+    if (isUnrestricted && spec.tasks >= (this.unplaceableSizes.get(kind) ?? Infinity)) return false;
     const best = this.bestZone(job);
     if (best) return this.reserveIn(job, best.zone);
-    if (isUnrestricted) this.tooLarge.set(kind, spec.tasks);
+    if (isUnrestricted) this.unplaceableSizes.set(kind, spec.tasks);
     return false;
   }
 
@@ -62,14 +62,14 @@
    */
   private bestZone(job: JobView): { zone: string | null } | null {
     const { spec } = job;
-    const { coming } = this.reservations;
+    const { upcomingMachines } = this.reservations;
     const zones = spec.oneZone
       ? [...new Set([...this.machines.map((machine) => machine.zone), ...this.scaleOutPlan.zones])]
       : [null];
     let best: { zone: string | null; missing: number; machines: number } | null = null;
     for (const zone of zones) {
-      const missing = this.missingIn(job, zone, coming);
-      if (missing > 0 && !this.scaleOutPlan.offersFor(spec, zone)) continue;
+      const missing = this.tasksWithoutCapacity(job, zone, upcomingMachines);
+      if (missing > 0 && !this.scaleOutPlan.hasOfferFor(spec, zone)) continue;
       // Where nothing is missing the first zone will do: its choice has to stand until the gang starts.
       const machines = missing > 0 && zone !== null ? this.scaleOutPlan.machinesInZone(zone) : 0;
       const better =
@@ -86,21 +86,25 @@
    * the choice of the zone stands until it is free, and so that a gang is admitted also where
    * scale-out is not possible.
    */
-  private missingIn(job: JobView, zone: string | null, coming: MachineView[]): number {
+  private tasksWithoutCapacity(
+    job: JobView,
+    zone: string | null,
+    upcomingMachines: MachineView[],
+  ): number {
     const { spec } = job;
     const guaranteed = this.isGuaranteed(job);
     let missing = spec.tasks;
-    for (const machine of this.finder.suitable(spec)) {
+    for (const machine of this.finder.suitableMachines(spec)) {
       if (missing <= 0) break;
-      if (isIn(zone, machine) && !job.avoidedMachines.has(machine.id)) {
+      if (isInZone(zone, machine) && !job.avoidedMachines.has(machine.id)) {
         missing -= copiesThatFit(
           spec.need,
           this.preemption.capacityAfterPreemption(job, machine, guaranteed),
         );
       }
     }
-    for (const machine of coming) {
-      if (isIn(zone, machine) && mayUse(job, machine))
+    for (const machine of upcomingMachines) {
+      if (isInZone(zone, machine) && canUse(job, machine))
         missing -= copiesThatFit(spec.need, machine.free);
     }
     return Math.max(0, missing);
@@ -109,14 +113,20 @@
   private reserveIn(job: JobView, zone: string | null): boolean {
     const { spec } = job;
     const rules = new ZoneRules(spec, job.tasksByZone);
-    const { coming } = this.reservations;
-    const here = this.up.filter((machine) => isIn(zone, machine));
-    let left = spec.tasks - this.reservations.reserveOn(job, spec.tasks, here, rules);
-    if (left > 0)
-      left -= this.preemption.freeCapacity(job, left, this.isGuaranteed(job), here, rules);
-    const comingHere = coming.filter((machine) => isIn(zone, machine));
-    left -= this.reservations.reserveOn(job, left, comingHere, rules);
-    return this.scaleOutPlan.add(job, left, rules, zone) === 0;
+    const { upcomingMachines } = this.reservations;
+    const upInZone = this.upMachines.filter((machine) => isInZone(zone, machine));
+    let remaining = spec.tasks - this.reservations.reserveOn(job, spec.tasks, upInZone, rules);
+    if (remaining > 0)
+      remaining -= this.preemption.freeCapacity(
+        job,
+        remaining,
+        this.isGuaranteed(job),
+        upInZone,
+        rules,
+      );
+    const upcomingInZone = upcomingMachines.filter((machine) => isInZone(zone, machine));
+    remaining -= this.reservations.reserveOn(job, remaining, upcomingInZone, rules);
+    return this.scaleOutPlan.add(job, remaining, rules, zone) === 0;
   }
 
   private isGuaranteed(job: JobView): boolean {
@@ -125,5 +135,5 @@
 }
 
 /** `zone` null stands for any. */
-const isIn = (zone: string | null, machine: MachineView): boolean =>
+const isInZone = (zone: string | null, machine: MachineView): boolean =>
   zone === null || machine.zone === zone;
--- a/src/scheduler/headroom.ts
+++ b/src/scheduler/headroom.ts
@@ -33,29 +33,29 @@
  */
 export function scaleOutHeadroom(
   snapshot: Snapshot,
-  up: readonly MachineView[],
+  upMachines: readonly MachineView[],
   preemption: Preemption,
   scaleOutPlan: ScaleOutPlan,
 ): void {
-  const coming = [
+  const upcomingMachines = [
     ...snapshot.machines.filter((machine) => !machine.isUp),
     ...scaleOutPlan.machines,
   ];
-  const capacities = new Map(coming.map((machine) => [machine, { ...machine.free }]));
+  const capacities = new Map(upcomingMachines.map((machine) => [machine, { ...machine.free }]));
   for (const expected of snapshot.expectedTasks) {
     const job = expectedJob(expected);
     let missing = expected.count;
-    for (const machine of [...up, ...coming]) {
+    for (const machine of [...upMachines, ...upcomingMachines]) {
       if (missing <= 0) break;
       if (!isAllowedOn(job.spec, machine.type.name, machine.zone, machine.spot)) continue;
-      let left = capacities.get(machine);
-      if (!left)
+      let remaining = capacities.get(machine);
+      if (!remaining)
         capacities.set(
           machine,
-          (left = { ...preemption.capacityAfterPreemption(job, machine, false) }),
+          (remaining = { ...preemption.capacityAfterPreemption(job, machine, false) }),
         );
-      const found = Math.min(missing, copiesThatFit(job.spec.need, left));
-      subtract(left, job.spec.need, found);
+      const found = Math.min(missing, copiesThatFit(job.spec.need, remaining));
+      subtract(remaining, job.spec.need, found);
       missing -= found;
     }
     scaleOutPlan.add(job, missing, new ZoneRules(job.spec, job.tasksByZone), null);
--- a/src/scheduler/idle-machines.ts
+++ b/src/scheduler/idle-machines.ts
@@ -1,7 +1,7 @@
 /** Idle machines that can be scaled in, by type. Times in milliseconds, monotonic. */
 
 /** How many machines of one type were idle during the last idle timeout. */
-interface History {
+interface IdleHistory {
   samples: { at: number; count: number }[];
   /** When the history begins. */
   since: number;
@@ -13,15 +13,15 @@
  * every one of them is used now and then though all of them at once never are.
  */
 export class IdleMachines {
-  private readonly byType = new Map<string, History>();
+  private readonly byType = new Map<string, IdleHistory>();
 
   /**
-   * @param from since when idle machines are counted
+   * @param countedSince since when idle machines are counted
    * @param hasPredecessor whether others led before: what was idle then is not known, and half of the
    *   idle timeout is credited for it. Else each change of leader would keep all idle machines longer.
    */
   constructor(
-    private readonly from: number,
+    private readonly countedSince: number,
     private readonly hasPredecessor: boolean,
   ) {}
 
@@ -29,7 +29,10 @@
   surplus(type: string, count: number, now: number, idleTimeoutMs: number): number {
     let history = this.byType.get(type);
     if (!history) {
-      history = { samples: [], since: this.from - (this.hasPredecessor ? idleTimeoutMs / 2 : 0) };
+      history = {
+        samples: [],
+        since: this.countedSince - (this.hasPredecessor ? idleTimeoutMs / 2 : 0),
+      };
       this.byType.set(type, history);
     }
     const { samples } = history;
--- a/src/scheduler/job-order.ts
+++ b/src/scheduler/job-order.ts
@@ -11,26 +11,30 @@
   jobs: JobView[],
   teams: ReadonlyMap<string, TeamView>,
 ): Set<string> {
-  const inside = new Set<string>();
-  const sums = new Map<string, TeamCapacity>();
+  const guaranteed = new Set<string>();
+  const usageByTeam = new Map<string, TeamCapacity>();
   for (const job of [...jobs].sort((a, b) => a.readyAt - b.readyAt)) {
     const team = teams.get(job.spec.team);
     if (!team) continue;
-    const sum = sums.get(job.spec.team) ?? { cpus: 0, gpus: 0 };
-    addTasks(sum, job.spec, job.unfinishedTasks);
-    sums.set(job.spec.team, sum);
+    const usage = usageByTeam.get(job.spec.team) ?? { cpus: 0, gpus: 0 };
+    addTasks(usage, job.spec, job.unfinishedTasks);
+    usageByTeam.set(job.spec.team, usage);
     // 0 means that nothing of the kind is guaranteed, and nothing is asked of it either.
-    const covers = (guarantee: number, used: number): boolean =>
+    const isWithin = (guarantee: number, used: number): boolean =>
       guarantee === 0 || used <= guarantee + CAPACITY_TOLERANCE;
     const { need } = job.spec;
     // What uses nothing of what is guaranteed has no claim to it.
-    const claims =
+    const usesGuaranteed =
       (team.guarantee.cpus > 0 && need.cpus > 0) || (team.guarantee.gpus > 0 && need.gpus > 0);
-    if (claims && covers(team.guarantee.cpus, sum.cpus) && covers(team.guarantee.gpus, sum.gpus)) {
-      inside.add(job.id);
+    if (
+      usesGuaranteed &&
+      isWithin(team.guarantee.cpus, usage.cpus) &&
+      isWithin(team.guarantee.gpus, usage.gpus)
+    ) {
+      guaranteed.add(job.id);
     }
   }
-  return inside;
+  return guaranteed;
 }
 
 /**
@@ -59,9 +63,11 @@
   remainingMs: number,
 ): number {
   // Estimates are often wrong by half: only what even half of it cannot make is given up.
-  const atBest = now + remainingMs / 2;
+  const earliestDoneAt = now + remainingMs / 2;
   const lastStep = steps.at(-1) ?? 1;
-  const next = [...steps, lastStep].find((step) => submittedAt + deadlineMs * step >= atBest);
+  const next = [...steps, lastStep].find(
+    (step) => submittedAt + deadlineMs * step >= earliestDoneAt,
+  );
   return submittedAt + deadlineMs * (next ?? lastStep * 2);
 }
 
@@ -75,8 +81,8 @@
     // The gang that holds the gate goes before other standard work: all other gangs wait for it.
     const byRank = rank(a.priority, guaranteed.has(a.id)) - rank(b.priority, guaranteed.has(b.id));
     if (byRank !== 0) return byRank;
-    const gate = Number(b.gang?.holdsGate ?? false) - Number(a.gang?.holdsGate ?? false);
-    if (gate !== 0) return gate;
+    const byGate = Number(b.gang?.holdsGate ?? false) - Number(a.gang?.holdsGate ?? false);
+    if (byGate !== 0) return byGate;
     return sameClass(a, b) ? a.dueAt - b.dueAt : a.readyAt - b.readyAt;
   });
 }
--- a/src/scheduler/opportunistic-drain.ts
+++ b/src/scheduler/opportunistic-drain.ts
@@ -5,7 +5,7 @@
 import { findMoves } from './task-moves.js';
 
 /** Machines drained in one scheduling cycle: each search for targets takes time. */
-const MAX_DRAINED = 8;
+const MAX_DRAINED_PER_CYCLE = 8;
 
 /** The largest share of a machine's resources that is in use. */
 function usedShare(machine: MachineView): number {
@@ -19,7 +19,7 @@
 }
 
 /** The largest share of a machine's resources that a task takes. */
-function shareOf({ need }: JobSpec, { capacity }: MachineView['type']): number {
+function neededShare({ need }: JobSpec, { capacity }: MachineView['type']): number {
   return Math.max(
     need.cpus / capacity.cpus,
     capacity.gpus > 0 ? need.gpus / capacity.gpus : 0,
@@ -28,7 +28,7 @@
 }
 
 /** True if a machine is empty or holds tasks of these jobs only. */
-export const holdsOnly = (machine: MachineView, jobs: ReadonlySet<string>): boolean =>
+export const holdsOnlyTasksOf = (machine: MachineView, jobs: ReadonlySet<string>): boolean =>
   [...machine.tasksOf.keys()].every((job) => jobs.has(job));
 
 /**
@@ -37,14 +37,14 @@
  * stay: they would be stopped and wait, and a machine be provisioned for them again.
  *
  * @param idle machines that hold nothing but opportunistic work
- * @param up all machines that are up, with the capacity that this scheduling cycle leaves
+ * @param upMachines all machines that are up, with the capacity that this scheduling cycle leaves
  * @param candidates the tasks on the machines
  * @param jobs open jobs by id
  * @returns ids of machines
  */
 export function drainableMachines(
   idle: MachineView[],
-  up: MachineView[],
+  upMachines: MachineView[],
   candidates: readonly PreemptionCandidate[],
   jobs: ReadonlyMap<string, JobView>,
 ): string[] {
@@ -56,16 +56,16 @@
     if (!free) capacities.set(machine, (free = { ...machine.free }));
     return free;
   };
-  const inUse = up.filter((machine) => !tasksOn.has(machine.id));
+  const inUse = upMachines.filter((machine) => !tasksOn.has(machine.id));
   const order = idle
     .filter((machine) => machine.tasksOf.size > 0)
     .sort((a, b) => usedShare(a) - usedShare(b) || (a.id < b.id ? -1 : 1));
   const drained: string[] = [];
-  const receivers = new Set<MachineView>();
-  for (const [i, from] of order.entries()) {
-    if (drained.length === MAX_DRAINED) break;
-    const tasks = tasksOn.get(from.id) ?? [];
-    if (receivers.has(from) || !isWorthDraining(from, tasks)) continue;
+  const moveTargets = new Set<MachineView>();
+  for (const [i, source] of order.entries()) {
+    if (drained.length === MAX_DRAINED_PER_CYCLE) break;
+    const tasks = tasksOn.get(source.id) ?? [];
+    if (moveTargets.has(source) || !isWorthDraining(source, tasks)) continue;
     const targets = [...inUse, ...order.slice(i + 1)];
     const moves = findMoves(tasks, {
       targets,
@@ -75,10 +75,10 @@
       isTarget: (_task, machine, rules) => rules.remaining(machine.zone) > 0,
     });
     if (!moves) break;
-    drained.push(from.id);
+    drained.push(source.id);
     for (const { to, task } of moves) {
       subtract(freeOn(to), task.spec.need);
-      receivers.add(to);
+      moveTargets.add(to);
     }
   }
   return drained;
@@ -90,15 +90,15 @@
  * it would be done late or never.
  */
 function isWorthDraining(machine: MachineView, tasks: PreemptionCandidate[]): boolean {
-  let lostMs = 0;
-  let untilMs = 0;
+  let lostMachineMs = 0;
+  let occupiedMs = 0;
   for (const candidate of tasks) {
     if (candidate.isStopping || candidate.isGangMember || candidate.stopsWithoutCheckpoint > 0)
       return false;
     if (candidate.spec.checkpointMs === 0 && candidate.lostWorkMs > candidate.remainingMs)
       return false;
-    lostMs += candidate.lostWorkMs * shareOf(candidate.spec, machine.type);
-    untilMs = Math.max(untilMs, candidate.remainingMs);
+    lostMachineMs += candidate.lostWorkMs * neededShare(candidate.spec, machine.type);
+    occupiedMs = Math.max(occupiedMs, candidate.remainingMs);
   }
-  return lostMs < untilMs * (1 - usedShare(machine));
+  return lostMachineMs < occupiedMs * (1 - usedShare(machine));
 }
--- a/src/scheduler/opportunistic-scheduler.ts
+++ b/src/scheduler/opportunistic-scheduler.ts
@@ -1,7 +1,7 @@
 /** Starts opportunistic work: it takes what no other work took or reserved. */
 import { isOpportunistic, type CycleContext } from './cycle-context.js';
 import { inSchedulingOrder } from './job-order.js';
-import { drainableMachines, holdsOnly } from './opportunistic-drain.js';
+import { drainableMachines, holdsOnlyTasksOf } from './opportunistic-drain.js';
 import { ZoneRules } from './placement-rules.js';
 import type { JobView, MachineView, TeamView } from './scheduling-model.js';
 import type { TaskStarter } from './task-starter.js';
@@ -11,7 +11,7 @@
 class OpportunisticWork {
   readonly rules: ZoneRules;
   /** How many tasks have to run at once for the job to be in time. */
-  readonly tasksAtOnce: number;
+  readonly requiredConcurrency: number;
   /** Tasks that are on machines or start. */
   running: number;
   /** Tasks that wait. */
@@ -22,7 +22,7 @@
     readonly team: TeamView,
   ) {
     this.rules = new ZoneRules(job.spec, job.tasksByZone);
-    this.tasksAtOnce = job.opportunisticTasks ?? 0;
+    this.requiredConcurrency = job.opportunisticTasks ?? 0;
     this.running = [...job.tasksByZone.values()].reduce((a, b) => a + b, 0);
     this.waiting = job.waitingTasks;
   }
@@ -31,7 +31,7 @@
 /** Schedules opportunistic work after all other, and finds the machines that are idle but for it. */
 export class OpportunisticScheduler {
   /** Opportunistic jobs, whether or not tasks of theirs wait. */
-  private readonly jobs: ReadonlySet<string>;
+  private readonly opportunisticJobs: ReadonlySet<string>;
   /** Some opportunistic work found no capacity. */
   private isStarved = false;
 
@@ -40,7 +40,9 @@
     private readonly starter: TaskStarter,
     private readonly scheduleGang: (job: JobView, team: TeamView) => void,
   ) {
-    this.jobs = new Set(context.snapshot.jobs.filter(isOpportunistic).map((job) => job.id));
+    this.opportunisticJobs = new Set(
+      context.snapshot.jobs.filter(isOpportunistic).map((job) => job.id),
+    );
   }
 
   /**
@@ -63,30 +65,32 @@
 
   /** Machines that are empty or hold only opportunistic work, and that nothing else needs. */
   idleMachines(): MachineView[] {
-    const { up, reservations } = this.context;
-    return up.filter(
-      (machine) => !reservations.needed.has(machine.id) && holdsOnly(machine, this.jobs),
+    const { upMachines, reservations } = this.context;
+    return upMachines.filter(
+      (machine) =>
+        !reservations.needed.has(machine.id) && holdsOnlyTasksOf(machine, this.opportunisticJobs),
     );
   }
 
   /** Of the idle machines, those whose opportunistic work fits elsewhere; the emptiest first. */
   drainableMachines(idle: MachineView[]): string[] {
-    if (this.jobs.size === 0 || this.isStarved) return [];
-    const { snapshot, up } = this.context;
+    if (this.opportunisticJobs.size === 0 || this.isStarved) return [];
+    const { snapshot, upMachines } = this.context;
     const jobs = new Map(snapshot.jobs.map((job) => [job.id, job]));
     const starting = new Set(
       this.starter.starts.flatMap(({ assignments }) => assignments.map(({ machine }) => machine)),
     );
     return drainableMachines(
       idle.filter((machine) => !starting.has(machine.id)),
-      up,
+      upMachines,
       snapshot.preemptionCandidates,
       jobs,
     );
   }
 
-  private scheduleWholeGang({ job, team, tasksAtOnce }: OpportunisticWork): void {
-    if (!this.starter.startGangIfItFits(job, team) && tasksAtOnce > 0) this.scheduleGang(job, team);
+  private scheduleWholeGang({ job, team, requiredConcurrency }: OpportunisticWork): void {
+    if (!this.starter.startGangIfItFits(job, team) && requiredConcurrency > 0)
+      this.scheduleGang(job, team);
   }
 
   private scheduleTasks(work: OpportunisticWork): void {
@@ -95,7 +99,7 @@
     const waiting = Math.min(work.waiting, quotaHeadroom(team, job.spec));
     if (waiting <= 0) return;
     this.isStarved = true;
-    const missing = Math.min(waiting, work.tasksAtOnce - work.running);
+    const missing = Math.min(waiting, work.requiredConcurrency - work.running);
     if (missing <= 0) return;
     addTasks(team.used, job.spec, missing);
     this.context.reservations.reserveOrScaleOut(job, missing, rules);
@@ -105,7 +109,7 @@
     const { job, team, rules } = work;
     const count = Math.min(work.waiting, maxTasks, quotaHeadroom(team, job.spec));
     if (job.gang || count <= 0) return;
-    const started = this.starter.startTasks(job, count, rules, team, this.context.up);
+    const started = this.starter.startTasks(job, count, rules, team, this.context.upMachines);
     work.waiting -= started;
     work.running += started;
   }
--- a/src/scheduler/pipelines.ts
+++ b/src/scheduler/pipelines.ts
@@ -32,10 +32,10 @@
 /** A step and its neighbours while the graph is walked. */
 interface Node {
   step: PipelineStep;
-  before: Node[];
-  after: Node[];
+  dependencies: Node[];
+  dependents: Node[];
   /** How many of `before` are still to be walked. */
-  unwalked: number;
+  unvisitedDependencies: number;
   /** In how many milliseconds it is expected to be ready, and done. */
   readyInMs: number;
   doneInMs: number;
@@ -51,7 +51,7 @@
  * A step is pressed when its slack is less than this share of all that is still to be run: estimates
  * are often wrong by half. With more slack it can wait for capacity that others free.
  */
-const PRESSED_SLACK_RATIO = 0.5;
+const LOW_SLACK_RATIO = 0.5;
 
 /**
  * Passes priorities and deadlines up the chains of jobs. Users set both on the last job of a
@@ -65,21 +65,21 @@
   steps: readonly PipelineStep[],
   now: number,
 ): Map<string, StepUrgency> {
-  const order = topological(connect(steps));
-  for (const node of order) expectTimes(node);
+  const order = topologicalOrder(buildGraph(steps));
+  for (const node of order) estimateTimes(node);
   for (const node of order) setOwnDeadline(node, now);
   for (const node of order.reverse()) inheritFromDependents(node);
   return new Map(order.map((node) => [node.step.id, toUrgency(node, now)]));
 }
 
-function connect(steps: readonly PipelineStep[]): Node[] {
+function buildGraph(steps: readonly PipelineStep[]): Node[] {
   const nodes = new Map<string, Node>();
   for (const step of steps) {
     nodes.set(step.id, {
       step,
-      before: [],
-      after: [],
-      unwalked: 0,
+      dependencies: [],
+      dependents: [],
+      unvisitedDependencies: 0,
       readyInMs: 0,
       doneInMs: 0,
       pathMs: step.remainingMs,
@@ -89,35 +89,36 @@
   }
   for (const node of nodes.values()) {
     for (const id of node.step.dependencies) {
-      const before = nodes.get(id);
-      if (!before) continue;
-      node.before.push(before);
-      before.after.push(node);
-      node.unwalked++;
+      const dependency = nodes.get(id);
+      if (!dependency) continue;
+      node.dependencies.push(dependency);
+      dependency.dependents.push(node);
+      node.unvisitedDependencies++;
     }
   }
   return [...nodes.values()];
 }
 
 /** Every step after its dependencies (Kahn's algorithm). Steps in a cycle, which cannot be, come last. */
-function topological(nodes: Node[]): Node[] {
-  const order = nodes.filter((node) => node.unwalked === 0);
+function topologicalOrder(nodes: Node[]): Node[] {
+  const order = nodes.filter((node) => node.unvisitedDependencies === 0);
   // The list grows while it is walked.
   for (const node of order) {
-    for (const after of node.after) {
-      after.unwalked--;
-      if (after.unwalked === 0) order.push(after);
+    for (const dependent of node.dependents) {
+      dependent.unvisitedDependencies--;
+      if (dependent.unvisitedDependencies === 0) order.push(dependent);
     }
   }
   if (order.length < nodes.length) {
-    const walked = new Set(order);
-    order.push(...nodes.filter((node) => !walked.has(node)));
+    const visited = new Set(order);
+    order.push(...nodes.filter((node) => !visited.has(node)));
   }
   return order;
 }
 
-function expectTimes(node: Node): void {
-  for (const before of node.before) node.readyInMs = Math.max(node.readyInMs, before.doneInMs);
+function estimateTimes(node: Node): void {
+  for (const dependency of node.dependencies)
+    node.readyInMs = Math.max(node.readyInMs, dependency.doneInMs);
   node.doneInMs = node.readyInMs + node.step.remainingMs;
 }
 
@@ -129,19 +130,19 @@
 }
 
 function inheritFromDependents(node: Node): void {
-  for (const after of node.after) {
-    node.priority = Math.min(node.priority, after.priority);
-    node.pathMs = Math.max(node.pathMs, node.step.remainingMs + after.pathMs);
-    if (after.dueAt === null) continue;
-    const before = after.dueAt - after.step.remainingMs;
-    node.dueAt = node.dueAt === null ? before : Math.min(node.dueAt, before);
+  for (const dependent of node.dependents) {
+    node.priority = Math.min(node.priority, dependent.priority);
+    node.pathMs = Math.max(node.pathMs, node.step.remainingMs + dependent.pathMs);
+    if (dependent.dueAt === null) continue;
+    const dueBefore = dependent.dueAt - dependent.step.remainingMs;
+    node.dueAt = node.dueAt === null ? dueBefore : Math.min(node.dueAt, dueBefore);
   }
 }
 
-function isPressed(node: Node, now: number): boolean {
+function hasLowSlack(node: Node, now: number): boolean {
   if (node.dueAt === null) return false;
   const slackMs = node.dueAt - now - node.step.remainingMs;
-  return slackMs < node.pathMs * PRESSED_SLACK_RATIO;
+  return slackMs < node.pathMs * LOW_SLACK_RATIO;
 }
 
 function toUrgency(node: Node, now: number): StepUrgency {
@@ -150,7 +151,7 @@
     priority: node.priority,
     // Without a deadline the oldest goes first, and a job's age counts from when it could start.
     dueAt: node.dueAt ?? readyAt ?? submittedAt,
-    isPressed: isPressed(node, now),
+    isPressed: hasLowSlack(node, now),
     readyInMs: node.readyInMs,
   };
 }
--- a/src/scheduler/placement-cost.ts
+++ b/src/scheduler/placement-cost.ts
@@ -41,12 +41,12 @@
  * Cost of a task of the job on the machine: the image's fetch first; then the fullest machine, so
  * that whole machines stay free for gangs and for scale-in.
  *
- * @param contentionSeconds what the job pays for the machine's type (`ContendedTypes`)
+ * @param contentionPenalty what the job pays for the machine's type (`ContendedTypes`)
  */
 export function placementCost(
   job: JobView,
   machine: MachineView,
-  contentionSeconds: number,
+  contentionPenalty: number,
 ): number {
   const { spec } = job;
   const { capacity } = machine.type;
@@ -54,7 +54,7 @@
   let cost =
     fetchSeconds(spec, machine) * FETCH_WEIGHT +
     freeGpuRatio * FREE_GPUS_SECONDS +
-    contentionSeconds;
+    contentionPenalty;
   if (spec.need.gpus === 0) cost += (machine.free.cpus / capacity.cpus) * FREE_CPUS_SECONDS;
   if (spec.kind === 'service') {
     cost += (machine.tasksOf.get(job.id) ?? 0) * SAME_SERVICE_SECONDS;
--- a/src/scheduler/placement-rules.ts
+++ b/src/scheduler/placement-rules.ts
@@ -12,7 +12,7 @@
 }
 
 /** True if the job's rules allow this machine and the job has not failed there. */
-export function mayUse(job: JobView, machine: MachineView): boolean {
+export function canUse(job: JobView, machine: MachineView): boolean {
   return (
     isAllowedOn(job.spec, machine.type.name, machine.zone, machine.spot) &&
     !job.avoidedMachines.has(machine.id)
--- a/src/scheduler/placement.ts
+++ b/src/scheduler/placement.ts
@@ -2,7 +2,7 @@
 import { fits, copiesThatFit, subtract, type Resources } from '../fleet/resources.js';
 import type { ContendedTypes } from './contended-types.js';
 import { placementCost } from './placement-cost.js';
-import { mayUse, ZoneRules } from './placement-rules.js';
+import { canUse, ZoneRules } from './placement-rules.js';
 import type { JobView, MachineView } from './scheduling-model.js';
 
 /** How many tasks of one job were placed on a machine. */
@@ -16,7 +16,7 @@
   placed.reduce((sum, { count }) => sum + count, 0);
 
 /** What is left of a machine when each of its free GPUs has its share of processors and memory. */
-function besideGpus(machine: MachineView): Resources {
+function capacityBeyondGpuShare(machine: MachineView): Resources {
   const { capacity } = machine.type;
   const freeGpuRatio = capacity.gpus > 0 ? machine.free.gpus / capacity.gpus : 0;
   return {
@@ -38,7 +38,7 @@
  * Places up to `count` tasks and subtracts them from the machines' free capacity; answers where
  * they went.
  *
- * @param onlyBesideGpus use only processors and memory that free GPUs do not need
+ * @param keepGpuShare use only processors and memory that free GPUs do not need
  */
 export function placeTasks(
   job: JobView,
@@ -46,20 +46,20 @@
   machines: MachineView[],
   rules: ZoneRules,
   contended: ContendedTypes,
-  onlyBesideGpus = false,
+  keepGpuShare = false,
 ): Placed[] {
   const { need, kind } = job.spec;
-  const price = contended.prices(job.spec);
+  const penalty = contended.penaltySeconds(job.spec);
   const candidates = machines
-    .filter((machine) => fits(need, machine.free) && mayUse(job, machine))
-    .map((machine) => ({ machine, cost: placementCost(job, machine, price(machine)) }))
+    .filter((machine) => fits(need, machine.free) && canUse(job, machine))
+    .map((machine) => ({ machine, cost: placementCost(job, machine, penalty(machine)) }))
     .sort(byCost);
   const placed = new Map<MachineView, number>();
-  let left = count;
+  let remaining = count;
   const place = (machine: MachineView, maxTasks: number): void => {
     const tasks = Math.min(
       maxTasks,
-      left,
+      remaining,
       rules.remaining(machine.zone),
       copiesThatFit(need, machine.free),
     );
@@ -67,19 +67,19 @@
     subtract(machine.free, need, tasks);
     rules.add(machine.zone, tasks);
     placed.set(machine, (placed.get(machine) ?? 0) + tasks);
-    left -= tasks;
+    remaining -= tasks;
   };
   // Replicas of one service go to different machines as far as there are any.
   if (kind === 'service') for (const { machine } of candidates) place(machine, 1);
   // What no free GPU needs is of no use to the dependents of a contended type: it costs nothing.
   if (need.gpus === 0) {
     const withoutContention = candidates
-      .map(({ machine, cost }) => ({ machine, cost: cost - price(machine) }))
+      .map(({ machine, cost }) => ({ machine, cost: cost - penalty(machine) }))
       .sort(byCost);
     for (const { machine } of withoutContention)
-      place(machine, copiesThatFit(need, besideGpus(machine)));
+      place(machine, copiesThatFit(need, capacityBeyondGpuShare(machine)));
   }
-  if (!onlyBesideGpus) for (const { machine } of candidates) place(machine, Infinity);
+  if (!keepGpuShare) for (const { machine } of candidates) place(machine, Infinity);
   return [...placed].map(([machine, tasks]) => ({ machine, count: tasks }));
 }
 
--- a/src/scheduler/preemption.ts
+++ b/src/scheduler/preemption.ts
@@ -4,7 +4,7 @@
  */
 import { fits, copiesThatFit, subtract, type Resources } from '../fleet/resources.js';
 import { outranks, rank } from './job-order.js';
-import { mayUse, schedulingShape, type ZoneRules } from './placement-rules.js';
+import { canUse, schedulingShape, type ZoneRules } from './placement-rules.js';
 import type {
   JobView,
   MachineView,
@@ -31,10 +31,10 @@
   readonly stops: TaskId[] = [];
   /** What may be preempted on each machine; the least important first, then the cheapest loss. */
   private readonly candidatesByMachine = new Map<string, PreemptionCandidate[]>();
-  private readonly chosen = new Set<PreemptionCandidate>();
-  private readonly exitingByTeam = new Map<string, TeamCapacity>();
+  private readonly preempted = new Set<PreemptionCandidate>();
+  private readonly stoppingByTeam = new Map<string, TeamCapacity>();
   /** Capacity that stopping tasks will free on each machine, beyond what is free there. */
-  private readonly exitingByMachine = new Map<string, Resources>();
+  private readonly stoppingByMachine = new Map<string, Resources>();
   /** By shape, how many stops there were when preemption last found too little. */
   private readonly exhaustedShapes = new Map<string, number>();
   /** The least important priority among the candidates. */
@@ -42,12 +42,12 @@
 
   constructor(
     candidates: PreemptionCandidate[],
-    private readonly up: MachineView[],
+    private readonly upMachines: MachineView[],
     private readonly teams: ReadonlyMap<string, TeamView>,
     private readonly guaranteed: ReadonlySet<string>,
   ) {
-    for (const machine of up)
-      this.exitingByMachine.set(machine.id, { cpus: 0, gpus: 0, memoryGb: 0 });
+    for (const machine of upMachines)
+      this.stoppingByMachine.set(machine.id, { cpus: 0, gpus: 0, memoryGb: 0 });
     for (const candidate of candidates) this.addCandidate(candidate);
     for (const list of this.candidatesByMachine.values()) {
       list.sort((a, b) => b.priority - a.priority || a.lostWorkMs - b.lostWorkMs);
@@ -56,10 +56,10 @@
 
   /** What is free there if all work of lower priority that comes after this job is preempted. */
   capacityAfterPreemption(job: JobView, machine: MachineView, isGuaranteed: boolean): Resources {
-    const capacity = this.capacityAfterExits(machine);
+    const capacity = this.capacityAfterStops(machine);
     const ownRank = rank(job.priority, isGuaranteed);
     for (const candidate of this.candidatesByMachine.get(machine.id) ?? []) {
-      if (this.chosen.has(candidate)) continue;
+      if (this.preempted.has(candidate)) continue;
       if (outranks(job.priority, candidate.priority) && this.rankOf(candidate) > ownRank)
         subtract(capacity, candidate.spec.need, -1);
     }
@@ -81,10 +81,10 @@
     // Only preemption adds capacity within a cycle: what was in vain once stays so until the next.
     const shape = schedulingShape(job.spec);
     const key = `${shape}|${job.priority}|${isGuaranteed ? job.spec.team : ''}`;
-    const isUnrestricted = machines === this.up && this.mayGoAnywhere(job);
+    const isUnrestricted = machines === this.upMachines && this.hasNoPlacementLimits(job);
     if (isUnrestricted && this.exhaustedShapes.get(key) === this.stops.length) return 0;
-    const allowed = machines.filter((machine) => mayUse(job, machine));
-    let found = this.claimExiting(job, count, allowed, rules);
+    const allowed = machines.filter((machine) => canUse(job, machine));
+    let found = this.claimStopping(job, count, allowed, rules);
     if (found < count) found += this.preempt(job, count - found, isGuaranteed, allowed, rules);
     if (isUnrestricted && found < count) this.exhaustedShapes.set(key, this.stops.length);
     return found;
@@ -92,8 +92,8 @@
 
   private addCandidate(candidate: PreemptionCandidate): void {
     if (candidate.isStopping) {
-      const exiting = this.exitingByMachine.get(candidate.machine);
-      if (exiting) subtract(exiting, candidate.spec.need, -1);
+      const stopping = this.stoppingByMachine.get(candidate.machine);
+      if (stopping) subtract(stopping, candidate.spec.need, -1);
       return;
     }
     if (candidate.isGangMember) return;
@@ -103,7 +103,7 @@
     this.lowestPriority = Math.max(this.lowestPriority, candidate.priority);
   }
 
-  private mayGoAnywhere({ spec, avoidedMachines }: JobView): boolean {
+  private hasNoPlacementLimits({ spec, avoidedMachines }: JobView): boolean {
     return avoidedMachines.size === 0 && !spec.spread && !spec.oneZone;
   }
 
@@ -111,24 +111,24 @@
     return rank(candidate.priority, this.guaranteed.has(candidate.job));
   }
 
-  private exitingOn(machine: MachineView): Resources {
-    const exiting = this.exitingByMachine.get(machine.id);
-    if (!exiting) throw new Error(`preemption on machine ${machine.id}, which is not up`);
-    return exiting;
+  private stoppingOn(machine: MachineView): Resources {
+    const stopping = this.stoppingByMachine.get(machine.id);
+    if (!stopping) throw new Error(`preemption on machine ${machine.id}, which is not up`);
+    return stopping;
   }
 
   /** What is free there once all tasks that are told to stop have left. */
-  private capacityAfterExits(machine: MachineView): Resources {
-    const exiting = this.exitingOn(machine);
+  private capacityAfterStops(machine: MachineView): Resources {
+    const stopping = this.stoppingOn(machine);
     return {
-      cpus: machine.free.cpus + exiting.cpus,
-      gpus: machine.free.gpus + exiting.gpus,
-      memoryGb: machine.free.memoryGb + exiting.memoryGb,
+      cpus: machine.free.cpus + stopping.cpus,
+      gpus: machine.free.gpus + stopping.gpus,
+      memoryGb: machine.free.memoryGb + stopping.memoryGb,
     };
   }
 
   /** Claims what is free or being freed already; answers for how many tasks. */
-  private claimExiting(
+  private claimStopping(
     job: JobView,
     count: number,
     machines: MachineView[],
@@ -140,7 +140,7 @@
       if (found === count) break;
       const maxTasks = Math.min(count - found, rules.remaining(machine.zone));
       if (maxTasks <= 0) continue;
-      const tasks = Math.min(maxTasks, copiesThatFit(need, this.capacityAfterExits(machine)));
+      const tasks = Math.min(maxTasks, copiesThatFit(need, this.capacityAfterStops(machine)));
       if (tasks <= 0) continue;
       subtract(machine.free, need, tasks);
       rules.add(machine.zone, tasks);
@@ -198,12 +198,12 @@
   }
 
   private applyChoice(job: JobView, { machine, candidates }: PreemptionChoice): void {
-    const exiting = this.exitingOn(machine);
+    const stopping = this.stoppingOn(machine);
     for (const candidate of candidates) {
-      this.chosen.add(candidate);
+      this.preempted.add(candidate);
       this.stops.push({ job: candidate.job, task: candidate.task });
-      subtract(exiting, candidate.spec.need, -1);
-      addTasks(this.exitingOfTeam(candidate.spec.team), candidate.spec, 1);
+      subtract(stopping, candidate.spec.need, -1);
+      addTasks(this.stoppingOfTeam(candidate.spec.team), candidate.spec, 1);
     }
     // Claimed now, also where some is free already: smaller work must not slip into it.
     subtract(machine.free, job.spec.need, 1);
@@ -213,10 +213,10 @@
     const team = this.teams.get(name);
     if (!team) return false;
     const { guarantee, used } = team;
-    const exiting = this.exitingOfTeam(name);
+    const stopping = this.stoppingOfTeam(name);
     return (
-      used.gpus - exiting.gpus > guarantee.gpus + CAPACITY_TOLERANCE ||
-      (guarantee.cpus > 0 && used.cpus - exiting.cpus > guarantee.cpus + CAPACITY_TOLERANCE)
+      used.gpus - stopping.gpus > guarantee.gpus + CAPACITY_TOLERANCE ||
+      (guarantee.cpus > 0 && used.cpus - stopping.cpus > guarantee.cpus + CAPACITY_TOLERANCE)
     );
   }
 
@@ -224,11 +224,11 @@
    * What is being stopped of a team. It is kept apart from what the team uses: until it is proven
    * gone it counts against the team's limit, and no other task may take its share.
    */
-  private exitingOfTeam(name: string): TeamCapacity {
-    let sum = this.exitingByTeam.get(name);
+  private stoppingOfTeam(name: string): TeamCapacity {
+    let sum = this.stoppingByTeam.get(name);
     if (!sum) {
       sum = { cpus: 0, gpus: 0 };
-      this.exitingByTeam.set(name, sum);
+      this.stoppingByTeam.set(name, sum);
     }
     return sum;
   }
@@ -239,13 +239,13 @@
     isGuaranteed: boolean,
   ): PreemptionChoice | null {
     const { need } = job.spec;
-    const capacity = this.capacityAfterExits(machine);
+    const capacity = this.capacityAfterStops(machine);
     const candidates: PreemptionCandidate[] = [];
     let loss = 0;
     for (const candidate of this.candidatesByMachine.get(machine.id) ?? []) {
       if (candidates.length > 0 && fits(need, capacity)) break;
-      if (this.chosen.has(candidate)) continue;
-      if (isBackfillOnly(job, candidate, machine)) continue;
+      if (this.preempted.has(candidate)) continue;
+      if (neitherUsesGpus(job, candidate, machine)) continue;
       if (!this.mayPreempt(job, isGuaranteed, candidate)) continue;
       candidates.push(candidate);
       loss += candidate.lostWorkMs + 1;
@@ -268,7 +268,7 @@
  * True if both use only what work with GPUs leaves on the machine. Preemption would gain nothing: the
  * one would run again only once the other has ended, and such work frees capacity within seconds.
  */
-function isBackfillOnly(
+function neitherUsesGpus(
   job: JobView,
   candidate: PreemptionCandidate,
   machine: MachineView,
--- a/src/scheduler/reservations.ts
+++ b/src/scheduler/reservations.ts
@@ -17,13 +17,13 @@
   ) {}
 
   /** Machines that boot or that scale-out will provision. */
-  get coming(): MachineView[] {
+  get upcomingMachines(): MachineView[] {
     return [...this.booting, ...this.scaleOutPlan.machines];
   }
 
   /** Reserves capacity for up to `count` tasks on these machines; answers for how many. */
   reserveOn(job: JobView, count: number, machines: MachineView[], rules: ZoneRules): number {
-    const placed = this.finder.find(job, count, rules, machines);
+    const placed = this.finder.placeTasks(job, count, rules, machines);
     for (const { machine } of placed) this.needed.add(machine.id);
     return placedCount(placed);
   }
@@ -31,6 +31,11 @@
   /** Reserves capacity on machines that are coming; scale-out covers the tasks that do not fit. */
   reserveOrScaleOut(job: JobView, count: number, rules: ZoneRules): void {
     if (count <= 0) return;
-    this.scaleOutPlan.add(job, count - this.reserveOn(job, count, this.coming, rules), rules, null);
+    this.scaleOutPlan.add(
+      job,
+      count - this.reserveOn(job, count, this.upcomingMachines, rules),
+      rules,
+      null,
+    );
   }
 }
--- a/src/scheduler/scale-out-plan.ts
+++ b/src/scheduler/scale-out-plan.ts
@@ -31,21 +31,21 @@
   }
 
   /** True if there is an offer that suits `spec` in `zone`; null: in any zone. */
-  offersFor(spec: JobSpec, zone: string | null): boolean {
+  hasOfferFor(spec: JobSpec, zone: string | null): boolean {
     return this.offers.some(
-      (offer) => (zone === null || offer.zone === zone) && suits(spec, offer),
+      (offer) => (zone === null || offer.zone === zone) && isSuitable(spec, offer),
     );
   }
 
   /** Plans machines for `count` tasks; answers for how many there is no offer. */
   add({ spec }: JobView, count: number, rules: ZoneRules, zone: string | null): number {
-    let left = count;
-    while (left > 0) {
-      const offer = this.cheapestOffer(spec, left, rules, zone);
+    let remaining = count;
+    while (remaining > 0) {
+      const offer = this.cheapestOffer(spec, remaining, rules, zone);
       if (!offer) break;
-      const view = machineOf(offer, `planned-${this.plannedMachines.length}`);
+      const view = plannedMachineView(offer, `planned-${this.plannedMachines.length}`);
       const tasks = Math.min(
-        left,
+        remaining,
         rules.remaining(offer.zone),
         copiesThatFit(spec.need, view.free),
       );
@@ -53,9 +53,9 @@
       rules.add(offer.zone, tasks);
       this.plannedMachines.push({ offer, view });
       this.countMachine(offer.zone);
-      left -= tasks;
+      remaining -= tasks;
     }
-    return left;
+    return remaining;
   }
 
   /** The offer that costs least for each of `count` tasks, as far as one machine holds them. */
@@ -67,7 +67,7 @@
   ): InstanceOffer | null {
     let best: { offer: InstanceOffer; cost: number } | null = null;
     for (const offer of this.offers) {
-      if ((zone !== null && offer.zone !== zone) || !suits(spec, offer)) continue;
+      if ((zone !== null && offer.zone !== zone) || !isSuitable(spec, offer)) continue;
       const maxTasks = Math.min(
         copiesThatFit(spec.need, offer.type.capacity),
         rules.remaining(offer.zone),
@@ -103,7 +103,7 @@
   }
 }
 
-function suits(spec: JobSpec, offer: InstanceOffer): boolean {
+function isSuitable(spec: JobSpec, offer: InstanceOffer): boolean {
   return (
     isAllowedOn(spec, offer.type.name, offer.zone, offer.spot) &&
     fits(spec.need, offer.type.capacity)
@@ -111,7 +111,7 @@
 }
 
 /** A machine of this offer as it will be when it is up. */
-function machineOf(offer: InstanceOffer, id: string): MachineView {
+function plannedMachineView(offer: InstanceOffer, id: string): MachineView {
   return {
     id,
     type: offer.type,
--- a/src/scheduler/scheduling-cycle.ts
+++ b/src/scheduler/scheduling-cycle.ts
@@ -38,10 +38,10 @@
   }
 
   run(): SchedulingPlan {
-    const { snapshot, up, guaranteed, preemption, scaleOutPlan } = this.context;
+    const { snapshot, upMachines, guaranteed, preemption, scaleOutPlan } = this.context;
     const waiting = snapshot.jobs.filter((job) => job.waitingTasks > 0 && job.isAdmissible);
-    const claims = waiting.filter((job) => !isOpportunistic(job) || job.isLastResortRetry);
-    for (const job of inSchedulingOrder(claims, guaranteed)) {
+    const regularJobs = waiting.filter((job) => !isOpportunistic(job) || job.isLastResortRetry);
+    for (const job of inSchedulingOrder(regularJobs, guaranteed)) {
       const team = snapshot.teams.get(job.spec.team);
       if (team) this.scheduleJob(job, team);
     }
@@ -49,15 +49,15 @@
     this.opportunistic.schedule(
       waiting.filter((job) => isOpportunistic(job) && !job.isLastResortRetry),
     );
-    scaleOutHeadroom(snapshot, up, preemption, scaleOutPlan);
+    scaleOutHeadroom(snapshot, upMachines, preemption, scaleOutPlan);
     const idle = this.opportunistic.idleMachines();
     return {
       starts: this.starter.starts,
       admittedGang: this.gangs.admittedGang,
       // Replicas move only while nothing waits: what is stopped has to start again at once.
       stops:
-        claims.length === 0
-          ? consolidate(snapshot.movableReplicas, up, snapshot.jobs)
+        regularJobs.length === 0
+          ? consolidate(snapshot.movableReplicas, upMachines, snapshot.jobs)
           : preemption.stops,
       scaleOut: scaleOutPlan.requests(),
       idleMachines: idle.map((machine) => machine.id),
@@ -81,7 +81,7 @@
     const count = Math.min(job.waitingTasks, quotaHeadroom(team, job.spec));
     if (count <= 0) return;
     const rules = new ZoneRules(job.spec, job.tasksByZone);
-    this.starter.startTasks(job, count, rules, team, this.context.up);
+    this.starter.startTasks(job, count, rules, team, this.context.upMachines);
   }
 
   private scheduleGang(job: JobView, team: TeamView): void {
@@ -91,21 +91,21 @@
 
   /** Starts the tasks of an array or service that fit; preempts or scales out for the others. */
   private scheduleTasks(job: JobView, team: TeamView): void {
-    const { up, guaranteed, preemption, reservations } = this.context;
+    const { upMachines, guaranteed, preemption, reservations } = this.context;
     const count = Math.min(job.waitingTasks, quotaHeadroom(team, job.spec));
     this.recordQuotaLimited(job.spec, job.waitingTasks - count);
     if (count <= 0) return;
     const rules = new ZoneRules(job.spec, job.tasksByZone);
     let missing = count - this.startWhereImageIsCached(job, count, rules, team);
     if (missing > 0)
-      missing -= this.starter.startTasks(job, missing, rules, team, up, job.isBackfill);
+      missing -= this.starter.startTasks(job, missing, rules, team, upMachines, job.isBackfill);
     if (job.isBackfill) {
       this.backfill.defer(job, missing, rules);
       return;
     }
     if (missing <= 0) return;
     addTasks(team.used, job.spec, missing);
-    const freed = preemption.freeCapacity(job, missing, guaranteed.has(job.id), up, rules);
+    const freed = preemption.freeCapacity(job, missing, guaranteed.has(job.id), upMachines, rules);
     reservations.reserveOrScaleOut(job, missing - freed, rules);
   }
 
@@ -121,21 +121,27 @@
   ): number {
     const { spec } = job;
     if (spec.kind !== 'service' || spec.priority > Priority.High) return 0;
-    const { contended, guaranteed, preemption, up } = this.context;
-    const price = contended.prices(spec);
+    const { contended, guaranteed, preemption, upMachines } = this.context;
+    const penalty = contended.penaltySeconds(spec);
     // On a contended type, a cached image is worth no more than a fetch elsewhere.
-    const maxPrice = FETCH_WEIGHT * contended.fetchSecondsOutside(spec);
-    const cached = up.filter(
+    const maxPenalty = FETCH_WEIGHT * contended.minFetchSecondsOnUncontended(spec);
+    const withCachedImage = upMachines.filter(
       (machine) =>
         machine.images.has(spec.image) &&
         fetchSeconds(spec, machine) < NEGLIGIBLE_FETCH_SECONDS &&
-        price(machine) <= maxPrice,
+        penalty(machine) <= maxPenalty,
     );
-    if (cached.length === 0) return 0;
-    const started = this.starter.startTasks(job, count, rules, team, cached);
+    if (withCachedImage.length === 0) return 0;
+    const started = this.starter.startTasks(job, count, rules, team, withCachedImage);
     const missing = count - started;
     if (missing === 0) return started;
-    const freed = preemption.freeCapacity(job, missing, guaranteed.has(job.id), cached, rules);
+    const freed = preemption.freeCapacity(
+      job,
+      missing,
+      guaranteed.has(job.id),
+      withCachedImage,
+      rules,
+    );
     addTasks(team.used, spec, freed);
     return started + freed;
   }
--- a/src/scheduler/task-moves.ts
+++ b/src/scheduler/task-moves.ts
@@ -36,7 +36,7 @@
 
 /** The first target in order for each of the tasks; null if one does not fit on any. */
 export function findMoves(tasks: readonly MovableTask[], search: MoveSearch): TaskMove[] | null {
-  const leftOn = new Map<MachineView, Resources>();
+  const remainingOn = new Map<MachineView, Resources>();
   const moves: TaskMove[] = [];
   for (const task of tasks) {
     const job = search.jobs.get(task.job);
@@ -45,15 +45,15 @@
     const { need } = task.spec;
     const to = search.targets.find(
       (machine) =>
-        fits(need, leftOn.get(machine) ?? search.freeOn(machine)) &&
+        fits(need, remainingOn.get(machine) ?? search.freeOn(machine)) &&
         isAllowedOn(task.spec, machine.type.name, machine.zone, machine.spot) &&
         !job.avoidedMachines.has(machine.id) &&
         search.isTarget(task, machine, rules, moves),
     );
     if (!to) return null;
-    const left = leftOn.get(to) ?? { ...search.freeOn(to) };
-    subtract(left, need);
-    leftOn.set(to, left);
+    const remaining = remainingOn.get(to) ?? { ...search.freeOn(to) };
+    subtract(remaining, need);
+    remainingOn.set(to, remaining);
     moves.push({ task, to });
   }
   return moves;
--- a/src/scheduler/task-starter.ts
+++ b/src/scheduler/task-starter.ts
@@ -19,9 +19,9 @@
     rules: ZoneRules,
     team: TeamView,
     machines: MachineView[],
-    onlyBesideGpus = false,
+    keepGpuShare = false,
   ): number {
-    const placed = this.context.finder.find(job, count, rules, machines, onlyBesideGpus);
+    const placed = this.context.finder.placeTasks(job, count, rules, machines, keepGpuShare);
     if (placed.length === 0) return 0;
     const started = placedCount(placed);
     addTasks(team.used, job.spec, started);
@@ -32,9 +32,9 @@
   /** Starts a gang if all of it fits on free capacity; false if it does not. */
   startGangIfItFits(job: JobView, team: TeamView): boolean {
     const { spec } = job;
-    const { finder, up, contended } = this.context;
-    if (quotaHeadroom(team, spec) < spec.tasks || finder.isFull(spec, up)) return false;
-    const placed = placeGang(job, up, contended);
+    const { finder, upMachines, contended } = this.context;
+    if (quotaHeadroom(team, spec) < spec.tasks || finder.isFull(spec, upMachines)) return false;
+    const placed = placeGang(job, upMachines, contended);
     if (!placed) return false;
     addTasks(team.used, spec, spec.tasks);
     this.recordStart(job, placed);
