--- a/src/scheduler/backfill.ts
+++ b/src/scheduler/backfill.ts
@@ -1,17 +1,21 @@
-/** Backfill: work without GPUs that fills gaps and can wait for other backfill to end. */
+/**
+ * Backfill: CPU-only jobs that run on capacity that other jobs leave unused, and that can wait for
+ * running backfill tasks to finish.
+ */
 import type { CycleContext } from './cycle-context.js';
 import { ZoneRules } from './placement-rules.js';
 import type { JobView } from './scheduling-model.js';
 import type { TaskStarter } from './task-starter.js';
 
+/** A backfill job whose remaining tasks are placed after all other jobs. */
 interface DeferredJob {
   job: JobView;
-  /** Tasks that found no capacity. */
+  /** Number of tasks that have not been placed yet. */
   missing: number;
   rules: ZoneRules;
 }
 
-/** Schedules backfill after all work that cannot wait. */
+/** Schedules backfill jobs after all jobs that cannot wait. */
 export class BackfillScheduler {
   private readonly deferredJobs: DeferredJob[] = [];
 
@@ -20,14 +24,15 @@
     private readonly starter: TaskStarter,
   ) {}
 
-  /** Keeps `missing` tasks of a job for `schedule`. */
+  /** Queues `missing` tasks of a job until `schedule` runs. */
   defer(job: JobView, missing: number, rules: ZoneRules): void {
     this.deferredJobs.push({ job, missing, rules });
   }
 
   /**
-   * Starts deferred tasks on capacity that nothing else took or reserved. Scale-out covers all that
-   * will be ready before a machine could boot, less what running backfill will have freed by then.
+   * Starts deferred tasks on capacity that no other job has taken or reserved. Requests scale-out
+   * for the remaining deferred tasks and for the jobs that become ready before a new machine could
+   * boot, minus the tasks that fit on the CPUs that running CPU-only tasks free by then.
    */
   schedule(): void {
     this.startDeferred();
--- a/src/scheduler/capacity-finder.ts
+++ b/src/scheduler/capacity-finder.ts
@@ -1,4 +1,4 @@
-/** Finds free capacity, and remembers in which lists of machines there is none left. */
+/** Places tasks on free capacity and caches which machine lists have none left for a shape. */
 import { fits } from '../fleet/resources.js';
 import type { JobSpec } from '../jobs/job.js';
 import type { JobView, MachineView } from './scheduling-model.js';
@@ -6,9 +6,9 @@
 import { placeTasks, type Placed } from './placement.js';
 import { isAllowedOn, schedulingShape, type ZoneRules } from './placement-rules.js';
 
-/** Finds free capacity for the tasks of one scheduling cycle. */
+/** Finds and takes free capacity for the tasks of one scheduling cycle. */
 export class CapacityFinder {
-  /** By list of machines, the shapes of which no task fits there any more. */
+  /** For each machine list (by identity), the shapes that no longer fit on any of its machines. */
   private readonly fullShapes = new Map<MachineView[], Set<string>>();
   private readonly suitableByShape = new Map<string, MachineView[]>();
 
@@ -18,9 +18,10 @@
   ) {}
 
   /**
-   * Places up to `count` tasks of a job. Free capacity only shrinks during a scheduling cycle, so once
-   * a list of machines has none for a shape, no other job of that shape looks there again: with
-   * hundreds of jobs waiting, a cycle would else cost more than all heartbeats.
+   * Places up to `count` tasks of a job. Free capacity only shrinks during a scheduling cycle, so
+   * once a machine list has no capacity for a shape, it is not searched again for that shape.
+   * Without this cache, a cycle with hundreds of waiting jobs would cost more than handling all
+   * heartbeats.
    */
   placeTasks(
     job: JobView,
@@ -33,7 +34,7 @@
     return placeTasks(job, count, machines, rules, this.contended, keepGpuShare);
   }
 
-  /** True if no task of this shape fits on any of these machines. */
+  /** True if no task of this shape fits on any of the machines; caches the result per list. */
   isFull(spec: JobSpec, machines: MachineView[]): boolean {
     let shapes = this.fullShapes.get(machines);
     if (!shapes) this.fullShapes.set(machines, (shapes = new Set()));
@@ -44,7 +45,7 @@
     return true;
   }
 
-  /** Machines that are up and could hold a task of this shape if they were empty. */
+  /** Returns the machines that are up and would fit a task of this shape when empty. */
   suitableMachines(spec: JobSpec): MachineView[] {
     const shape = schedulingShape(spec);
     let machines = this.suitableByShape.get(shape);
--- a/src/scheduler/consolidation.ts
+++ b/src/scheduler/consolidation.ts
@@ -1,17 +1,18 @@
-/** Consolidation: moves replicas together so that machines become idle and can be scaled in. */
+/** Consolidation: moves replicas onto fewer machines so that the others can be scaled in. */
 import { fits, type Resources } from '../fleet/resources.js';
 import type { JobView, MachineView, ReplicaView, TaskId } from './scheduling-model.js';
 import { fetchSeconds } from './placement-cost.js';
 import { findMoves, type TaskMove } from './task-moves.js';
 
-/** A machine with an idle timeout of more boot times than this is not worth draining. */
+/** Machines whose idle timeout exceeds this many boot times are not worth draining. */
 const MAX_IDLE_TIMEOUT_BOOTS = 2;
 
 /**
- * Long-running replicas stay behind on many half-empty machines once the work around them has ended.
- * The emptiest of such machines is drained if all of its replicas fit, with their image cached, on
- * fuller machines that hold replicas: each is down for the few seconds of a stop and a start, and
- * the machine can be scaled in. One machine at a time, so that few replicas are down at once.
+ * Selects the replicas to stop so that one machine can be scaled in. Long-running replicas remain
+ * on many half-empty machines after the tasks around them have finished. The emptiest of these
+ * machines is drained if all of its replicas fit on fuller machines that hold replicas and have the
+ * image cached: each replica is then down only for the few seconds of a stop and a start. Only one
+ * machine is drained at a time, which limits the number of replicas that are down at once.
  */
 export function consolidate(
   movable: ReplicaView[],
@@ -48,8 +49,9 @@
 }
 
 /**
- * Machines that hold replicas and on which at least one of the movable replicas fits. In a large
- * fleet they are few, and all of them are looked at for each machine that could be drained.
+ * Returns the machines that hold replicas and have room for at least one of the movable replicas.
+ * Filtering first keeps the search cheap: even in a large fleet they are few, and all of them are
+ * checked for each drainable machine.
  */
 function machinesThatFitAny(movable: ReplicaView[], upMachines: MachineView[]): MachineView[] {
   const needs = new Map<string, Resources>();
@@ -60,7 +62,7 @@
   );
 }
 
-/** A strict order, or two machines would swap their replicas forever. */
+/** Compares in a strict order; otherwise two machines could swap their replicas forever. */
 const isFuller = (a: MachineView, b: MachineView): boolean =>
   a.free.gpus < b.free.gpus || (a.free.gpus === b.free.gpus && a.id < b.id);
 
@@ -79,12 +81,12 @@
       return zones.set(source.zone, (zones.get(source.zone) ?? 0) - 1);
     },
     isTarget: ({ job, spec }, machine, rules, moves) =>
-      // No two replicas of one service share a machine, so that one loss takes few of them.
+      // Replicas of one service go to different machines, so that losing one machine stops few.
       !machine.tasksOf.has(job) &&
       !moves.some(({ task, to }) => task.job === job && to.id === machine.id) &&
       machine.images.has(spec.image) &&
       fetchSeconds(spec, machine) === 0 &&
-      // Several of one job may leave together: their own zone has capacity for what left it.
+      // Moves within a zone keep its task count, also when several replicas of a job move.
       (machine.zone === source.zone || rules.remaining(machine.zone) > 0),
   });
 }
--- a/src/scheduler/contended-types.ts
+++ b/src/scheduler/contended-types.ts
@@ -1,31 +1,34 @@
-/** Machine types that some jobs depend on, and what other jobs pay for using them. */
+/** Machine types that some jobs depend on, and the placement penalty of other jobs on them. */
 import { fits, copiesThatFit, type MachineType } from '../fleet/resources.js';
 import { Priority, type JobSpec } from '../jobs/job.js';
 import { schedulingShape } from './placement-rules.js';
 import type { JobView, MachineView } from './scheduling-model.js';
 
-/** Cost, in seconds of waiting, of a type that others depend on. */
+/** Penalty, in seconds of waiting, for using a type that other jobs depend on. */
 const CONTENDED_PENALTY_SECONDS = 12;
 
-/** The same where little capacity is left for those that depend on it. */
+/** Penalty, in seconds of waiting, where little capacity is left for the dependent jobs. */
 const SCARCE_PENALTY_SECONDS = 60;
 
-/** A low-priority job pays this many times the cost. */
+/** Factor on the penalty of low-priority jobs. */
 const LOW_PRIORITY_FACTOR = 4;
 
-/** Capacity for this share of the dependents' unfinished tasks is kept for those that come next. */
+/**
+ * A type is scarce when its free capacity holds less than this share of the unfinished tasks of its
+ * dependent jobs; the higher penalty then keeps capacity for the dependent tasks that come next.
+ */
 const RESERVED_RATIO = 0.25;
 
-/** The jobs that can use one machine type only. */
+/** The jobs that fit on one machine type only. */
 interface Dependents {
-  /** Of the first of them: stands for all in the estimate of the capacity left. */
+  /** Spec of the first dependent job, which represents all of them when capacity is estimated. */
   spec: JobSpec;
   unfinishedTasks: number;
-  /** Some of them may use spot instances. */
+  /** Whether any of them may use spot instances. */
   spot: boolean;
 }
 
-/** Types that some open jobs depend on: jobs that fit elsewhere too avoid them if they can. */
+/** Tracks the types that open jobs depend on, so that jobs that also fit elsewhere avoid them. */
 export class ContendedTypes {
   private readonly dependents = new Map<string, Dependents>();
   private readonly typesByShape = new Map<string, MachineType[]>();
@@ -42,7 +45,7 @@
     }
   }
 
-  /** What a task of `spec` should pay, in seconds of waiting, for a machine. */
+  /** Returns the penalty function of `spec`: seconds of waiting to add to a machine's cost. */
   penaltySeconds(spec: JobSpec): (machine: MachineView) => number {
     if (this.dependents.size === 0 || this.fittingTypes(spec).length < 2) return () => 0;
     const byType = new Map<string, { price: number; spot: boolean }>();
@@ -59,7 +62,9 @@
     };
   }
 
-  /** Seconds to fetch its image on the types without dependents; Infinity if there are none. */
+  /**
+   * Shortest image fetch on a type without dependent jobs, in seconds; Infinity if there is none.
+   */
   minFetchSecondsOnUncontended(spec: JobSpec): number {
     const uncontended = this.fittingTypes(spec).filter((type) => !this.dependents.has(type.name));
     return Math.min(...uncontended.map((type) => spec.imageGb / type.fetchGbPerS));
--- a/src/scheduler/cycle-context.ts
+++ b/src/scheduler/cycle-context.ts
@@ -1,4 +1,4 @@
-/** What the parts of one scheduling cycle share. */
+/** State shared by the components of one scheduling cycle. */
 import { CapacityFinder } from './capacity-finder.js';
 import { ContendedTypes } from './contended-types.js';
 import { withinGuarantee } from './job-order.js';
@@ -7,12 +7,15 @@
 import { ScaleOutPlan } from './scale-out-plan.js';
 import type { JobView, MachineView, Snapshot } from './scheduling-model.js';
 
-/** State of one scheduling cycle. Capacity that a part takes is gone for all that come after it. */
+/**
+ * State of one scheduling cycle. Capacity that one component takes is not available to the
+ * components that run after it.
+ */
 export interface CycleContext {
   snapshot: Snapshot;
-  /** Machines that are up. Always this very list: `CapacityFinder` remembers lists by identity. */
+  /** Machines that are up. Pass this array itself: `CapacityFinder` caches by array identity. */
   upMachines: MachineView[];
-  /** Jobs within their team's guarantee. */
+  /** Ids of the jobs within their team's guarantee. */
   guaranteed: ReadonlySet<string>;
   contended: ContendedTypes;
   finder: CapacityFinder;
@@ -21,10 +24,10 @@
   preemption: Preemption;
 }
 
-/** True for work of teams without a guarantee that may wait. */
+/** True for jobs that may wait and whose team has no guarantee. */
 export const isOpportunistic = (job: JobView): boolean => job.opportunisticTasks !== null;
 
-/** The state in which a cycle begins. */
+/** Creates the initial state of a cycle. */
 export function createCycleContext(snapshot: Snapshot): CycleContext {
   const { jobs, machines, teams, types, offers, preemptionCandidates } = snapshot;
   const upMachines = machines.filter((machine) => machine.isUp);
--- a/src/scheduler/demand-forecast.ts
+++ b/src/scheduler/demand-forecast.ts
@@ -1,27 +1,30 @@
-/** Forecast of demand by job class, so that scale-out can start before the work comes. */
+/** Demand forecast per job class, so that scale-out can start before the jobs are submitted. */
 import type { JobSpec } from '../jobs/job.js';
 
-/** How many intervals of growth are compared. */
+/** Maximum number of intervals whose growth is compared. */
 const MAX_INTERVALS = 4;
 
-/** With fewer there is no telling growth from the load that was there when the term began. */
+/**
+ * Minimum number of intervals for a forecast. With fewer, growth cannot be distinguished from the
+ * load that already existed when the leader's term began.
+ */
 const MIN_INTERVALS = 2;
 
 /**
- * For how many intervals ahead capacity is provisioned: one until a machine provisioned now is up, and
- * one until what comes meanwhile has been counted.
+ * Number of intervals ahead for which capacity is provisioned: one until a machine provisioned now
+ * is up, and one until the demand that arrives in the meantime has been sampled.
  */
 const HORIZON_INTERVALS = 2;
 
-/** Open work of one job class. */
+/** Open tasks of one job class. */
 export interface ClassDemand {
-  /** That of the job that became ready last: what comes next will most likely look like it. */
+  /** Spec of the job that became ready last, as the best guess for the next jobs of the class. */
   spec: JobSpec;
-  /** Tasks that run or wait. */
+  /** Number of running and waiting tasks. */
   tasks: number;
 }
 
-/** Tasks of a class that are expected before machines could be provisioned for them. */
+/** Tasks of a class that are expected to arrive before machines could be provisioned for them. */
 export interface ExpectedTasks {
   spec: JobSpec;
   count: number;
@@ -33,16 +36,16 @@
 }
 
 /**
- * Tells how many tasks of each job class will come before machines could be provisioned for them. It
- * goes by the typical growth over the last intervals as long as a boot, so that a single burst, or the
- * load that was there when the term began, is not taken for growth that goes on.
+ * Forecasts how many tasks of each job class arrive before machines could be provisioned for them.
+ * Uses the median growth over the last intervals, each at least one machine boot long, so that
+ * neither a single burst nor the load at the start of the leader's term counts as sustained growth.
  */
 export class DemandForecast {
   private readonly samples: Sample[] = [];
 
   /**
-   * Records what is open at `now` (milliseconds, monotonic). `count` is called no more than once in
-   * `bootMs`: it looks at every job.
+   * Samples the open tasks at `now` (milliseconds, monotonic). Calls `count` at most once per
+   * `bootMs`, because it iterates over all jobs.
    */
   observe(now: number, bootMs: number, count: () => ReadonlyMap<string, ClassDemand>): void {
     const last = this.samples[this.samples.length - 1];
@@ -51,7 +54,9 @@
     if (this.samples.length > MAX_INTERVALS + 1) this.samples.shift();
   }
 
-  /** What is expected of each class by the last sample; classes that do not grow are left out. */
+  /**
+   * Returns the expected tasks of each class in the last sample, without classes that do not grow.
+   */
   expected(): ExpectedTasks[] {
     const expected: ExpectedTasks[] = [];
     const last = this.samples[this.samples.length - 1];
@@ -62,7 +67,7 @@
     return expected;
   }
 
-  /** The lower median of a class's growth in each interval. */
+  /** Returns the lower median of a class's growth per interval. */
   private growth(name: string): number {
     const growths: number[] = [];
     for (const [i, sample] of this.samples.entries()) {
@@ -75,5 +80,5 @@
   }
 }
 
-/** How many tasks of a class were open at a sample. */
+/** Returns the number of open tasks of a class in a sample. */
 const openTasks = (sample: Sample, name: string): number => sample.demand.get(name)?.tasks ?? 0;
--- a/src/scheduler/gang-reservations.ts
+++ b/src/scheduler/gang-reservations.ts
@@ -1,4 +1,4 @@
-/** Reserves capacity for whole gangs that do not fit on what is free (KEP-349). */
+/** Reserves capacity for whole gangs that do not fit on free capacity (KEP-349). */
 import { copiesThatFit } from '../fleet/resources.js';
 import type { CycleContext } from './cycle-context.js';
 import type { JobView, MachineView } from './scheduling-model.js';
@@ -11,7 +11,7 @@
 
 /** Reserves capacity for whole gangs in one scheduling cycle. */
 export class GangReservations {
-  /** By shape and rank, the size in tasks of the smallest gang that found no capacity. */
+  /** Task count of the smallest gang that found no capacity, by shape, `oneZone` and rank. */
   private readonly unplaceableSizes = new Map<string, number>();
 
   private readonly machines: MachineView[];
@@ -33,19 +33,20 @@
   }
 
   /**
-   * Reserves capacity for a whole gang: what is free, what preemption frees (sooner than a machine
-   * boots, and little is lost with checkpoints), what boots, what scale-out provisions. False: there
-   * is not enough.
+   * Reserves capacity for a whole gang, in this order: free capacity, capacity freed by preemption
+   * (faster than a machine boot, and checkpoints keep the loss small), booting machines, scale-out.
+   * Returns false if there is not enough.
    *
-   * A gang behind the gate (KEP-349) is not admitted. But its capacity is freed or provisioned ahead
-   * and kept from smaller work, so that it passes with all of it free; else gangs would wait for as
-   * many boots as there are gangs before them. Since every scheduling cycle gives what there is to
-   * the first in order, two gangs cannot hold half of the machines each.
+   * A gang that waits for the admission gate (KEP-349) also reserves: its capacity is freed or
+   * provisioned in advance and withheld from smaller jobs, so that it can start as soon as it is
+   * admitted. Otherwise a gang would wait for one machine boot per gang before it. Every scheduling
+   * cycle reserves in scheduling order, so two gangs cannot block each other with half of the
+   * machines each.
    */
   reserve(job: JobView): boolean {
     const { spec } = job;
-    // Capacity only shrinks during a cycle: where a gang found too little, one of the same kind that
-    // is no smaller finds too little as well.
+    // Capacity only shrinks during a cycle: if a gang found too little, a gang of the same kind and
+    // at least the same size cannot fit either.
     const kind = `${schedulingShape(spec)}|${spec.oneZone}|${rank(job.priority, this.isGuaranteed(job))}`;
     const isUnrestricted = job.avoidedMachines.size === 0 && job.tasksByZone.size === 0;
     if (isUnrestricted && spec.tasks >= (this.unplaceableSizes.get(kind) ?? Infinity)) return false;
@@ -56,9 +57,10 @@
   }
 
   /**
-   * The zone in which the fewest tasks would need scale-out; null: there is none. Among equals the
-   * one with the fewest machines: the cloud's capacity in a zone is limited, and gangs that all went
-   * to one zone would use it up while other zones have plenty.
+   * Returns the zone in which the fewest tasks would need scale-out, or null if no zone can hold
+   * the gang. Ties go to the zone with the fewest machines: the cloud's capacity per zone is
+   * limited, and sending all gangs to one zone would exhaust it while other zones have capacity
+   * left.
    */
   private bestZone(job: JobView): { zone: string | null } | null {
     const { spec } = job;
@@ -70,7 +72,8 @@
     for (const zone of zones) {
       const missing = this.tasksWithoutCapacity(job, zone, upcomingMachines);
       if (missing > 0 && !this.scaleOutPlan.hasOfferFor(spec, zone)) continue;
-      // Where nothing is missing the first zone will do: its choice has to stand until the gang starts.
+      // Ties without missing capacity go to the first zone: the choice must not change between
+      // cycles until the gang starts.
       const machines = missing > 0 && zone !== null ? this.scaleOutPlan.machinesInZone(zone) : 0;
       const better =
         best === null ||
@@ -82,9 +85,9 @@
   }
 
   /**
-   * How many tasks find no capacity in a zone. What preemption frees or could free counts, so that
-   * the choice of the zone stands until it is free, and so that a gang is admitted also where
-   * scale-out is not possible.
+   * Returns how many tasks find no capacity in a zone. Capacity that preemption is freeing or could
+   * free counts as available, so that the choice of zone stays the same until it is free, and so
+   * that a gang can be admitted where scale-out is not possible.
    */
   private tasksWithoutCapacity(
     job: JobView,
@@ -134,6 +137,6 @@
   }
 }
 
-/** `zone` null stands for any. */
+/** True if the machine is in `zone`; null matches any zone. */
 const isInZone = (zone: string | null, machine: MachineView): boolean =>
   zone === null || machine.zone === zone;
--- a/src/scheduler/gang-scheduler.ts
+++ b/src/scheduler/gang-scheduler.ts
@@ -1,4 +1,4 @@
-/** Gang admission: the all-or-nothing gate of KEP-349. */
+/** Gang scheduling with the all-or-nothing admission gate of KEP-349. */
 import type { BackfillScheduler } from './backfill.js';
 import type { CycleContext } from './cycle-context.js';
 import { GangReservations } from './gang-reservations.js';
@@ -7,9 +7,9 @@
 import type { TaskStarter } from './task-starter.js';
 import { addTasks, quotaHeadroom } from './team-capacity.js';
 
-/** Schedules gangs whole or not at all. */
+/** Schedules all tasks of a gang together or none of them. */
 export class GangScheduler {
-  /** The gang that passes the gate in this cycle to wait for capacity; one at most. */
+  /** Id of the gang that this cycle admits to wait for capacity; at most one per cycle. */
   admittedGang: string | null = null;
   private readonly reservations: GangReservations;
 
@@ -22,8 +22,8 @@
   }
 
   /**
-   * Starts a gang that fits on free capacity. Any other reserves capacity, and is admitted to wait
-   * for it if no other gang is (KEP-349).
+   * Starts a gang that fits on free capacity. Otherwise reserves capacity for it, and admits it to
+   * wait for that capacity if no other gang is admitted (KEP-349).
    */
   schedule(job: JobView, team: TeamView): void {
     const { spec } = job;
@@ -38,7 +38,7 @@
     if (!job.gang?.holdsGate && !isGateTaken) this.admittedGang = job.id;
   }
 
-  /** True if the team's limit holds the gang back. */
+  /** True if the gang does not fit within its team's limit. */
   isQuotaLimited({ spec }: JobView, team: TeamView): boolean {
     return quotaHeadroom(team, spec) < spec.tasks;
   }
--- a/src/scheduler/headroom.ts
+++ b/src/scheduler/headroom.ts
@@ -1,4 +1,4 @@
-/** Headroom: scale-out ahead of demand that is expected to come. */
+/** Headroom: scale-out ahead of forecast demand. */
 import { copiesThatFit, subtract } from '../fleet/resources.js';
 import type { ExpectedTasks } from './demand-forecast.js';
 import type { JobView, MachineView, Snapshot } from './scheduling-model.js';
@@ -6,7 +6,7 @@
 import type { Preemption } from './preemption.js';
 import type { ScaleOutPlan } from './scale-out-plan.js';
 
-/** Stands for jobs of a class that nobody has submitted yet. */
+/** Creates a placeholder for the jobs of a class that are expected but not submitted yet. */
 function expectedJob({ spec, count }: ExpectedTasks): JobView {
   return {
     id: `expected ${spec.jobClass}`,
@@ -27,9 +27,10 @@
 }
 
 /**
- * Scales out for work that is expected to come before a machine could boot, beyond what is free, what
- * boots and what preemption would free. Work that has to begin sooner than a machine boots would else
- * be late as long as the fleet grows: each job would find the machines that the one before it needed.
+ * Scales out for tasks that are expected to arrive before a machine could boot and that exceed the
+ * capacity that is free, booting or available by preemption. Without headroom, jobs that must start
+ * within less than a boot time would be late as long as demand grows: the machines provisioned for
+ * one job would only be up in time for the next.
  */
 export function scaleOutHeadroom(
   snapshot: Snapshot,
--- a/src/scheduler/idle-machines.ts
+++ b/src/scheduler/idle-machines.ts
@@ -1,31 +1,32 @@
-/** Idle machines that can be scaled in, by type. Times in milliseconds, monotonic. */
+/** Tracks idle machines per type to decide on scale-in. Times are monotonic milliseconds. */
 
-/** How many machines of one type were idle during the last idle timeout. */
+/** Idle counts of one machine type during the last idle timeout. */
 interface IdleHistory {
   samples: { at: number; count: number }[];
-  /** When the history begins. */
+  /** Start of the history. */
   since: number;
 }
 
 /**
- * Tells how many idle machines are surplus: the fewest that were idle at any moment of the last idle
- * timeout. Each machine's own idle time would tell less: where work comes and goes on many machines,
- * every one of them is used now and then though all of them at once never are.
+ * Computes the surplus of idle machines: the lowest number that was idle at any time during the
+ * last idle timeout. The idle time of each single machine would find less: with short tasks spread
+ * over many machines, each machine is used now and then although they are never all in use at once.
  */
 export class IdleMachines {
   private readonly byType = new Map<string, IdleHistory>();
 
   /**
-   * @param countedSince since when idle machines are counted
-   * @param hasPredecessor whether others led before: what was idle then is not known, and half of the
-   *   idle timeout is credited for it. Else each change of leader would keep all idle machines longer.
+   * @param countedSince time since which idle machines are counted
+   * @param hasPredecessor whether another controller led before. Its idle counts are unknown, so
+   *   half of the idle timeout is credited; otherwise each change of leader would delay all
+   *   scale-in.
    */
   constructor(
     private readonly countedSince: number,
     private readonly hasPredecessor: boolean,
   ) {}
 
-  /** Records how many machines of a type are idle now; answers how many can be scaled in. */
+  /** Records how many machines of a type are idle now; returns how many can be scaled in. */
   surplus(type: string, count: number, now: number, idleTimeoutMs: number): number {
     let history = this.byType.get(type);
     if (!history) {
@@ -36,7 +37,7 @@
       this.byType.set(type, history);
     }
     const { samples } = history;
-    // Counts only rise along the list: one that a later, smaller one outlives is never the fewest.
+    // Monotonic queue: a sample followed by a smaller or equal one can never be the minimum.
     while ((samples.at(-1)?.count ?? -Infinity) >= count) samples.pop();
     const current = { at: now, count };
     samples.push(current);
@@ -46,7 +47,7 @@
     return now - history.since < idleTimeoutMs ? 0 : fewest.count;
   }
 
-  /** Machines that were scaled in no longer count as idle in the past either. */
+  /** Subtracts machines that were scaled in from the past samples too. */
   recordReleased(type: string, count: number): void {
     for (const sample of this.byType.get(type)?.samples ?? [])
       sample.count = Math.max(0, sample.count - count);
--- a/src/scheduler/job-order.ts
+++ b/src/scheduler/job-order.ts
@@ -1,11 +1,12 @@
-/** The order in which jobs are scheduled, and which of them are within their team's guarantee. */
+/** Scheduling order of jobs, and which jobs are within their team's guarantee. */
 import type { Priority } from '../jobs/job.js';
 import type { JobView, TeamCapacity, TeamView } from './scheduling-model.js';
 import { addTasks, CAPACITY_TOLERANCE } from './team-capacity.js';
 
 /**
- * A job is within its team's guarantee if it fits into it together with the team's earlier
- * unfinished jobs. Jobs with open dependencies take no part; age counts from when a job was ready.
+ * Returns the ids of the jobs within their team's guarantee: a job is within it if it fits together
+ * with the team's earlier unfinished jobs. Jobs are ordered by the time at which they became ready;
+ * jobs with open dependencies are not considered.
  */
 export function withinGuarantee(
   jobs: JobView[],
@@ -19,11 +20,11 @@
     const usage = usageByTeam.get(job.spec.team) ?? { cpus: 0, gpus: 0 };
     addTasks(usage, job.spec, job.unfinishedTasks);
     usageByTeam.set(job.spec.team, usage);
-    // 0 means that nothing of the kind is guaranteed, and nothing is asked of it either.
+    // A guarantee of 0 means that the resource is not guaranteed, so it is not checked.
     const isWithin = (guarantee: number, used: number): boolean =>
       guarantee === 0 || used <= guarantee + CAPACITY_TOLERANCE;
     const { need } = job.spec;
-    // What uses nothing of what is guaranteed has no claim to it.
+    // A job that uses none of the guaranteed resources is never within the guarantee.
     const usesGuaranteed =
       (team.guarantee.cpus > 0 && need.cpus > 0) || (team.guarantee.gpus > 0 && need.gpus > 0);
     if (
@@ -38,22 +39,24 @@
 }
 
 /**
- * Position in the scheduling order; smaller goes first. A guarantee is worth one and a half steps of priority, so that production
- * work beyond its guarantee still goes before batches within theirs.
+ * Returns the position in the scheduling order; lower values go first. Being within the guarantee
+ * is worth one and a half priority levels, so that production jobs beyond their guarantee still go
+ * before batch jobs within theirs.
  */
 export function rank(priority: Priority, guaranteed: boolean): number {
   return priority * 2 - (guaranteed ? 3 : 0);
 }
 
 /**
- * By when a job should be done, in steps of its deadline: the first that it can still meet, or, with
- * none left, twice the last. In a rush, what is late already would else go before all that could
- * still be in time, and make that late too; later on its turn comes all the same.
+ * Returns the time by which a job should be done: the first multiple of its deadline that it can
+ * still meet, or twice the last multiple if it can meet none. Under overload, jobs that are already
+ * late would otherwise go before all jobs that could still be in time, and make those late too. The
+ * later due time only postpones them.
  *
- * @param deadlineMs counts from the submission, however long the job waits for its dependencies
- * @param submittedAt time of day in milliseconds, as `now` is
- * @param steps multiples of the deadline, smallest first; none: once
- * @param remainingMs expected time until it is done, with all that has to be done before it
+ * @param deadlineMs relative to the submission, including the time spent waiting for dependencies
+ * @param submittedAt wall-clock time in milliseconds, like `now`
+ * @param steps multiples of the deadline in ascending order; if empty, 1 is used
+ * @param remainingMs expected time until the job is done, including its open dependencies
  */
 export function dueAt(
   deadlineMs: number,
@@ -62,7 +65,8 @@
   now: number,
   remainingMs: number,
 ): number {
-  // Estimates are often wrong by half: only what even half of it cannot make is given up.
+  // Estimates are often wrong by half: gives up a multiple only if even half the estimate misses
+  // it.
   const earliestDoneAt = now + remainingMs / 2;
   const lastStep = steps.at(-1) ?? 1;
   const next = [...steps, lastStep].find(
@@ -71,14 +75,14 @@
   return submittedAt + deadlineMs * (next ?? lastStep * 2);
 }
 
-/** The jobs in the order in which they are scheduled: last-resort retries last, then by `rank`. */
+/** Returns the jobs in scheduling order: by `rank`, with last-resort retries at the end. */
 export function inSchedulingOrder(jobs: JobView[], guaranteed: ReadonlySet<string>): JobView[] {
   const sameClass = (a: JobView, b: JobView): boolean =>
     a.priority === b.priority && a.spec.kind === b.spec.kind;
   return [...jobs].sort((a, b) => {
     if (a.isLastResortRetry !== b.isLastResortRetry)
       return Number(a.isLastResortRetry) - Number(b.isLastResortRetry);
-    // The gang that holds the gate goes before other standard work: all other gangs wait for it.
+    // The gang that holds the gate goes before others of its rank: all other gangs wait for it.
     const byRank = rank(a.priority, guaranteed.has(a.id)) - rank(b.priority, guaranteed.has(b.id));
     if (byRank !== 0) return byRank;
     const byGate = Number(b.gang?.holdsGate ?? false) - Number(a.gang?.holdsGate ?? false);
@@ -87,5 +91,5 @@
   });
 }
 
-/** True if `a` is more important than `b`: smaller numbers are. */
+/** True if `a` is the higher priority; higher priorities have lower numbers. */
 export const outranks = (a: Priority, b: Priority): boolean => a < b;
--- a/src/scheduler/opportunistic-drain.ts
+++ b/src/scheduler/opportunistic-drain.ts
@@ -1,13 +1,15 @@
-/** Drains machines that hold nothing but opportunistic work, so that they can be scaled in. */
+/** Selects machines that hold only opportunistic tasks to drain, so that they can be scaled in. */
 import { subtract, type Resources } from '../fleet/resources.js';
 import type { JobSpec } from '../jobs/job.js';
 import type { JobView, MachineView, PreemptionCandidate } from './scheduling-model.js';
 import { findMoves } from './task-moves.js';
 
-/** Machines drained in one scheduling cycle: each search for targets takes time. */
+/**
+ * Maximum number of machines drained per scheduling cycle; limits the time spent finding targets.
+ */
 const MAX_DRAINED_PER_CYCLE = 8;
 
-/** The largest share of a machine's resources that is in use. */
+/** Returns the share of a machine that is in use, by its most used resource. */
 function usedShare(machine: MachineView): number {
   const { capacity } = machine.type;
   const share = (free: number, of: number): number => (of > 0 ? 1 - free / of : 0);
@@ -18,7 +20,7 @@
   );
 }
 
-/** The largest share of a machine's resources that a task takes. */
+/** Returns the share of a machine that a task needs, by its largest resource share. */
 function neededShare({ need }: JobSpec, { capacity }: MachineView['type']): number {
   return Math.max(
     need.cpus / capacity.cpus,
@@ -27,20 +29,21 @@
   );
 }
 
-/** True if a machine is empty or holds tasks of these jobs only. */
+/** True if a machine is empty or holds only tasks of these jobs. */
 export const holdsOnlyTasksOf = (machine: MachineView, jobs: ReadonlySet<string>): boolean =>
   [...machine.tasksOf.keys()].every((job) => jobs.has(job));
 
 /**
- * Machines that can be drained: all tasks on one fit on machines that stay, and lose less work than
- * the machine would cost until they end by themselves. The emptiest go first. Tasks that fit nowhere
- * stay: they would be stopped and wait, and a machine be provisioned for them again.
+ * Returns the machines to drain, emptiest first. All tasks of a machine must fit on machines that
+ * are kept, and the work they lose must cost less than keeping the machine until they finish.
+ * Machines with tasks that fit nowhere else are kept: stopped tasks would wait, and a machine would
+ * be provisioned for them again.
  *
- * @param idle machines that hold nothing but opportunistic work
+ * @param idle machines that hold only opportunistic tasks
  * @param upMachines all machines that are up, with the capacity that this scheduling cycle leaves
  * @param candidates the tasks on the machines
  * @param jobs open jobs by id
- * @returns ids of machines
+ * @returns machine ids
  */
 export function drainableMachines(
   idle: MachineView[],
@@ -85,9 +88,9 @@
 }
 
 /**
- * True if the work to be done again costs less than the machine until its last task has ended. What
- * was lost once, or is half done without checkpoints, stays: moved from one idle machine to the next
- * it would be done late or never.
+ * True if repeating the lost work costs less than keeping the machine until its last task finishes.
+ * Never true if a task already lost work once, or is more than half done without checkpoints: moved
+ * repeatedly from one idle machine to the next, it would finish late or never.
  */
 function isWorthDraining(machine: MachineView, tasks: PreemptionCandidate[]): boolean {
   let lostMachineMs = 0;
--- a/src/scheduler/opportunistic-scheduler.ts
+++ b/src/scheduler/opportunistic-scheduler.ts
@@ -1,4 +1,4 @@
-/** Starts opportunistic work: it takes what no other work took or reserved. */
+/** Starts opportunistic jobs on capacity that no other job has taken or reserved. */
 import { isOpportunistic, type CycleContext } from './cycle-context.js';
 import { inSchedulingOrder } from './job-order.js';
 import { drainableMachines, holdsOnlyTasksOf } from './opportunistic-drain.js';
@@ -10,11 +10,11 @@
 /** An opportunistic job during a scheduling cycle. */
 class OpportunisticWork {
   readonly rules: ZoneRules;
-  /** How many tasks have to run at once for the job to be in time. */
+  /** Number of tasks that must run concurrently for the job to meet its due time. */
   readonly requiredConcurrency: number;
-  /** Tasks that are on machines or start. */
+  /** Number of tasks that are on machines or starting. */
   running: number;
-  /** Tasks that wait. */
+  /** Number of waiting tasks. */
   waiting: number;
 
   constructor(
@@ -28,11 +28,14 @@
   }
 }
 
-/** Schedules opportunistic work after all other, and finds the machines that are idle but for it. */
+/**
+ * Schedules opportunistic jobs after all others, and finds the machines that are idle apart from
+ * opportunistic tasks.
+ */
 export class OpportunisticScheduler {
-  /** Opportunistic jobs, whether or not tasks of theirs wait. */
+  /** Ids of all opportunistic jobs, with or without waiting tasks. */
   private readonly opportunisticJobs: ReadonlySet<string>;
-  /** Some opportunistic work found no capacity. */
+  /** True once an opportunistic task found no capacity. */
   private isStarved = false;
 
   constructor(
@@ -46,9 +49,10 @@
   }
 
   /**
-   * Starts one task of each job that has none first, or small jobs would wait for the end of large
-   * ones. Scale-out covers what has to run at once for a job to be in time; machines that hold
-   * nothing else count as idle all the same.
+   * Starts opportunistic tasks. Jobs without running tasks get one task each first; otherwise small
+   * jobs would wait until large ones finish. Requests scale-out only for the tasks that must run
+   * concurrently for a job to be in time. Machines that hold only opportunistic tasks still count
+   * as idle.
    */
   schedule(waiting: JobView[]): void {
     const { snapshot, guaranteed } = this.context;
@@ -63,7 +67,7 @@
     }
   }
 
-  /** Machines that are empty or hold only opportunistic work, and that nothing else needs. */
+  /** Returns machines with no tasks but opportunistic ones that no other job needs. */
   idleMachines(): MachineView[] {
     const { upMachines, reservations } = this.context;
     return upMachines.filter(
@@ -72,7 +76,7 @@
     );
   }
 
-  /** Of the idle machines, those whose opportunistic work fits elsewhere; the emptiest first. */
+  /** Returns the idle machines whose opportunistic tasks fit elsewhere, emptiest first. */
   drainableMachines(idle: MachineView[]): string[] {
     if (this.opportunisticJobs.size === 0 || this.isStarved) return [];
     const { snapshot, upMachines } = this.context;
--- a/src/scheduler/pipelines.ts
+++ b/src/scheduler/pipelines.ts
@@ -2,64 +2,67 @@
 import type { JobSpec, Priority } from '../jobs/job.js';
 import { dueAt } from './job-order.js';
 
-/** An open job as a step of the pipelines that it belongs to; times of day in milliseconds. */
+/** An open job as a step of its pipelines. Timestamps are wall-clock time in milliseconds. */
 export interface PipelineStep {
   id: string;
   spec: JobSpec;
   submittedAt: number;
-  /** When its last dependency was done; null while one is open. */
+  /** When its last dependency finished; null while one is open. */
   readyAt: number | null;
-  /** Ids of the jobs that have to be done before it starts; those no longer open are ignored. */
+  /**
+   * Ids of the jobs that must finish before it starts; jobs that are no longer open are ignored.
+   */
   dependencies: readonly string[];
-  /** Expected time from its first start, or from now if it has begun, until it is done. */
+  /** Expected time from its first start, or from now if it has started, until it is done. */
   remainingMs: number;
-  /** Multiples of its deadline that service-level objectives name, smallest first. */
+  /** Multiples of its deadline from the service-level objectives, in ascending order. */
   deadlineSteps: readonly number[];
 }
 
-/** How urgent one step is for the sake of all that depend on it. */
+/** Urgency of a step, including that of all steps that depend on it. */
 export interface StepUrgency {
-  /** The highest priority of the step and of all that depend on it, directly or through others. */
+  /** The highest priority among the step and its direct and transitive dependents. */
   priority: Priority;
-  /** By when it should be done so that what comes after it can be in time; time of day. */
+  /** Wall-clock time by which it should be done so that its dependents can be in time. */
   dueAt: number;
-  /** Its slack is short: it should not wait for capacity that backfill may free. */
+  /** True if its slack is low, so that it should not wait for capacity that backfill may free. */
   isPressed: boolean;
-  /** In how many milliseconds it is expected to be ready; 0 if it is. */
+  /** Milliseconds until it is expected to be ready; 0 if it is ready. */
   readyInMs: number;
 }
 
-/** A step and its neighbours while the graph is walked. */
+/** A step in the dependency graph, with the values computed for it. */
 interface Node {
   step: PipelineStep;
   dependencies: Node[];
   dependents: Node[];
-  /** How many of `before` are still to be walked. */
+  /** Number of `dependencies` that the topological sort has not visited yet. */
   unvisitedDependencies: number;
-  /** In how many milliseconds it is expected to be ready, and done. */
+  /** Milliseconds until it is expected to be ready, and until it is expected to be done. */
   readyInMs: number;
   doneInMs: number;
-  /** Expected time of the longest path from its start to the end of what depends on it. */
+  /** Expected duration of the longest path from its start through its dependents. */
   pathMs: number;
-  /** The highest priority of the step and of all that depend on it. */
+  /** The highest priority among the step and its dependents. */
   priority: Priority;
-  /** Null: neither it nor anything that depends on it has a deadline. */
+  /** Wall-clock due time; null if neither the step nor any dependent has a deadline. */
   dueAt: number | null;
 }
 
 /**
- * A step is pressed when its slack is less than this share of all that is still to be run: estimates
- * are often wrong by half. With more slack it can wait for capacity that others free.
+ * A step has low slack if its slack is below this share of its longest remaining path, because
+ * estimates are often wrong by half. With more slack it can wait for capacity that other tasks
+ * free.
  */
 const LOW_SLACK_RATIO = 0.5;
 
 /**
- * Passes priorities and deadlines up the chains of jobs. Users set both on the last job of a
- * pipeline only: a step takes the highest priority of all that depend on it, and has to be done as long
- * before the last deadline as the longest path of steps after it is expected to take (critical path
- * method). Takes time linear in the steps and their dependencies.
+ * Propagates priorities and deadlines from jobs to their dependencies, because users set both only
+ * on the last job of a pipeline. A step inherits the highest priority of its dependents, and its
+ * due time is the deadline minus the expected duration of the longest path of steps after it
+ * (critical path method). Runs in time linear in the number of steps and dependencies.
  *
- * @param now time of day, milliseconds
+ * @param now wall-clock time in milliseconds
  */
 export function pipelineUrgency(
   steps: readonly PipelineStep[],
@@ -99,10 +102,13 @@
   return [...nodes.values()];
 }
 
-/** Every step after its dependencies (Kahn's algorithm). Steps in a cycle, which cannot be, come last. */
+/**
+ * Orders each step after its dependencies (Kahn's algorithm). Steps in a dependency cycle, which
+ * should never exist, come last.
+ */
 function topologicalOrder(nodes: Node[]): Node[] {
   const order = nodes.filter((node) => node.unvisitedDependencies === 0);
-  // The list grows while it is walked.
+  // The loop also visits the nodes appended during iteration.
   for (const node of order) {
     for (const dependent of node.dependents) {
       dependent.unvisitedDependencies--;
@@ -122,7 +128,9 @@
   node.doneInMs = node.readyInMs + node.step.remainingMs;
 }
 
-/** The multiple of its deadline that the whole of what remains before it can still meet. */
+/**
+ * Sets the due time from the step's own deadline, given the expected end including dependencies.
+ */
 function setOwnDeadline(node: Node, now: number): void {
   const { spec, submittedAt, deadlineSteps } = node.step;
   if (spec.deadlineMs === null) return;
@@ -149,7 +157,7 @@
   const { submittedAt, readyAt } = node.step;
   return {
     priority: node.priority,
-    // Without a deadline the oldest goes first, and a job's age counts from when it could start.
+    // Jobs without a deadline are ordered by age, which counts from the time they became ready.
     dueAt: node.dueAt ?? readyAt ?? submittedAt,
     isPressed: hasLowSlack(node, now),
     readyInMs: node.readyInMs,
--- a/src/scheduler/placement-cost.ts
+++ b/src/scheduler/placement-cost.ts
@@ -1,36 +1,40 @@
-/** What it costs to place a task on a machine, in seconds of waiting or their equivalent. */
+/** Cost of placing a task on a machine, in seconds of waiting or their equivalent. */
 import type { JobSpec } from '../jobs/job.js';
 import type { JobView, MachineView } from './scheduling-model.js';
 
-/** Weight of a second of image fetching against the other costs of a placement. */
+/** Weight of one second of image fetch time relative to the other placement costs. */
 export const FETCH_WEIGHT = 4;
 
-/** Cost of a machine all of whose GPUs are free: others stay whole for gangs and for scale-in. */
+/** Cost of a machine with all GPUs free, which keeps whole machines free for gangs and scale-in. */
 const FREE_GPUS_SECONDS = 8;
 
-/** Cost, for a task without GPUs, of a machine all of whose processors are free. */
+/** Cost of a machine with all CPUs free, for tasks without GPUs. */
 const FREE_CPUS_SECONDS = 4;
 
-/** Cost of each replica of the same service on the machine: one loss should take few of them. */
+/**
+ * Cost per replica of the same service on the machine, so that losing a machine stops few of them.
+ */
 const SAME_SERVICE_SECONDS = 20;
 
-/** Cost of the first replica on a machine: it would keep it from scale-in for as long as it runs. */
+/** Cost of the first replica on a machine, which prevents scale-in for as long as it runs. */
 const FIRST_REPLICA_SECONDS = 40;
 
-/** Bonus of a spot instance for jobs that may use one: the others need the on-demand machines. */
+/** Bonus of a spot instance for jobs that may use one; other jobs need the on-demand machines. */
 const SPOT_BONUS_SECONDS = 4;
 
-/** Seconds until a task of this image could begin on the machine: its fetches share its rate. */
+/** Seconds until a task could start on the machine; concurrent fetches share its bandwidth. */
 export function fetchSeconds(spec: JobSpec, machine: MachineView): number {
   const missingGb = machine.images.has(spec.image) ? 0 : spec.imageGb;
   if (missingGb === 0 && machine.incomingGb === 0) return 0;
-  // An image on its way is counted by half: it has been fetched for some time already.
+  // An image that is being fetched counts half, because part of it has already arrived.
   return missingGb > 0
     ? (missingGb + machine.incomingGb) / machine.type.fetchGbPerS
     : machine.incomingGb / 2 / machine.type.fetchGbPerS;
 }
 
-/** Records in the view that the image will be fetched, which slows other fetches there down. */
+/**
+ * Records in the view that the machine will fetch the image, which slows down its other fetches.
+ */
 export function recordImageFetch(spec: JobSpec, machine: MachineView): void {
   if (machine.images.has(spec.image)) return;
   machine.images.add(spec.image);
@@ -38,10 +42,11 @@
 }
 
 /**
- * Cost of a task of the job on the machine: the image's fetch first; then the fullest machine, so
- * that whole machines stay free for gangs and for scale-in.
+ * Returns the cost of placing a task of the job on the machine. Image fetch time weighs most, then
+ * free capacity: fuller machines are preferred, so that whole machines stay free for gangs and for
+ * scale-in.
  *
- * @param contentionPenalty what the job pays for the machine's type (`ContendedTypes`)
+ * @param contentionPenalty the job's penalty for the machine's type, in seconds (`ContendedTypes`)
  */
 export function placementCost(
   job: JobView,
--- a/src/scheduler/placement-rules.ts
+++ b/src/scheduler/placement-rules.ts
@@ -1,8 +1,8 @@
-/** Which machines and zones a job's tasks may be placed on, whatever is free there. */
+/** Rules on the machines and zones that a job's tasks may use, regardless of free capacity. */
 import { spreadLimit, type JobSpec } from '../jobs/job.js';
 import type { JobView, MachineView } from './scheduling-model.js';
 
-/** True if a task of this job may be on a machine of this type, in this zone, spot or not. */
+/** True if the job's spec allows a machine of this type, zone and spot status. */
 export function isAllowedOn(spec: JobSpec, type: string, zone: string, spot: boolean): boolean {
   return (
     (spec.types === null || spec.types.includes(type)) &&
@@ -11,7 +11,7 @@
   );
 }
 
-/** True if the job's rules allow this machine and the job has not failed there. */
+/** True if the job's spec allows this machine and the job does not avoid it after a failure. */
 export function canUse(job: JobView, machine: MachineView): boolean {
   return (
     isAllowedOn(job.spec, machine.type.name, machine.zone, machine.spot) &&
@@ -21,7 +21,9 @@
 
 const shapes = new WeakMap<JobSpec, string>();
 
-/** All that decides which machines a task fits on, as a key: jobs of one shape fit the same ones. */
+/**
+ * Returns a key for everything that decides which machines fit; jobs with equal keys fit the same.
+ */
 export function schedulingShape(spec: JobSpec): string {
   let shape = shapes.get(spec);
   if (shape === undefined) {
@@ -32,7 +34,7 @@
   return shape;
 }
 
-/** In which zones more tasks of one job may be placed, updated with every task that is placed. */
+/** Tracks how many more tasks of one job each zone may hold, updated with every placement. */
 export class ZoneRules {
   private readonly tasksByZone: Map<string, number>;
   private readonly maxPerZone: number;
@@ -45,7 +47,7 @@
     this.maxPerZone = spec.spread ? spreadLimit(spec.tasks) : Infinity;
   }
 
-  /** How many more tasks the rules allow in a zone. */
+  /** Returns how many more tasks the rules allow in a zone. */
   remaining(zone: string): number {
     if (this.spec.oneZone) {
       for (const [other, count] of this.tasksByZone) if (count > 0 && other !== zone) return 0;
@@ -53,7 +55,7 @@
     return Math.max(0, this.maxPerZone - (this.tasksByZone.get(zone) ?? 0));
   }
 
-  /** Counts tasks that were placed in a zone. */
+  /** Records tasks that were placed in a zone. */
   add(zone: string, count = 1): void {
     this.tasksByZone.set(zone, (this.tasksByZone.get(zone) ?? 0) + count);
   }
--- a/src/scheduler/placement.ts
+++ b/src/scheduler/placement.ts
@@ -1,21 +1,21 @@
-/** Places tasks on machines of the snapshot: bin packing by cost, and gangs whole or not at all. */
+/** Places tasks on machines of the snapshot: bin packing by cost, and all-or-nothing for gangs. */
 import { fits, copiesThatFit, subtract, type Resources } from '../fleet/resources.js';
 import type { ContendedTypes } from './contended-types.js';
 import { placementCost } from './placement-cost.js';
 import { canUse, ZoneRules } from './placement-rules.js';
 import type { JobView, MachineView } from './scheduling-model.js';
 
-/** How many tasks of one job were placed on a machine. */
+/** Number of tasks of one job placed on a machine. */
 export interface Placed {
   machine: MachineView;
   count: number;
 }
 
-/** How many tasks were placed in all. */
+/** Returns the total number of placed tasks. */
 export const placedCount = (placed: Placed[]): number =>
   placed.reduce((sum, { count }) => sum + count, 0);
 
-/** What is left of a machine when each of its free GPUs has its share of processors and memory. */
+/** Returns the free capacity beyond the proportional share of CPUs and memory of each free GPU. */
 function capacityBeyondGpuShare(machine: MachineView): Resources {
   const { capacity } = machine.type;
   const freeGpuRatio = capacity.gpus > 0 ? machine.free.gpus / capacity.gpus : 0;
@@ -26,7 +26,7 @@
   };
 }
 
-/** A machine that a task of the job fits on, and what it costs there. */
+/** A machine that fits a task of the job, and the cost of placing it there. */
 interface Candidate {
   machine: MachineView;
   cost: number;
@@ -35,10 +35,10 @@
 const byCost = (a: Candidate, b: Candidate): number => a.cost - b.cost;
 
 /**
- * Places up to `count` tasks and subtracts them from the machines' free capacity; answers where
- * they went.
+ * Places up to `count` tasks, subtracts them from the machines' free capacity, and returns the
+ * placements.
  *
- * @param keepGpuShare use only processors and memory that free GPUs do not need
+ * @param keepGpuShare use only CPUs and memory beyond the proportional share of the free GPUs
  */
 export function placeTasks(
   job: JobView,
@@ -69,9 +69,10 @@
     placed.set(machine, (placed.get(machine) ?? 0) + tasks);
     remaining -= tasks;
   };
-  // Replicas of one service go to different machines as far as there are any.
+  // Spreads the replicas of a service over different machines where possible.
   if (kind === 'service') for (const { machine } of candidates) place(machine, 1);
-  // What no free GPU needs is of no use to the dependents of a contended type: it costs nothing.
+  // Capacity beyond the share of the free GPUs has no penalty: it is of no use to the jobs that
+  // depend on a contended type.
   if (need.gpus === 0) {
     const withoutContention = candidates
       .map(({ machine, cost }) => ({ machine, cost: cost - penalty(machine) }))
@@ -83,12 +84,15 @@
   return [...placed].map(([machine, tasks]) => ({ machine, count: tasks }));
 }
 
-/** Gives back the capacity that a trial placement took. */
+/** Restores the capacity that a trial placement took. */
 function undoPlacement(need: Resources, placed: Placed[]): void {
   for (const { machine, count } of placed) subtract(machine.free, need, -count);
 }
 
-/** Places a gang whole, in the zone where its slowest task costs least, or not at all (null). */
+/**
+ * Places all tasks of a gang in the zone where its most expensive task costs least; returns null
+ * and places none if they do not all fit.
+ */
 export function placeGang(
   job: JobView,
   machines: MachineView[],
--- a/src/scheduler/preemption.ts
+++ b/src/scheduler/preemption.ts
@@ -1,6 +1,6 @@
 /**
  * Preemption: frees capacity by stopping tasks of lower priority or, for a job within its team's
- * guarantee, tasks of teams that use more than theirs.
+ * guarantee, tasks of teams that exceed their own guarantee.
  */
 import { fits, copiesThatFit, subtract, type Resources } from '../fleet/resources.js';
 import { outranks, rank } from './job-order.js';
@@ -19,25 +19,27 @@
 interface PreemptionChoice {
   machine: MachineView;
   candidates: PreemptionCandidate[];
-  /** Work lost in machine milliseconds, and one more for each task. */
+  /** Lost work in machine milliseconds, plus one per task. */
   loss: number;
 }
 
 /**
- * The preemptions of one scheduling cycle. The cheapest loss goes first. Capacity that is already
- * being freed is counted before more is preempted.
+ * The preemptions of one scheduling cycle. Tasks whose loss is smallest are preempted first.
+ * Capacity that is already being freed is used before more tasks are preempted.
  */
 export class Preemption {
   readonly stops: TaskId[] = [];
-  /** What may be preempted on each machine; the least important first, then the cheapest loss. */
+  /** Preemptible tasks by machine: lowest priority first, then smallest loss. */
   private readonly candidatesByMachine = new Map<string, PreemptionCandidate[]>();
   private readonly preempted = new Set<PreemptionCandidate>();
   private readonly stoppingByTeam = new Map<string, TeamCapacity>();
-  /** Capacity that stopping tasks will free on each machine, beyond what is free there. */
+  /** Capacity that stopping tasks will free on each machine, in addition to its free capacity. */
   private readonly stoppingByMachine = new Map<string, Resources>();
-  /** By shape, how many stops there were when preemption last found too little. */
+  /**
+   * Number of stops when preemption last found too little capacity, by shape, priority and team.
+   */
   private readonly exhaustedShapes = new Map<string, number>();
-  /** The least important priority among the candidates. */
+  /** The lowest priority (highest number) among the candidates. */
   private lowestPriority = -Infinity;
 
   constructor(
@@ -54,7 +56,10 @@
     }
   }
 
-  /** What is free there if all work of lower priority that comes after this job is preempted. */
+  /**
+   * Returns the free capacity of a machine after all stopping tasks have exited and all tasks of
+   * lower priority that come after this job in the scheduling order have been preempted.
+   */
   capacityAfterPreemption(job: JobView, machine: MachineView, isGuaranteed: boolean): Resources {
     const capacity = this.capacityAfterStops(machine);
     const ownRank = rank(job.priority, isGuaranteed);
@@ -67,9 +72,9 @@
   }
 
   /**
-   * Frees capacity for up to `count` tasks and claims it; answers for how many. Only where the job's
-   * zones let them start: in a zone that already holds its share, the capacity would stay unused,
-   * cycle after cycle, while the job waits for it.
+   * Frees and claims capacity for up to `count` tasks; returns the number of tasks covered.
+   * Considers only zones whose rules allow more tasks of the job: capacity freed in a zone that
+   * already holds its share would stay unused in every cycle while the job waits for it.
    */
   freeCapacity(
     job: JobView,
@@ -78,7 +83,8 @@
     machines: MachineView[],
     rules: ZoneRules,
   ): number {
-    // Only preemption adds capacity within a cycle: what was in vain once stays so until the next.
+    // Only preemption adds capacity within a cycle, so an attempt that found too little is not
+    // repeated until there are new stops.
     const shape = schedulingShape(job.spec);
     const key = `${shape}|${job.priority}|${isGuaranteed ? job.spec.team : ''}`;
     const isUnrestricted = machines === this.upMachines && this.hasNoPlacementLimits(job);
@@ -117,7 +123,7 @@
     return stopping;
   }
 
-  /** What is free there once all tasks that are told to stop have left. */
+  /** Returns the free capacity of a machine once all its stopping tasks have exited. */
   private capacityAfterStops(machine: MachineView): Resources {
     const stopping = this.stoppingOn(machine);
     return {
@@ -127,7 +133,7 @@
     };
   }
 
-  /** Claims what is free or being freed already; answers for how many tasks. */
+  /** Claims capacity that is free or already being freed; returns the number of tasks covered. */
   private claimStopping(
     job: JobView,
     count: number,
@@ -156,7 +162,7 @@
     machines: MachineView[],
     rules: ZoneRules,
   ): number {
-    // Where nothing less important runs, only a guarantee entitles to what others hold.
+    // If no task of lower priority is running, only a job within its guarantee may preempt.
     if (!isGuaranteed && !outranks(job.priority, this.lowestPriority)) return 0;
     let choices = this.choicesOn(job, isGuaranteed, machines, rules);
     let found = 0;
@@ -166,7 +172,7 @@
         choices = choices.filter((choice) => choice.machine.zone !== best.machine.zone);
         continue;
       }
-      // An earlier stop may have brought a team down to its guarantee: the choice is made anew.
+      // Recomputes the choice: an earlier stop may have brought a team down to its guarantee.
       const current = this.cheapestChoice(job, best.machine, isGuaranteed);
       if (current && current.loss <= best.loss) {
         this.applyChoice(job, current);
@@ -180,7 +186,7 @@
     return found;
   }
 
-  /** The cheapest choice on each machine in a zone that may hold more of the job. */
+  /** Returns the cheapest choice on each machine whose zone may hold more tasks of the job. */
   private choicesOn(
     job: JobView,
     isGuaranteed: boolean,
@@ -205,7 +211,8 @@
       subtract(stopping, candidate.spec.need, -1);
       addTasks(this.stoppingOfTeam(candidate.spec.team), candidate.spec, 1);
     }
-    // Claimed now, also where some is free already: smaller work must not slip into it.
+    // Claims the capacity now, including any part that is already free, so that smaller tasks do
+    // not take it before the stopping tasks exit.
     subtract(machine.free, job.spec.need, 1);
   }
 
@@ -221,8 +228,9 @@
   }
 
   /**
-   * What is being stopped of a team. It is kept apart from what the team uses: until it is proven
-   * gone it counts against the team's limit, and no other task may take its share.
+   * Capacity of a team's tasks that this cycle preempts. It is not subtracted from the team's
+   * usage: until a task is confirmed to have exited, it counts against the team's limit, and no
+   * other task may use its quota.
    */
   private stoppingOfTeam(name: string): TeamCapacity {
     let sum = this.stoppingByTeam.get(name);
@@ -255,8 +263,8 @@
   }
 
   private mayPreempt(job: JobView, isGuaranteed: boolean, candidate: PreemptionCandidate): boolean {
-    // What precedes this job in the scheduling order would take the capacity back in the next cycle,
-    // and be preempted again in the one after.
+    // A task that precedes this job in the scheduling order would take the capacity back in the
+    // next cycle and be preempted again in the one after.
     if (this.rankOf(candidate) <= rank(job.priority, isGuaranteed)) return false;
     if (outranks(job.priority, candidate.priority)) return true;
     const { team } = candidate.spec;
@@ -265,8 +273,9 @@
 }
 
 /**
- * True if both use only what work with GPUs leaves on the machine. Preemption would gain nothing: the
- * one would run again only once the other has ended, and such work frees capacity within seconds.
+ * True if neither the job nor the candidate uses GPUs on a machine that has GPUs. Preemption would
+ * gain nothing: the preempted task would only run again after the job, and CPU-only tasks free
+ * their capacity within seconds anyway.
  */
 function neitherUsesGpus(
   job: JobView,
--- a/src/scheduler/scale-out-plan.ts
+++ b/src/scheduler/scale-out-plan.ts
@@ -1,16 +1,16 @@
-/** Chooses which of the cloud's offers to provision. */
+/** Selects the instance offers of the cloud to provision. */
 import { fits, copiesThatFit, subtract } from '../fleet/resources.js';
 import type { JobSpec } from '../jobs/job.js';
 import type { JobView, MachineView, InstanceOffer, ScaleOutRequest } from './scheduling-model.js';
 import { isAllowedOn, type ZoneRules } from './placement-rules.js';
 
-/** Added to an offer's price for each machine in its zone: less than prices differ by. */
+/** Added to an offer's cost for each machine in its zone; smaller than the differences in price. */
 const COST_PER_MACHINE = 1e-3;
 
 /** The machines that one scheduling cycle provisions. */
 export class ScaleOutPlan {
   private readonly plannedMachines: { offer: InstanceOffer; view: MachineView }[] = [];
-  /** Machines in each zone, planned ones included. */
+  /** Number of machines by zone, including planned ones. */
   private readonly machinesByZone = new Map<string, number>();
 
   constructor(
@@ -20,24 +20,24 @@
     for (const machine of machines) this.countMachine(machine.zone);
   }
 
-  /** The planned machines as they will be when they are up. */
+  /** Views of the planned machines, with the capacity that the plan leaves free. */
   get machines(): MachineView[] {
     return this.plannedMachines.map(({ view }) => view);
   }
 
-  /** The zones with offers, one entry for each offer. */
+  /** Zones of the offers, one entry per offer. */
   get zones(): string[] {
     return this.offers.map((offer) => offer.zone);
   }
 
-  /** True if there is an offer that suits `spec` in `zone`; null: in any zone. */
+  /** True if an offer in `zone` suits `spec`; a null zone matches any. */
   hasOfferFor(spec: JobSpec, zone: string | null): boolean {
     return this.offers.some(
       (offer) => (zone === null || offer.zone === zone) && isSuitable(spec, offer),
     );
   }
 
-  /** Plans machines for `count` tasks; answers for how many there is no offer. */
+  /** Plans machines for `count` tasks; returns the number of tasks without a suitable offer. */
   add({ spec }: JobView, count: number, rules: ZoneRules, zone: string | null): number {
     let remaining = count;
     while (remaining > 0) {
@@ -58,7 +58,7 @@
     return remaining;
   }
 
-  /** The offer that costs least for each of `count` tasks, as far as one machine holds them. */
+  /** Returns the offer with the lowest cost per task, counting the tasks that one machine holds. */
   private cheapestOffer(
     spec: JobSpec,
     count: number,
@@ -73,7 +73,7 @@
         rules.remaining(offer.zone),
       );
       if (maxTasks <= 0) continue;
-      // Of offers at the same price the one in the emptier zone is taken.
+      // Among offers at the same price, the zone with fewer machines wins.
       const machines = this.machinesInZone(offer.zone);
       const cost = offer.price / Math.min(maxTasks, count) + machines * COST_PER_MACHINE;
       if (!best || cost < best.cost) best = { offer, cost };
@@ -81,7 +81,7 @@
     return best?.offer ?? null;
   }
 
-  /** How many machines there are in a zone, planned ones included. */
+  /** Returns the number of machines in a zone, including planned ones. */
   machinesInZone(zone: string): number {
     return this.machinesByZone.get(zone) ?? 0;
   }
@@ -90,7 +90,7 @@
     this.machinesByZone.set(zone, (this.machinesByZone.get(zone) ?? 0) + 1);
   }
 
-  /** The planned machines, summed by offer. */
+  /** Returns the scale-out requests: the number of planned machines per offer. */
   requests(): ScaleOutRequest[] {
     const counts = new Map<InstanceOffer, number>();
     for (const { offer } of this.plannedMachines) counts.set(offer, (counts.get(offer) ?? 0) + 1);
@@ -110,7 +110,7 @@
   );
 }
 
-/** A machine of this offer as it will be when it is up. */
+/** Returns the view of an empty machine of this offer. */
 function plannedMachineView(offer: InstanceOffer, id: string): MachineView {
   return {
     id,
--- a/src/scheduler/scheduling-cycle.ts
+++ b/src/scheduler/scheduling-cycle.ts
@@ -1,4 +1,4 @@
-/** One scheduling cycle: decides on a snapshot what starts, is preempted, reserved and scaled out. */
+/** A scheduling cycle: decides on starts, preemption, reservations and scale-out for a snapshot. */
 import { Priority, type JobSpec } from '../jobs/job.js';
 import { BackfillScheduler } from './backfill.js';
 import { consolidate } from './consolidation.js';
@@ -13,10 +13,13 @@
 import { TaskStarter } from './task-starter.js';
 import { addTasks, quotaHeadroom } from './team-capacity.js';
 
-/** An image that is there in less than this counts as cached: not worth preempting others for. */
+/**
+ * An image whose fetch takes less than this counts as cached, because avoiding the fetch is not
+ * worth preempting other tasks.
+ */
 const NEGLIGIBLE_FETCH_SECONDS = 3;
 
-/** Runs one scheduling cycle. It changes nothing but its own snapshot. */
+/** Runs one scheduling cycle. It modifies only the snapshot. */
 export function schedule(snapshot: Snapshot): SchedulingPlan {
   return new SchedulingCycle(createCycleContext(snapshot)).run();
 }
@@ -54,7 +57,7 @@
     return {
       starts: this.starter.starts,
       admittedGang: this.gangs.admittedGang,
-      // Replicas move only while nothing waits: what is stopped has to start again at once.
+      // Consolidates only while no job waits, so that stopped replicas restart immediately.
       stops:
         regularJobs.length === 0
           ? consolidate(snapshot.movableReplicas, upMachines, snapshot.jobs)
@@ -72,7 +75,7 @@
     else this.scheduleTasks(job, team);
   }
 
-  /** Starts what fits on free capacity, and does nothing for the rest. */
+  /** Starts the tasks that fit on free capacity; neither preempts, reserves nor scales out. */
   private scheduleLastResortRetry(job: JobView, team: TeamView): void {
     if (job.gang) {
       this.starter.startGangIfItFits(job, team);
@@ -89,7 +92,7 @@
     else this.gangs.schedule(job, team);
   }
 
-  /** Starts the tasks of an array or service that fit; preempts or scales out for the others. */
+  /** Starts the tasks of an array or service that fit; preempts or scales out for the rest. */
   private scheduleTasks(job: JobView, team: TeamView): void {
     const { upMachines, guaranteed, preemption, reservations } = this.context;
     const count = Math.min(job.waitingTasks, quotaHeadroom(team, job.spec));
@@ -110,8 +113,9 @@
   }
 
   /**
-   * Places services of high priority where their image is cached, if need be by preempting other
-   * work: a replica that waits for a long fetch serves nobody. Answers how many were placed.
+   * Places replicas of high-priority services on machines that have their image cached, if
+   * necessary by preempting other tasks, because a replica cannot serve requests during a long
+   * image fetch. Returns the number of replicas placed.
    */
   private startWhereImageIsCached(
     job: JobView,
@@ -123,7 +127,7 @@
     if (spec.kind !== 'service' || spec.priority > Priority.High) return 0;
     const { contended, guaranteed, preemption, upMachines } = this.context;
     const penalty = contended.penaltySeconds(spec);
-    // On a contended type, a cached image is worth no more than a fetch elsewhere.
+    // A cached image on a contended type is worth at most the cost of the fetch on another type.
     const maxPenalty = FETCH_WEIGHT * contended.minFetchSecondsOnUncontended(spec);
     const withCachedImage = upMachines.filter(
       (machine) =>
--- a/src/scheduler/scheduling-model.ts
+++ b/src/scheduler/scheduling-model.ts
@@ -1,79 +1,80 @@
 /**
- * What a scheduling cycle sees (`Snapshot`) and what it decides (`SchedulingPlan`). Times in milliseconds
- * are monotonic unless stated otherwise; capacity is in processors, GPUs and GB of memory.
+ * Input (`Snapshot`) and output (`SchedulingPlan`) of a scheduling cycle. Times are in milliseconds
+ * and monotonic unless stated otherwise; capacity is in CPUs, GPUs and GB of memory.
  */
 import type { MachineType, Resources } from '../fleet/resources.js';
 import type { JobSpec, Priority } from '../jobs/job.js';
 import type { ExpectedTasks } from './demand-forecast.js';
 
-/** A machine as a scheduling cycle sees it; the cycle works on its own copy of `free`. */
+/** A machine in the snapshot; the cycle modifies its own copy of `free`. */
 export interface MachineView {
   id: string;
   type: MachineType;
   zone: string;
   spot: boolean;
   free: Resources;
-  /** False while it boots. */
+  /** False while it is being provisioned or boots. */
   isUp: boolean;
-  /** Images that are cached or on their way. */
+  /** Images that are cached or being fetched. */
   images: Set<string>;
-  /** How much of them is still to be fetched. */
+  /** Total size of the images that are being fetched. */
   incomingGb: number;
-  /** How many tasks it holds, by job. */
+  /** Number of its tasks by job id. */
   tasksOf: ReadonlyMap<string, number>;
-  /** How many replicas of services it holds: they run longest, and keep it from scale-in. */
+  /** Number of service replicas: they run longest and prevent scale-in. */
   replicas: number;
-  /** Idle, it would be kept at least this long for work to come. */
+  /** Minimum time for which the machine is kept when idle, in case new tasks arrive. */
   idleTimeoutMs: number;
 }
 
-/** An open job as a scheduling cycle sees it. */
+/** An open job in the snapshot. */
 export interface JobView {
   id: string;
   spec: JobSpec;
-  /** Its own, or that of a more important job that depends on it. */
+  /** Its own priority, or the higher priority of a job that depends on it. */
   priority: Priority;
-  /** Since when it could start: its submission, or the end of its last dependency (time of day). */
+  /** Wall-clock time at which it became ready: its submission or the end of its last dependency. */
   readyAt: number;
   /**
-   * By when it should be done (time of day): the next deadline that can still be met, its own or that
-   * of a job that depends on it; without a deadline, when it was ready.
+   * Wall-clock time by which it should be done: the next deadline that can still be met, its own or
+   * derived from a job that depends on it. Without a deadline, the time at which it became ready.
    */
   dueAt: number;
   /**
-   * It takes what work with GPUs leaves, and waits for capacity that other backfill frees: nothing is
-   * preempted for it yet, and scale-out covers only what other backfill will not free.
+   * True for a CPU-only job that uses the capacity that GPU jobs leave, and that waits for capacity
+   * that other backfill frees: no task is preempted for it yet, and scale-out covers only what
+   * other backfill will not free.
    */
   isBackfill: boolean;
   /**
-   * Of opportunistic work: how many of its tasks have to run at once for it to be in time. It takes
-   * what is left on machines that are up, nothing is preempted for it, and scale-out covers no more
-   * than these. Null for all other work.
+   * For an opportunistic job: the number of tasks that must run concurrently for it to be in time.
+   * It uses leftover capacity on machines that are up, no task is preempted for it, and scale-out
+   * covers at most this many tasks. Null for all other jobs.
    */
   opportunisticTasks: number | null;
-  /** Tasks that are neither done nor possibly on a machine. */
+  /** Number of tasks that are not done and neither on a machine nor possibly on one. */
   waitingTasks: number;
-  /** Tasks that are not done. */
+  /** Number of tasks that are not done. */
   unfinishedTasks: number;
-  /** Where its tasks are or may be, by zone. */
+  /** Number of its tasks that are or may be in each zone. */
   tasksByZone: ReadonlyMap<string, number>;
-  /** Machines on which it failed. */
+  /** Ids of machines to avoid because the job failed there. */
   avoidedMachines: ReadonlySet<string>;
   gang: GangView | null;
-  /** False while it waits after a failure or on the inadmissible list. */
+  /** False while it waits for a retry after a failure or is inadmissible. */
   isAdmissible: boolean;
   /**
-   * It has failed on every machine so far. It is tried after all other work and on free capacity only:
-   * nothing is preempted, reserved or scaled out for it, and it does not pass the gang gate.
+   * True if it has failed on every machine so far. It is tried after all other jobs and on free
+   * capacity only, without preemption, reservations, scale-out or admission at the gang gate.
    */
   isLastResortRetry: boolean;
 }
 
 /** State of a gang at the all-or-nothing gate (KEP-349). */
 interface GangView {
-  /** It was admitted to wait for capacity; until it starts, no other gang may be. */
+  /** True once it is admitted to wait for capacity; no other gang is admitted until it starts. */
   holdsGate: boolean;
-  /** How often it was suspended. */
+  /** Number of times it was suspended. */
   suspensions: number;
 }
 
@@ -83,31 +84,36 @@
   gpus: number;
 }
 
-/** A team's quota and what it uses; the cycle adds what it starts or reserves to its own copy. */
+/**
+ * A team's quota and usage; the cycle adds started and reserved tasks to its own copy of `used`.
+ */
 export interface TeamView {
   guarantee: TeamCapacity;
-  /** Infinity: not limited. */
+  /** Infinity means unlimited. */
   limit: TeamCapacity;
   used: TeamCapacity;
 }
 
-/** A task on a machine that could be preempted, or is on its way out. */
+/** A task on a machine that could be preempted or is already stopping. */
 export interface PreemptionCandidate {
   job: string;
   task: number;
   machine: string;
   spec: JobSpec;
-  /** That of its job, raised by jobs that depend on it. */
+  /** Priority of its job, raised by jobs that depend on it. */
   priority: Priority;
-  /** Work that would have to be done again, in machine milliseconds. */
+  /** Work that would be lost and repeated, in machine milliseconds. */
   lostWorkMs: number;
-  /** How often it was stopped before without a checkpoint. */
+  /** Number of times it was stopped without a checkpoint. */
   stopsWithoutCheckpoint: number;
-  /** For how long it should still run, by its owner's estimate. */
+  /** Expected remaining run time, based on the owner's estimate. */
   remainingMs: number;
-  /** Gangs stop whole, so their tasks are never preempted one by one. */
+  /** True for tasks of gangs, which stop as a whole and are never preempted individually. */
   isGangMember: boolean;
-  /** It frees its capacity by itself: it was told to stop, or will most likely fail. */
+  /**
+   * True if it will free its capacity without preemption: it was told to stop or will most
+   * likely fail.
+   */
   isStopping: boolean;
 }
 
@@ -119,7 +125,7 @@
   spec: JobSpec;
 }
 
-/** Machines of one kind that the cloud may provision. */
+/** A machine type, zone and spot option that the cloud offers for provisioning. */
 export interface InstanceOffer {
   type: MachineType;
   zone: string;
@@ -127,36 +133,36 @@
   price: number;
 }
 
-/** What one scheduling cycle decides on. The cycle changes nothing but this. */
+/** Input of one scheduling cycle. The cycle modifies no other state. */
 export interface Snapshot {
   machines: MachineView[];
   /** Open jobs without open dependencies. */
   jobs: JobView[];
-  /** Jobs without GPUs whose dependencies should be done before a machine could boot. */
+  /** CPU-only jobs whose dependencies are expected to finish before a machine could boot. */
   upcomingJobs: JobView[];
-  /** Tasks not submitted yet that are expected to need capacity before a machine could boot. */
+  /** Tasks that are not submitted yet but expected to need capacity before a machine could boot. */
   expectedTasks: ExpectedTasks[];
-  /** Processors of running work without GPUs: most of it ends before a machine could boot. */
+  /** CPUs used by running CPU-only tasks, most of which finish before a machine could boot. */
   leavingCpus: number;
   teams: ReadonlyMap<string, TeamView>;
   types: MachineType[];
-  /** What scale-out may use: offers refused lately are left out. */
+  /** Offers available to scale-out, without those that the cloud recently refused. */
   offers: InstanceOffer[];
   preemptionCandidates: PreemptionCandidate[];
-  /** Replicas that could move; empty while some are moving. */
+  /** Replicas that may be moved; empty while a move is in progress. */
   movableReplicas: ReplicaView[];
-  /** True while an admitted gang is placed but not ready: no other passes the gate (KEP-349). */
+  /** True while an admitted gang has not started; no other gang is admitted meanwhile (KEP-349). */
   isGateClosed: boolean;
 }
 
-/** Tasks of one job that start. */
-export interface Start {
+/** Tasks of one job to start. */
+export interface TaskStarts {
   job: string;
-  /** How many of its waiting tasks go to which machine. */
+  /** Number of waiting tasks to start on each machine. */
   assignments: { machine: string; count: number }[];
 }
 
-/** Machines of one offer to provision. */
+/** Number of machines of one offer to provision. */
 export interface ScaleOutRequest {
   type: string;
   zone: string;
@@ -164,27 +170,29 @@
   count: number;
 }
 
-/** A task by its job and index. */
+/** Identifies a task by its job and index. */
 export interface TaskId {
   job: string;
   task: number;
 }
 
-/** What one scheduling cycle decides. */
+/** Decisions of one scheduling cycle. */
 export interface SchedulingPlan {
-  starts: Start[];
-  /** The gang that passes the gate to wait for capacity. */
+  starts: TaskStarts[];
+  /** Id of the gang that is admitted at the gate to wait for capacity. */
   admittedGang: string | null;
   /** Tasks to preempt, or replicas to move. */
   stops: TaskId[];
   scaleOut: ScaleOutRequest[];
-  /** Machines that are empty or hold only opportunistic work, and that nothing else needs. */
+  /** Ids of machines with no tasks but opportunistic ones that no other job needs. */
   idleMachines: string[];
-  /** Of these, machines whose opportunistic work fits elsewhere; the emptiest first. */
+  /** Subset of `idleMachines` whose opportunistic tasks fit elsewhere, emptiest first. */
   drainableMachines: string[];
-  /** Work that would start or reserve capacity if its team's limit were higher. */
+  /** Tasks that would start or reserve capacity if their team's limit were higher. */
   quotaLimited: QuotaLimitedTasks;
 }
 
-/** Waiting tasks held back by their team's limit, by team; teams without any are left out. */
+/**
+ * Number of waiting tasks blocked by their team's limit, by team; teams without any are omitted.
+ */
 export type QuotaLimitedTasks = ReadonlyMap<string, number>;
--- a/src/scheduler/task-moves.ts
+++ b/src/scheduler/task-moves.ts
@@ -1,4 +1,4 @@
-/** Finds out whether all tasks of a machine fit on others. */
+/** Finds target machines for all tasks of a machine that is to be drained. */
 import { fits, subtract, type Resources } from '../fleet/resources.js';
 import type { JobSpec } from '../jobs/job.js';
 import { isAllowedOn, ZoneRules } from './placement-rules.js';
@@ -16,16 +16,16 @@
   to: MachineView;
 }
 
-/** What differs between the searches. */
+/** Parameters of a search for target machines. */
 interface MoveSearch {
   targets: MachineView[];
   /** Jobs by id. */
   jobs: ReadonlyMap<string, JobView>;
-  /** What is free on a target before the search; not changed. */
+  /** Returns a target's free capacity before the search; the result is not modified. */
   freeOn: (machine: MachineView) => Resources;
-  /** Where the job's tasks are without the one that moves, by zone. */
+  /** Returns the job's tasks by zone that count for the zone rules when one of its tasks moves. */
   tasksByZone: (job: JobView) => ReadonlyMap<string, number>;
-  /** True if the task may go to this target; `moves` are those found so far. */
+  /** True if the task may move to this target; `moves` are the moves found so far. */
   isTarget: (
     task: MovableTask,
     machine: MachineView,
@@ -34,7 +34,7 @@
   ) => boolean;
 }
 
-/** The first target in order for each of the tasks; null if one does not fit on any. */
+/** Assigns each task to the first suitable target; returns null if any task fits on none. */
 export function findMoves(tasks: readonly MovableTask[], search: MoveSearch): TaskMove[] | null {
   const remainingOn = new Map<MachineView, Resources>();
   const moves: TaskMove[] = [];
--- a/src/scheduler/task-starter.ts
+++ b/src/scheduler/task-starter.ts
@@ -3,16 +3,16 @@
 import { placedCount, placeGang, type Placed } from './placement.js';
 import { recordImageFetch } from './placement-cost.js';
 import type { ZoneRules } from './placement-rules.js';
-import type { JobView, MachineView, Start, TeamView } from './scheduling-model.js';
+import type { JobView, MachineView, TaskStarts, TeamView } from './scheduling-model.js';
 import { addTasks, quotaHeadroom } from './team-capacity.js';
 
 /** The starts of one scheduling cycle. */
 export class TaskStarter {
-  readonly starts: Start[] = [];
+  readonly starts: TaskStarts[] = [];
 
   constructor(private readonly context: CycleContext) {}
 
-  /** Starts up to `count` tasks; answers how many found capacity. */
+  /** Starts up to `count` tasks; returns how many found capacity. */
   startTasks(
     job: JobView,
     count: number,
@@ -29,7 +29,7 @@
     return started;
   }
 
-  /** Starts a gang if all of it fits on free capacity; false if it does not. */
+  /** Starts a gang if all its tasks fit on free capacity; returns whether it was started. */
   startGangIfItFits(job: JobView, team: TeamView): boolean {
     const { spec } = job;
     const { finder, upMachines, contended } = this.context;
