--- a/src/scheduler/backfill.ts
+++ b/src/scheduler/backfill.ts
@@ -1,60 +1,66 @@
-/** Backfill: work without GPUs that fills gaps and can wait for other backfill to end. */
+/**
+ * Backfill: CPU-only jobs that run on capacity that other jobs leave unused, and that can wait for
+ * running backfill tasks to finish.
+ */
 import type { CycleContext } from './cycle-context.js';
 import { ZoneRules } from './placement-rules.js';
 import type { JobView } from './scheduling-model.js';
 import type { TaskStarter } from './task-starter.js';
 
-interface BackfillWork {
+/** A backfill job whose remaining tasks are placed after all other jobs. */
+interface DeferredJob {
   job: JobView;
-  /** Tasks that found no capacity. */
+  /** Number of tasks that have not been placed yet. */
   missing: number;
   rules: ZoneRules;
 }
 
-/** Schedules backfill after all work that cannot wait. */
+/** Schedules backfill jobs after all jobs that cannot wait. */
 export class BackfillScheduler {
-  private readonly deferred: BackfillWork[] = [];
+  private readonly deferredJobs: DeferredJob[] = [];
 
   constructor(
     private readonly context: CycleContext,
     private readonly starter: TaskStarter,
   ) {}
 
-  /** Keeps `missing` tasks of a job for `schedule`. */
+  /** Queues `missing` tasks of a job until `schedule` runs. */
   defer(job: JobView, missing: number, rules: ZoneRules): void {
-    this.deferred.push({ job, missing, rules });
+    this.deferredJobs.push({ job, missing, rules });
   }
 
   /**
-   * Starts deferred tasks on capacity that nothing else took or reserved. Scale-out covers all that
-   * will be ready before a machine could boot, less what running backfill will have freed by then.
+   * Starts deferred tasks on capacity that no other job has taken or reserved. Requests scale-out
+   * for the remaining deferred tasks and for the jobs that become ready before a new machine could
+   * boot, minus the tasks that fit on the CPUs that running CPU-only tasks free by then.
    */
   schedule(): void {
     this.startDeferred();
-    const { snapshot, reservations, up } = this.context;
+    const { snapshot, reservations, upMachines } = this.context;
     let { leavingCpus } = snapshot;
     const upcoming = snapshot.upcomingJobs.map((job) => ({
       job,
       missing: job.waitingTasks,
       rules: new ZoneRules(job.spec, job.tasksByZone),
     }));
-    for (const { job, missing, rules } of [...this.deferred, ...upcoming]) {
+    for (const { job, missing, rules } of [...this.deferredJobs, ...upcoming]) {
       const { cpus } = job.spec.need;
-      const covered = cpus > 0 ? Math.min(missing, Math.floor(leavingCpus / cpus)) : missing;
-      leavingCpus -= covered * cpus;
-      const uncovered = missing - covered;
-      const reserved = reservations.reserveOn(job, uncovered, up, rules);
+      const waitsForRunning =
+        cpus > 0 ? Math.min(missing, Math.floor(leavingCpus / cpus)) : missing;
+      leavingCpus -= waitsForRunning * cpus;
+      const uncovered = missing - waitsForRunning;
+      const reserved = reservations.reserveOn(job, uncovered, upMachines, rules);
       reservations.reserveOrScaleOut(job, uncovered - reserved, rules);
     }
   }
 
   private startDeferred(): void {
-    const { snapshot, up } = this.context;
-    for (const work of this.deferred) {
-      const { job, missing, rules } = work;
+    const { snapshot, upMachines } = this.context;
+    for (const deferred of this.deferredJobs) {
+      const { job, missing, rules } = deferred;
       const team = snapshot.teams.get(job.spec.team);
       if (!team || job.gang) continue;
-      work.missing -= this.starter.startTasks(job, missing, rules, team, up);
+      deferred.missing -= this.starter.startTasks(job, missing, rules, team, upMachines);
     }
   }
 }
--- a/src/scheduler/headroom.ts
+++ b/src/scheduler/headroom.ts
@@ -1,4 +1,4 @@
-/** Headroom: scale-out ahead of demand that is expected to come. */
+/** Headroom: scale-out ahead of forecast demand. */
 import { copiesThatFit, subtract } from '../fleet/resources.js';
 import type { ExpectedTasks } from './demand-forecast.js';
 import type { JobView, MachineView, Snapshot } from './scheduling-model.js';
@@ -6,7 +6,7 @@
 import type { Preemption } from './preemption.js';
 import type { ScaleOutPlan } from './scale-out-plan.js';
 
-/** Stands for jobs of a class that nobody has submitted yet. */
+/** Creates a placeholder for the jobs of a class that are expected but not submitted yet. */
 function expectedJob({ spec, count }: ExpectedTasks): JobView {
   return {
     id: `expected ${spec.jobClass}`,
@@ -27,35 +27,36 @@
 }
 
 /**
- * Scales out for work that is expected to come before a machine could boot, beyond what is free, what
- * boots and what preemption would free. Work that has to begin sooner than a machine boots would else
- * be late as long as the fleet grows: each job would find the machines that the one before it needed.
+ * Scales out for tasks that are expected to arrive before a machine could boot and that exceed the
+ * capacity that is free, booting or available by preemption. Without headroom, jobs that must start
+ * within less than a boot time would be late as long as demand grows: the machines provisioned for
+ * one job would only be up in time for the next.
  */
 export function scaleOutHeadroom(
   snapshot: Snapshot,
-  up: readonly MachineView[],
+  upMachines: readonly MachineView[],
   preemption: Preemption,
   scaleOutPlan: ScaleOutPlan,
 ): void {
-  const coming = [
+  const upcomingMachines = [
     ...snapshot.machines.filter((machine) => !machine.isUp),
     ...scaleOutPlan.machines,
   ];
-  const capacities = new Map(coming.map((machine) => [machine, { ...machine.free }]));
+  const capacities = new Map(upcomingMachines.map((machine) => [machine, { ...machine.free }]));
   for (const expected of snapshot.expectedTasks) {
     const job = expectedJob(expected);
     let missing = expected.count;
-    for (const machine of [...up, ...coming]) {
+    for (const machine of [...upMachines, ...upcomingMachines]) {
       if (missing <= 0) break;
       if (!isAllowedOn(job.spec, machine.type.name, machine.zone, machine.spot)) continue;
-      let left = capacities.get(machine);
-      if (!left)
+      let remaining = capacities.get(machine);
+      if (!remaining)
         capacities.set(
           machine,
-          (left = { ...preemption.capacityAfterPreemption(job, machine, false) }),
+          (remaining = { ...preemption.capacityAfterPreemption(job, machine, false) }),
         );
-      const found = Math.min(missing, copiesThatFit(job.spec.need, left));
-      subtract(left, job.spec.need, found);
+      const found = Math.min(missing, copiesThatFit(job.spec.need, remaining));
+      subtract(remaining, job.spec.need, found);
       missing -= found;
     }
     scaleOutPlan.add(job, missing, new ZoneRules(job.spec, job.tasksByZone), null);
--- a/src/scheduler/opportunistic-drain.ts
+++ b/src/scheduler/opportunistic-drain.ts
@@ -1,13 +1,15 @@
-/** Drains machines that hold nothing but opportunistic work, so that they can be scaled in. */
+/** Selects machines that hold only opportunistic tasks to drain, so that they can be scaled in. */
 import { subtract, type Resources } from '../fleet/resources.js';
 import type { JobSpec } from '../jobs/job.js';
 import type { JobView, MachineView, PreemptionCandidate } from './scheduling-model.js';
 import { findMoves } from './task-moves.js';
 
-/** Machines drained in one scheduling cycle: each search for targets takes time. */
-const MAX_DRAINED = 8;
+/**
+ * Maximum number of machines drained per scheduling cycle; limits the time spent finding targets.
+ */
+const MAX_DRAINED_PER_CYCLE = 8;
 
-/** The largest share of a machine's resources that is in use. */
+/** Returns the share of a machine that is in use, by its most used resource. */
 function usedShare(machine: MachineView): number {
   const { capacity } = machine.type;
   const share = (free: number, of: number): number => (of > 0 ? 1 - free / of : 0);
@@ -18,8 +20,8 @@
   );
 }
 
-/** The largest share of a machine's resources that a task takes. */
-function shareOf({ need }: JobSpec, { capacity }: MachineView['type']): number {
+/** Returns the share of a machine that a task needs, by its largest resource share. */
+function neededShare({ need }: JobSpec, { capacity }: MachineView['type']): number {
   return Math.max(
     need.cpus / capacity.cpus,
     capacity.gpus > 0 ? need.gpus / capacity.gpus : 0,
@@ -27,24 +29,25 @@
   );
 }
 
-/** True if a machine is empty or holds tasks of these jobs only. */
-export const holdsOnly = (machine: MachineView, jobs: ReadonlySet<string>): boolean =>
+/** True if a machine is empty or holds only tasks of these jobs. */
+export const holdsOnlyTasksOf = (machine: MachineView, jobs: ReadonlySet<string>): boolean =>
   [...machine.tasksOf.keys()].every((job) => jobs.has(job));
 
 /**
- * Machines that can be drained: all tasks on one fit on machines that stay, and lose less work than
- * the machine would cost until they end by themselves. The emptiest go first. Tasks that fit nowhere
- * stay: they would be stopped and wait, and a machine be provisioned for them again.
+ * Returns the machines to drain, emptiest first. All tasks of a machine must fit on machines that
+ * are kept, and the work they lose must cost less than keeping the machine until they finish.
+ * Machines with tasks that fit nowhere else are kept: stopped tasks would wait, and a machine would
+ * be provisioned for them again.
  *
- * @param idle machines that hold nothing but opportunistic work
- * @param up all machines that are up, with the capacity that this scheduling cycle leaves
+ * @param idle machines that hold only opportunistic tasks
+ * @param upMachines all machines that are up, with the capacity that this scheduling cycle leaves
  * @param candidates the tasks on the machines
  * @param jobs open jobs by id
- * @returns ids of machines
+ * @returns machine ids
  */
 export function drainableMachines(
   idle: MachineView[],
-  up: MachineView[],
+  upMachines: MachineView[],
   candidates: readonly PreemptionCandidate[],
   jobs: ReadonlyMap<string, JobView>,
 ): string[] {
@@ -56,16 +59,16 @@
     if (!free) capacities.set(machine, (free = { ...machine.free }));
     return free;
   };
-  const inUse = up.filter((machine) => !tasksOn.has(machine.id));
+  const inUse = upMachines.filter((machine) => !tasksOn.has(machine.id));
   const order = idle
     .filter((machine) => machine.tasksOf.size > 0)
     .sort((a, b) => usedShare(a) - usedShare(b) || (a.id < b.id ? -1 : 1));
   const drained: string[] = [];
-  const receivers = new Set<MachineView>();
-  for (const [i, from] of order.entries()) {
-    if (drained.length === MAX_DRAINED) break;
-    const tasks = tasksOn.get(from.id) ?? [];
-    if (receivers.has(from) || !isWorthDraining(from, tasks)) continue;
+  const moveTargets = new Set<MachineView>();
+  for (const [i, source] of order.entries()) {
+    if (drained.length === MAX_DRAINED_PER_CYCLE) break;
+    const tasks = tasksOn.get(source.id) ?? [];
+    if (moveTargets.has(source) || !isWorthDraining(source, tasks)) continue;
     const targets = [...inUse, ...order.slice(i + 1)];
     const moves = findMoves(tasks, {
       targets,
@@ -75,30 +78,30 @@
       isTarget: (_task, machine, rules) => rules.remaining(machine.zone) > 0,
     });
     if (!moves) break;
-    drained.push(from.id);
+    drained.push(source.id);
     for (const { to, task } of moves) {
       subtract(freeOn(to), task.spec.need);
-      receivers.add(to);
+      moveTargets.add(to);
     }
   }
   return drained;
 }
 
 /**
- * True if the work to be done again costs less than the machine until its last task has ended. What
- * was lost once, or is half done without checkpoints, stays: moved from one idle machine to the next
- * it would be done late or never.
+ * True if repeating the lost work costs less than keeping the machine until its last task finishes.
+ * Never true if a task already lost work once, or is more than half done without checkpoints: moved
+ * repeatedly from one idle machine to the next, it would finish late or never.
  */
 function isWorthDraining(machine: MachineView, tasks: PreemptionCandidate[]): boolean {
-  let lostMs = 0;
-  let untilMs = 0;
+  let lostMachineMs = 0;
+  let occupiedMs = 0;
   for (const candidate of tasks) {
     if (candidate.isStopping || candidate.isGangMember || candidate.stopsWithoutCheckpoint > 0)
       return false;
     if (candidate.spec.checkpointMs === 0 && candidate.lostWorkMs > candidate.remainingMs)
       return false;
-    lostMs += candidate.lostWorkMs * shareOf(candidate.spec, machine.type);
-    untilMs = Math.max(untilMs, candidate.remainingMs);
+    lostMachineMs += candidate.lostWorkMs * neededShare(candidate.spec, machine.type);
+    occupiedMs = Math.max(occupiedMs, candidate.remainingMs);
   }
-  return lostMs < untilMs * (1 - usedShare(machine));
+  return lostMachineMs < occupiedMs * (1 - usedShare(machine));
 }
--- a/src/scheduler/placement.ts
+++ b/src/scheduler/placement.ts
@@ -1,22 +1,22 @@
-/** Places tasks on machines of the snapshot: bin packing by cost, and gangs whole or not at all. */
+/** Places tasks on machines of the snapshot: bin packing by cost, and all-or-nothing for gangs. */
 import { fits, copiesThatFit, subtract, type Resources } from '../fleet/resources.js';
 import type { ContendedTypes } from './contended-types.js';
 import { placementCost } from './placement-cost.js';
-import { mayUse, ZoneRules } from './placement-rules.js';
+import { canUse, ZoneRules } from './placement-rules.js';
 import type { JobView, MachineView } from './scheduling-model.js';
 
-/** How many tasks of one job were placed on a machine. */
+/** Number of tasks of one job placed on a machine. */
 export interface Placed {
   machine: MachineView;
   count: number;
 }
 
-/** How many tasks were placed in all. */
+/** Returns the total number of placed tasks. */
 export const placedCount = (placed: Placed[]): number =>
   placed.reduce((sum, { count }) => sum + count, 0);
 
-/** What is left of a machine when each of its free GPUs has its share of processors and memory. */
-function besideGpus(machine: MachineView): Resources {
+/** Returns the free capacity beyond the proportional share of CPUs and memory of each free GPU. */
+function capacityBeyondGpuShare(machine: MachineView): Resources {
   const { capacity } = machine.type;
   const freeGpuRatio = capacity.gpus > 0 ? machine.free.gpus / capacity.gpus : 0;
   return {
@@ -26,7 +26,7 @@
   };
 }
 
-/** A machine that a task of the job fits on, and what it costs there. */
+/** A machine that fits a task of the job, and the cost of placing it there. */
 interface Candidate {
   machine: MachineView;
   cost: number;
@@ -35,10 +35,10 @@
 const byCost = (a: Candidate, b: Candidate): number => a.cost - b.cost;
 
 /**
- * Places up to `count` tasks and subtracts them from the machines' free capacity; answers where
- * they went.
+ * Places up to `count` tasks, subtracts them from the machines' free capacity, and returns the
+ * placements.
  *
- * @param onlyBesideGpus use only processors and memory that free GPUs do not need
+ * @param keepGpuShare use only CPUs and memory beyond the proportional share of the free GPUs
  */
 export function placeTasks(
   job: JobView,
@@ -46,20 +46,20 @@
   machines: MachineView[],
   rules: ZoneRules,
   contended: ContendedTypes,
-  onlyBesideGpus = false,
+  keepGpuShare = false,
 ): Placed[] {
   const { need, kind } = job.spec;
-  const price = contended.prices(job.spec);
+  const penalty = contended.penaltySeconds(job.spec);
   const candidates = machines
-    .filter((machine) => fits(need, machine.free) && mayUse(job, machine))
-    .map((machine) => ({ machine, cost: placementCost(job, machine, price(machine)) }))
+    .filter((machine) => fits(need, machine.free) && canUse(job, machine))
+    .map((machine) => ({ machine, cost: placementCost(job, machine, penalty(machine)) }))
     .sort(byCost);
   const placed = new Map<MachineView, number>();
-  let left = count;
+  let remaining = count;
   const place = (machine: MachineView, maxTasks: number): void => {
     const tasks = Math.min(
       maxTasks,
-      left,
+      remaining,
       rules.remaining(machine.zone),
       copiesThatFit(need, machine.free),
     );
@@ -67,28 +67,32 @@
     subtract(machine.free, need, tasks);
     rules.add(machine.zone, tasks);
     placed.set(machine, (placed.get(machine) ?? 0) + tasks);
-    left -= tasks;
+    remaining -= tasks;
   };
-  // Replicas of one service go to different machines as far as there are any.
+  // Spreads the replicas of a service over different machines where possible.
   if (kind === 'service') for (const { machine } of candidates) place(machine, 1);
-  // What no free GPU needs is of no use to the dependents of a contended type: it costs nothing.
+  // Capacity beyond the share of the free GPUs has no penalty: it is of no use to the jobs that
+  // depend on a contended type.
   if (need.gpus === 0) {
     const withoutContention = candidates
-      .map(({ machine, cost }) => ({ machine, cost: cost - price(machine) }))
+      .map(({ machine, cost }) => ({ machine, cost: cost - penalty(machine) }))
       .sort(byCost);
     for (const { machine } of withoutContention)
-      place(machine, copiesThatFit(need, besideGpus(machine)));
+      place(machine, copiesThatFit(need, capacityBeyondGpuShare(machine)));
   }
-  if (!onlyBesideGpus) for (const { machine } of candidates) place(machine, Infinity);
+  if (!keepGpuShare) for (const { machine } of candidates) place(machine, Infinity);
   return [...placed].map(([machine, tasks]) => ({ machine, count: tasks }));
 }
 
-/** Gives back the capacity that a trial placement took. */
+/** Restores the capacity that a trial placement took. */
 function undoPlacement(need: Resources, placed: Placed[]): void {
   for (const { machine, count } of placed) subtract(machine.free, need, -count);
 }
 
-/** Places a gang whole, in the zone where its slowest task costs least, or not at all (null). */
+/**
+ * Places all tasks of a gang in the zone where its most expensive task costs least; returns null
+ * and places none if they do not all fit.
+ */
 export function placeGang(
   job: JobView,
   machines: MachineView[],
--- a/src/scheduler/preemption.ts
+++ b/src/scheduler/preemption.ts
@@ -1,10 +1,10 @@
 /**
  * Preemption: frees capacity by stopping tasks of lower priority or, for a job within its team's
- * guarantee, tasks of teams that use more than theirs.
+ * guarantee, tasks of teams that exceed their own guarantee.
  */
 import { fits, copiesThatFit, subtract, type Resources } from '../fleet/resources.js';
 import { outranks, rank } from './job-order.js';
-import { mayUse, schedulingShape, type ZoneRules } from './placement-rules.js';
+import { canUse, schedulingShape, type ZoneRules } from './placement-rules.js';
 import type {
   JobView,
   MachineView,
@@ -19,47 +19,52 @@
 interface PreemptionChoice {
   machine: MachineView;
   candidates: PreemptionCandidate[];
-  /** Work lost in machine milliseconds, and one more for each task. */
+  /** Lost work in machine milliseconds, plus one per task. */
   loss: number;
 }
 
 /**
- * The preemptions of one scheduling cycle. The cheapest loss goes first. Capacity that is already
- * being freed is counted before more is preempted.
+ * The preemptions of one scheduling cycle. Tasks whose loss is smallest are preempted first.
+ * Capacity that is already being freed is used before more tasks are preempted.
  */
 export class Preemption {
   readonly stops: TaskId[] = [];
-  /** What may be preempted on each machine; the least important first, then the cheapest loss. */
+  /** Preemptible tasks by machine: lowest priority first, then smallest loss. */
   private readonly candidatesByMachine = new Map<string, PreemptionCandidate[]>();
-  private readonly chosen = new Set<PreemptionCandidate>();
-  private readonly exitingByTeam = new Map<string, TeamCapacity>();
-  /** Capacity that stopping tasks will free on each machine, beyond what is free there. */
-  private readonly exitingByMachine = new Map<string, Resources>();
-  /** By shape, how many stops there were when preemption last found too little. */
+  private readonly preempted = new Set<PreemptionCandidate>();
+  private readonly stoppingByTeam = new Map<string, TeamCapacity>();
+  /** Capacity that stopping tasks will free on each machine, in addition to its free capacity. */
+  private readonly stoppingByMachine = new Map<string, Resources>();
+  /**
+   * Number of stops when preemption last found too little capacity, by shape, priority and team.
+   */
   private readonly exhaustedShapes = new Map<string, number>();
-  /** The least important priority among the candidates. */
+  /** The lowest priority (highest number) among the candidates. */
   private lowestPriority = -Infinity;
 
   constructor(
     candidates: PreemptionCandidate[],
-    private readonly up: MachineView[],
+    private readonly upMachines: MachineView[],
     private readonly teams: ReadonlyMap<string, TeamView>,
     private readonly guaranteed: ReadonlySet<string>,
   ) {
-    for (const machine of up)
-      this.exitingByMachine.set(machine.id, { cpus: 0, gpus: 0, memoryGb: 0 });
+    for (const machine of upMachines)
+      this.stoppingByMachine.set(machine.id, { cpus: 0, gpus: 0, memoryGb: 0 });
     for (const candidate of candidates) this.addCandidate(candidate);
     for (const list of this.candidatesByMachine.values()) {
       list.sort((a, b) => b.priority - a.priority || a.lostWorkMs - b.lostWorkMs);
     }
   }
 
-  /** What is free there if all work of lower priority that comes after this job is preempted. */
+  /**
+   * Returns the free capacity of a machine after all stopping tasks have exited and all tasks of
+   * lower priority that come after this job in the scheduling order have been preempted.
+   */
   capacityAfterPreemption(job: JobView, machine: MachineView, isGuaranteed: boolean): Resources {
-    const capacity = this.capacityAfterExits(machine);
+    const capacity = this.capacityAfterStops(machine);
     const ownRank = rank(job.priority, isGuaranteed);
     for (const candidate of this.candidatesByMachine.get(machine.id) ?? []) {
-      if (this.chosen.has(candidate)) continue;
+      if (this.preempted.has(candidate)) continue;
       if (outranks(job.priority, candidate.priority) && this.rankOf(candidate) > ownRank)
         subtract(capacity, candidate.spec.need, -1);
     }
@@ -67,9 +72,9 @@
   }
 
   /**
-   * Frees capacity for up to `count` tasks and claims it; answers for how many. Only where the job's
-   * zones let them start: in a zone that already holds its share, the capacity would stay unused,
-   * cycle after cycle, while the job waits for it.
+   * Frees and claims capacity for up to `count` tasks; returns the number of tasks covered.
+   * Considers only zones whose rules allow more tasks of the job: capacity freed in a zone that
+   * already holds its share would stay unused in every cycle while the job waits for it.
    */
   freeCapacity(
     job: JobView,
@@ -78,13 +83,14 @@
     machines: MachineView[],
     rules: ZoneRules,
   ): number {
-    // Only preemption adds capacity within a cycle: what was in vain once stays so until the next.
+    // Only preemption adds capacity within a cycle, so an attempt that found too little is not
+    // repeated until there are new stops.
     const shape = schedulingShape(job.spec);
     const key = `${shape}|${job.priority}|${isGuaranteed ? job.spec.team : ''}`;
-    const isUnrestricted = machines === this.up && this.mayGoAnywhere(job);
+    const isUnrestricted = machines === this.upMachines && this.hasNoPlacementLimits(job);
     if (isUnrestricted && this.exhaustedShapes.get(key) === this.stops.length) return 0;
-    const allowed = machines.filter((machine) => mayUse(job, machine));
-    let found = this.claimExiting(job, count, allowed, rules);
+    const allowed = machines.filter((machine) => canUse(job, machine));
+    let found = this.claimStopping(job, count, allowed, rules);
     if (found < count) found += this.preempt(job, count - found, isGuaranteed, allowed, rules);
     if (isUnrestricted && found < count) this.exhaustedShapes.set(key, this.stops.length);
     return found;
@@ -92,8 +98,8 @@
 
   private addCandidate(candidate: PreemptionCandidate): void {
     if (candidate.isStopping) {
-      const exiting = this.exitingByMachine.get(candidate.machine);
-      if (exiting) subtract(exiting, candidate.spec.need, -1);
+      const stopping = this.stoppingByMachine.get(candidate.machine);
+      if (stopping) subtract(stopping, candidate.spec.need, -1);
       return;
     }
     if (candidate.isGangMember) return;
@@ -103,7 +109,7 @@
     this.lowestPriority = Math.max(this.lowestPriority, candidate.priority);
   }
 
-  private mayGoAnywhere({ spec, avoidedMachines }: JobView): boolean {
+  private hasNoPlacementLimits({ spec, avoidedMachines }: JobView): boolean {
     return avoidedMachines.size === 0 && !spec.spread && !spec.oneZone;
   }
 
@@ -111,24 +117,24 @@
     return rank(candidate.priority, this.guaranteed.has(candidate.job));
   }
 
-  private exitingOn(machine: MachineView): Resources {
-    const exiting = this.exitingByMachine.get(machine.id);
-    if (!exiting) throw new Error(`preemption on machine ${machine.id}, which is not up`);
-    return exiting;
+  private stoppingOn(machine: MachineView): Resources {
+    const stopping = this.stoppingByMachine.get(machine.id);
+    if (!stopping) throw new Error(`preemption on machine ${machine.id}, which is not up`);
+    return stopping;
   }
 
-  /** What is free there once all tasks that are told to stop have left. */
-  private capacityAfterExits(machine: MachineView): Resources {
-    const exiting = this.exitingOn(machine);
+  /** Returns the free capacity of a machine once all its stopping tasks have exited. */
+  private capacityAfterStops(machine: MachineView): Resources {
+    const stopping = this.stoppingOn(machine);
     return {
-      cpus: machine.free.cpus + exiting.cpus,
-      gpus: machine.free.gpus + exiting.gpus,
-      memoryGb: machine.free.memoryGb + exiting.memoryGb,
+      cpus: machine.free.cpus + stopping.cpus,
+      gpus: machine.free.gpus + stopping.gpus,
+      memoryGb: machine.free.memoryGb + stopping.memoryGb,
     };
   }
 
-  /** Claims what is free or being freed already; answers for how many tasks. */
-  private claimExiting(
+  /** Claims capacity that is free or already being freed; returns the number of tasks covered. */
+  private claimStopping(
     job: JobView,
     count: number,
     machines: MachineView[],
@@ -140,7 +146,7 @@
       if (found === count) break;
       const maxTasks = Math.min(count - found, rules.remaining(machine.zone));
       if (maxTasks <= 0) continue;
-      const tasks = Math.min(maxTasks, copiesThatFit(need, this.capacityAfterExits(machine)));
+      const tasks = Math.min(maxTasks, copiesThatFit(need, this.capacityAfterStops(machine)));
       if (tasks <= 0) continue;
       subtract(machine.free, need, tasks);
       rules.add(machine.zone, tasks);
@@ -156,7 +162,7 @@
     machines: MachineView[],
     rules: ZoneRules,
   ): number {
-    // Where nothing less important runs, only a guarantee entitles to what others hold.
+    // If no task of lower priority is running, only a job within its guarantee may preempt.
     if (!isGuaranteed && !outranks(job.priority, this.lowestPriority)) return 0;
     let choices = this.choicesOn(job, isGuaranteed, machines, rules);
     let found = 0;
@@ -166,7 +172,7 @@
         choices = choices.filter((choice) => choice.machine.zone !== best.machine.zone);
         continue;
       }
-      // An earlier stop may have brought a team down to its guarantee: the choice is made anew.
+      // Recomputes the choice: an earlier stop may have brought a team down to its guarantee.
       const current = this.cheapestChoice(job, best.machine, isGuaranteed);
       if (current && current.loss <= best.loss) {
         this.applyChoice(job, current);
@@ -180,7 +186,7 @@
     return found;
   }
 
-  /** The cheapest choice on each machine in a zone that may hold more of the job. */
+  /** Returns the cheapest choice on each machine whose zone may hold more tasks of the job. */
   private choicesOn(
     job: JobView,
     isGuaranteed: boolean,
@@ -198,14 +204,15 @@
   }
 
   private applyChoice(job: JobView, { machine, candidates }: PreemptionChoice): void {
-    const exiting = this.exitingOn(machine);
+    const stopping = this.stoppingOn(machine);
     for (const candidate of candidates) {
-      this.chosen.add(candidate);
+      this.preempted.add(candidate);
       this.stops.push({ job: candidate.job, task: candidate.task });
-      subtract(exiting, candidate.spec.need, -1);
-      addTasks(this.exitingOfTeam(candidate.spec.team), candidate.spec, 1);
+      subtract(stopping, candidate.spec.need, -1);
+      addTasks(this.stoppingOfTeam(candidate.spec.team), candidate.spec, 1);
     }
-    // Claimed now, also where some is free already: smaller work must not slip into it.
+    // Claims the capacity now, including any part that is already free, so that smaller tasks do
+    // not take it before the stopping tasks exit.
     subtract(machine.free, job.spec.need, 1);
   }
 
@@ -213,22 +220,23 @@
     const team = this.teams.get(name);
     if (!team) return false;
     const { guarantee, used } = team;
-    const exiting = this.exitingOfTeam(name);
+    const stopping = this.stoppingOfTeam(name);
     return (
-      used.gpus - exiting.gpus > guarantee.gpus + CAPACITY_TOLERANCE ||
-      (guarantee.cpus > 0 && used.cpus - exiting.cpus > guarantee.cpus + CAPACITY_TOLERANCE)
+      used.gpus - stopping.gpus > guarantee.gpus + CAPACITY_TOLERANCE ||
+      (guarantee.cpus > 0 && used.cpus - stopping.cpus > guarantee.cpus + CAPACITY_TOLERANCE)
     );
   }
 
   /**
-   * What is being stopped of a team. It is kept apart from what the team uses: until it is proven
-   * gone it counts against the team's limit, and no other task may take its share.
+   * Capacity of a team's tasks that this cycle preempts. It is not subtracted from the team's
+   * usage: until a task is confirmed to have exited, it counts against the team's limit, and no
+   * other task may use its quota.
    */
-  private exitingOfTeam(name: string): TeamCapacity {
-    let sum = this.exitingByTeam.get(name);
+  private stoppingOfTeam(name: string): TeamCapacity {
+    let sum = this.stoppingByTeam.get(name);
     if (!sum) {
       sum = { cpus: 0, gpus: 0 };
-      this.exitingByTeam.set(name, sum);
+      this.stoppingByTeam.set(name, sum);
     }
     return sum;
   }
@@ -239,13 +247,13 @@
     isGuaranteed: boolean,
   ): PreemptionChoice | null {
     const { need } = job.spec;
-    const capacity = this.capacityAfterExits(machine);
+    const capacity = this.capacityAfterStops(machine);
     const candidates: PreemptionCandidate[] = [];
     let loss = 0;
     for (const candidate of this.candidatesByMachine.get(machine.id) ?? []) {
       if (candidates.length > 0 && fits(need, capacity)) break;
-      if (this.chosen.has(candidate)) continue;
-      if (isBackfillOnly(job, candidate, machine)) continue;
+      if (this.preempted.has(candidate)) continue;
+      if (neitherUsesGpus(job, candidate, machine)) continue;
       if (!this.mayPreempt(job, isGuaranteed, candidate)) continue;
       candidates.push(candidate);
       loss += candidate.lostWorkMs + 1;
@@ -255,8 +263,8 @@
   }
 
   private mayPreempt(job: JobView, isGuaranteed: boolean, candidate: PreemptionCandidate): boolean {
-    // What precedes this job in the scheduling order would take the capacity back in the next cycle,
-    // and be preempted again in the one after.
+    // A task that precedes this job in the scheduling order would take the capacity back in the
+    // next cycle and be preempted again in the one after.
     if (this.rankOf(candidate) <= rank(job.priority, isGuaranteed)) return false;
     if (outranks(job.priority, candidate.priority)) return true;
     const { team } = candidate.spec;
@@ -265,10 +273,11 @@
 }
 
 /**
- * True if both use only what work with GPUs leaves on the machine. Preemption would gain nothing: the
- * one would run again only once the other has ended, and such work frees capacity within seconds.
+ * True if neither the job nor the candidate uses GPUs on a machine that has GPUs. Preemption would
+ * gain nothing: the preempted task would only run again after the job, and CPU-only tasks free
+ * their capacity within seconds anyway.
  */
-function isBackfillOnly(
+function neitherUsesGpus(
   job: JobView,
   candidate: PreemptionCandidate,
   machine: MachineView,
--- a/src/scheduler/scheduling-cycle.ts
+++ b/src/scheduler/scheduling-cycle.ts
@@ -1,4 +1,4 @@
-/** One scheduling cycle: decides on a snapshot what starts, is preempted, reserved and scaled out. */
+/** A scheduling cycle: decides on starts, preemption, reservations and scale-out for a snapshot. */
 import { Priority, type JobSpec } from '../jobs/job.js';
 import { BackfillScheduler } from './backfill.js';
 import { consolidate } from './consolidation.js';
@@ -13,10 +13,13 @@
 import { TaskStarter } from './task-starter.js';
 import { addTasks, quotaHeadroom } from './team-capacity.js';
 
-/** An image that is there in less than this counts as cached: not worth preempting others for. */
+/**
+ * An image whose fetch takes less than this counts as cached, because avoiding the fetch is not
+ * worth preempting other tasks.
+ */
 const NEGLIGIBLE_FETCH_SECONDS = 3;
 
-/** Runs one scheduling cycle. It changes nothing but its own snapshot. */
+/** Runs one scheduling cycle. It modifies only the snapshot. */
 export function schedule(snapshot: Snapshot): SchedulingPlan {
   return new SchedulingCycle(createCycleContext(snapshot)).run();
 }
@@ -38,10 +41,10 @@
   }
 
   run(): SchedulingPlan {
-    const { snapshot, up, guaranteed, preemption, scaleOutPlan } = this.context;
+    const { snapshot, upMachines, guaranteed, preemption, scaleOutPlan } = this.context;
     const waiting = snapshot.jobs.filter((job) => job.waitingTasks > 0 && job.isAdmissible);
-    const claims = waiting.filter((job) => !isOpportunistic(job) || job.isLastResortRetry);
-    for (const job of inSchedulingOrder(claims, guaranteed)) {
+    const regularJobs = waiting.filter((job) => !isOpportunistic(job) || job.isLastResortRetry);
+    for (const job of inSchedulingOrder(regularJobs, guaranteed)) {
       const team = snapshot.teams.get(job.spec.team);
       if (team) this.scheduleJob(job, team);
     }
@@ -49,15 +52,15 @@
     this.opportunistic.schedule(
       waiting.filter((job) => isOpportunistic(job) && !job.isLastResortRetry),
     );
-    scaleOutHeadroom(snapshot, up, preemption, scaleOutPlan);
+    scaleOutHeadroom(snapshot, upMachines, preemption, scaleOutPlan);
     const idle = this.opportunistic.idleMachines();
     return {
       starts: this.starter.starts,
       admittedGang: this.gangs.admittedGang,
-      // Replicas move only while nothing waits: what is stopped has to start again at once.
+      // Consolidates only while no job waits, so that stopped replicas restart immediately.
       stops:
-        claims.length === 0
-          ? consolidate(snapshot.movableReplicas, up, snapshot.jobs)
+        regularJobs.length === 0
+          ? consolidate(snapshot.movableReplicas, upMachines, snapshot.jobs)
           : preemption.stops,
       scaleOut: scaleOutPlan.requests(),
       idleMachines: idle.map((machine) => machine.id),
@@ -72,7 +75,7 @@
     else this.scheduleTasks(job, team);
   }
 
-  /** Starts what fits on free capacity, and does nothing for the rest. */
+  /** Starts the tasks that fit on free capacity; neither preempts, reserves nor scales out. */
   private scheduleLastResortRetry(job: JobView, team: TeamView): void {
     if (job.gang) {
       this.starter.startGangIfItFits(job, team);
@@ -81,7 +84,7 @@
     const count = Math.min(job.waitingTasks, quotaHeadroom(team, job.spec));
     if (count <= 0) return;
     const rules = new ZoneRules(job.spec, job.tasksByZone);
-    this.starter.startTasks(job, count, rules, team, this.context.up);
+    this.starter.startTasks(job, count, rules, team, this.context.upMachines);
   }
 
   private scheduleGang(job: JobView, team: TeamView): void {
@@ -89,29 +92,30 @@
     else this.gangs.schedule(job, team);
   }
 
-  /** Starts the tasks of an array or service that fit; preempts or scales out for the others. */
+  /** Starts the tasks of an array or service that fit; preempts or scales out for the rest. */
   private scheduleTasks(job: JobView, team: TeamView): void {
-    const { up, guaranteed, preemption, reservations } = this.context;
+    const { upMachines, guaranteed, preemption, reservations } = this.context;
     const count = Math.min(job.waitingTasks, quotaHeadroom(team, job.spec));
     this.recordQuotaLimited(job.spec, job.waitingTasks - count);
     if (count <= 0) return;
     const rules = new ZoneRules(job.spec, job.tasksByZone);
     let missing = count - this.startWhereImageIsCached(job, count, rules, team);
     if (missing > 0)
-      missing -= this.starter.startTasks(job, missing, rules, team, up, job.isBackfill);
+      missing -= this.starter.startTasks(job, missing, rules, team, upMachines, job.isBackfill);
     if (job.isBackfill) {
       this.backfill.defer(job, missing, rules);
       return;
     }
     if (missing <= 0) return;
     addTasks(team.used, job.spec, missing);
-    const freed = preemption.freeCapacity(job, missing, guaranteed.has(job.id), up, rules);
+    const freed = preemption.freeCapacity(job, missing, guaranteed.has(job.id), upMachines, rules);
     reservations.reserveOrScaleOut(job, missing - freed, rules);
   }
 
   /**
-   * Places services of high priority where their image is cached, if need be by preempting other
-   * work: a replica that waits for a long fetch serves nobody. Answers how many were placed.
+   * Places replicas of high-priority services on machines that have their image cached, if
+   * necessary by preempting other tasks, because a replica cannot serve requests during a long
+   * image fetch. Returns the number of replicas placed.
    */
   private startWhereImageIsCached(
     job: JobView,
@@ -121,21 +125,27 @@
   ): number {
     const { spec } = job;
     if (spec.kind !== 'service' || spec.priority > Priority.High) return 0;
-    const { contended, guaranteed, preemption, up } = this.context;
-    const price = contended.prices(spec);
-    // On a contended type, a cached image is worth no more than a fetch elsewhere.
-    const maxPrice = FETCH_WEIGHT * contended.fetchSecondsOutside(spec);
-    const cached = up.filter(
+    const { contended, guaranteed, preemption, upMachines } = this.context;
+    const penalty = contended.penaltySeconds(spec);
+    // A cached image on a contended type is worth at most the cost of the fetch on another type.
+    const maxPenalty = FETCH_WEIGHT * contended.minFetchSecondsOnUncontended(spec);
+    const withCachedImage = upMachines.filter(
       (machine) =>
         machine.images.has(spec.image) &&
         fetchSeconds(spec, machine) < NEGLIGIBLE_FETCH_SECONDS &&
-        price(machine) <= maxPrice,
+        penalty(machine) <= maxPenalty,
     );
-    if (cached.length === 0) return 0;
-    const started = this.starter.startTasks(job, count, rules, team, cached);
+    if (withCachedImage.length === 0) return 0;
+    const started = this.starter.startTasks(job, count, rules, team, withCachedImage);
     const missing = count - started;
     if (missing === 0) return started;
-    const freed = preemption.freeCapacity(job, missing, guaranteed.has(job.id), cached, rules);
+    const freed = preemption.freeCapacity(
+      job,
+      missing,
+      guaranteed.has(job.id),
+      withCachedImage,
+      rules,
+    );
     addTasks(team.used, spec, freed);
     return started + freed;
   }
