--- a/src/peer/cancellation-query.ts
+++ b/src/peer/cancellation-query.ts
@@ -1,4 +1,7 @@
-/** Asks the other controllers what they told users of cancellations while the store brings no news. */
+/**
+ * Asks the other controllers which cancellations they have confirmed to users. Used while the store
+ * delivers no updates.
+ */
 import type { Subscription } from 'rxjs';
 import type { CancellationLog } from '../jobs/cancellation-log.js';
 import { MAX_CLOCK_DRIFT } from '@leverhatch/core/clock';
@@ -6,79 +9,82 @@
 import type { PeerMessage } from './frames.js';
 import type { PeerTransport } from './peer-transport.js';
 
-/** The jobs that any controller has told users to be cancelled, without a gap up to `asOf`. */
+/** The jobs whose cancellation any controller has confirmed to a user; complete up to `asOf`. */
 export interface KnownCancellations {
   /** Monotonic, in milliseconds. */
   asOf: number;
   cancelled: Set<string>;
 }
 
-/** The answers to one query. */
-interface Collection {
-  missing: Set<string>;
+/** A query that waits for responses. */
+interface PendingQuery {
+  unanswered: Set<string>;
   cancelled: Set<string>;
   isRefused: boolean;
-  /** No further answer can change the outcome. */
+  /** Ends the wait early; called once no further response can change the outcome. */
   close(): void;
 }
 
 /**
- * Queries all controllers for cancellations. While the store brings no news of the job records, the
- * leader asks every other controller for the full list of jobs that it has told users to be cancelled
- * since the leader last knew all records. A controller whose process is younger than that, or whose
- * log has dropped an entry since, gives none; nor does one that cannot be reached in time. Without
- * all of them nothing is concluded.
+ * Queries all controllers for cancellations. While the store delivers no updates of the job records,
+ * the leader asks every other controller for the complete list of jobs whose cancellation it has
+ * confirmed to users since the leader last knew all records. A controller that started after that time,
+ * whose log has dropped an entry since, or that cannot be reached in time provides no list. Unless
+ * every controller provides one, the query has no result.
  */
 export class CancellationQuery {
   private lastRequestId = 0;
-  private readonly collections = new Map<number, Collection>();
+  private readonly pendingQueries = new Map<number, PendingQuery>();
 
   constructor(
     private readonly peerTransport: PeerTransport,
     private readonly runtime: Runtime,
     private readonly log: CancellationLog,
-    /** Whether a controller is known to read these frames; an older one would close the connection. */
+    /** Whether a peer is known to support these frames; an older version would close the connection. */
     private readonly supportsQuery: (peer: string) => boolean,
   ) {}
 
-  /** Answers the others and takes in their answers until unsubscribed. */
+  /** Answers queries of other controllers and collects their responses until unsubscribed. */
   listen(): Subscription {
     return this.peerTransport.messages.subscribe(({ from, message }) =>
       this.onMessage(from, message),
     );
   }
 
-  /** Null unless every other controller has answered, within `withinMs`, for the time since `from`. */
-  async collect(from: number, withinMs: number): Promise<KnownCancellations | null> {
+  /**
+   * Collects the cancellations since `from` (monotonic, in milliseconds); null unless every other
+   * controller provides its complete list within `timeoutMs`.
+   */
+  async collect(from: number, timeoutMs: number): Promise<KnownCancellations | null> {
     const { clock } = this.runtime;
     const { peers } = this.peerTransport;
     if (!peers.every((peer) => this.supportsQuery(peer))) return null;
     const asOf = clock.now();
-    // The request may travel for as long as its answer is waited for; by the clock of whoever gets
-    // it, the time meant must not begin any later for that.
-    const sinceMs = Math.ceil(asOf - from + withinMs);
+    // A peer subtracts `sinceMs` from the time at which it receives the request, which may be as late
+    // as the timeout; adding the timeout keeps that from moving the start of the period past `from`.
+    const sinceMs = Math.ceil(asOf - from + timeoutMs);
     const requestId = ++this.lastRequestId;
-    const answered = new AbortController();
-    const collection: Collection = {
-      missing: new Set(peers),
+    const closed = new AbortController();
+    const query: PendingQuery = {
+      unanswered: new Set(peers),
       cancelled: new Set(),
       isRefused: false,
-      close: () => answered.abort(),
+      close: () => closed.abort(),
     };
-    this.collections.set(requestId, collection);
+    this.pendingQueries.set(requestId, query);
     try {
       for (const peer of peers)
         this.peerTransport.send(peer, { kind: 'cancellationsRequest', requestId, sinceMs });
-      if (peers.length > 0) await clock.sleep(withinMs, answered.signal);
+      if (peers.length > 0) await clock.sleep(timeoutMs, closed.signal);
     } finally {
-      this.collections.delete(requestId);
+      this.pendingQueries.delete(requestId);
     }
-    const own = this.log.since(from);
-    if (collection.isRefused || collection.missing.size > 0 || own === null) return null;
-    // If this process stalled meanwhile, it cannot tell when its request was read.
-    if (clock.now() - asOf > withinMs) return null;
-    for (const id of own) collection.cancelled.add(id);
-    return { asOf, cancelled: collection.cancelled };
+    const ownCancellations = this.log.since(from);
+    if (query.isRefused || query.unanswered.size > 0 || ownCancellations === null) return null;
+    // If this process stalled meanwhile, its peers may have received the request after the timeout.
+    if (clock.now() - asOf > timeoutMs) return null;
+    for (const id of ownCancellations) query.cancelled.add(id);
+    return { asOf, cancelled: query.cancelled };
   }
 
   private onMessage(from: string, message: PeerMessage): void {
@@ -99,13 +105,13 @@
   }
 
   private recordResponse(from: string, requestId: number, cancelled: string[] | null): void {
-    const collection = this.collections.get(requestId);
-    if (!collection) return;
-    if (cancelled === null) collection.isRefused = true;
+    const query = this.pendingQueries.get(requestId);
+    if (!query) return;
+    if (cancelled === null) query.isRefused = true;
     else {
-      collection.missing.delete(from);
-      for (const id of cancelled) collection.cancelled.add(id);
+      query.unanswered.delete(from);
+      for (const id of cancelled) query.cancelled.add(id);
     }
-    if (collection.isRefused || collection.missing.size === 0) collection.close();
+    if (query.isRefused || query.unanswered.size === 0) query.close();
   }
 }
--- a/src/peer/frame-decoder.ts
+++ b/src/peer/frame-decoder.ts
@@ -1,4 +1,4 @@
-/** Turns a stream of bytes into messages. */
+/** Decodes messages from a stream of bytes. */
 import { crc32 } from 'node:zlib';
 import {
   FRAME_VERSIONS,
@@ -10,7 +10,7 @@
 } from './frame-format.js';
 import type { JobProgress, PeerMessage, PeerMessageKind, PeerMessages } from './messages.js';
 
-/** What can be wrong with a frame. */
+/** Why a frame was rejected. */
 export type FrameFault =
   | 'bad magic'
   | 'unknown version'
@@ -20,7 +20,7 @@
   | 'payload too short'
   | 'payload too long';
 
-/** A frame that cannot be read. Its connection is to be closed; nothing else is affected. */
+/** A frame cannot be decoded. The caller must close the connection; nothing else is affected. */
 export class FrameError extends Error {
   constructor(readonly fault: FrameFault) {
     super(fault);
@@ -50,14 +50,14 @@
 
   text(): string {
     const length = this.u8();
-    const from = this.advance(length);
-    return this.buffer.toString('utf8', from, from + length);
+    const start = this.advance(length);
+    return this.buffer.toString('utf8', start, start + length);
   }
 
-  /** Reads a count and that many items. */
+  /** Reads a list: the number of items, then the items. */
   list<T>(readItem: () => T): T[] {
     const items: T[] = [];
-    for (let left = this.u32(); left > 0; left--) items.push(readItem());
+    for (let remaining = this.u32(); remaining > 0; remaining--) items.push(readItem());
     return items;
   }
 
@@ -66,10 +66,10 @@
   }
 
   private advance(bytes: number): number {
-    const from = this.at;
-    if (from + bytes > this.buffer.length) throw new FrameError('payload too short');
+    const start = this.at;
+    if (start + bytes > this.buffer.length) throw new FrameError('payload too short');
     this.at += bytes;
-    return from;
+    return start;
   }
 }
 
@@ -92,7 +92,7 @@
   running: reader.u32(),
 });
 
-/** How the payload of each kind is read; fields are read in the order in which they are written here. */
+/** Payload decoders by kind. Fields are read in the order of the properties here. */
 const READERS: { [K in PeerMessageKind]: (reader: PayloadReader) => PeerMessages[K] } = {
   hello: (reader) => ({ kind: 'hello', member: reader.text(), ageMs: reader.u64() }),
   leaderHeartbeat: (reader) => ({
@@ -129,11 +129,13 @@
   reinstatementVote: (reader) => ({ kind: 'reinstatementVote', ...readVote(reader) }),
 };
 
-/** Cuts a stream of bytes into messages. After a `FrameError` it cannot be used any more. */
+/**
+ * Decodes messages from the chunks of one connection. It cannot be used any more after a `FrameError`.
+ */
 export class Decoder {
   private rest: Buffer = Buffer.alloc(0);
 
-  /** The messages that are complete with this chunk. */
+  /** Appends `chunk` and returns the messages that it completes. */
   push(chunk: Buffer): PeerMessage[] {
     this.rest = this.rest.length === 0 ? chunk : Buffer.concat([this.rest, chunk]);
     const messages: PeerMessage[] = [];
@@ -146,7 +148,7 @@
     return messages;
   }
 
-  /** Checked before the payload has come, so that nothing is kept for a frame that is refused. */
+  /** Validates the header before the payload arrives, so that no invalid frame is buffered. */
   private readHeader(): { kind: PeerMessageKind; length: number } {
     const version = this.rest.readUInt8(HEADER_OFFSETS.version);
     const kind = KINDS[this.rest.readUInt8(HEADER_OFFSETS.kind)];
--- a/src/peer/frame-encoder.ts
+++ b/src/peer/frame-encoder.ts
@@ -1,4 +1,4 @@
-/** Turns messages into frames. */
+/** Encodes messages as frames. */
 import { crc32 } from 'node:zlib';
 import {
   HEADER_BYTES,
@@ -59,7 +59,7 @@
   writer.u32(message.requestId).flag(message.granted);
 }
 
-/** How the payload of each kind is written. */
+/** Payload encoders by kind. */
 const WRITERS: {
   [K in PeerMessageKind]: (message: PeerMessages[K], writer: PayloadWriter) => void;
 } = {
@@ -88,15 +88,15 @@
   reinstatementVote: writeVote,
 };
 
-function payloadOf<K extends PeerMessageKind>(kind: K, message: PeerMessages[K]): Buffer {
+function encodePayload<K extends PeerMessageKind>(kind: K, message: PeerMessages[K]): Buffer {
   const writer = new PayloadWriter();
   WRITERS[kind](message, writer);
   return writer.toBuffer();
 }
 
-/** The frame of a message. */
+/** Encodes a message as one frame. */
 export function encode(message: PeerMessage): Buffer {
-  const payload = payloadOf(message.kind, message);
+  const payload = encodePayload(message.kind, message);
   const kind = KINDS.indexOf(message.kind);
   const header = Buffer.allocUnsafe(HEADER_BYTES);
   header.writeUInt16BE(MAGIC, HEADER_OFFSETS.magic);
@@ -107,7 +107,7 @@
   return Buffer.concat([header, payload]);
 }
 
-/** A leader's heartbeat in as many messages as its jobs need; at least one. */
+/** Splits a leader heartbeat into as many messages as the progress of its jobs needs, at least one. */
 export function leaderHeartbeats(fencingToken: number, progress: JobProgress[]): PeerMessage[] {
   const messages: PeerMessage[] = [];
   for (let from = 0; from === 0 || from < progress.length; from += MAX_JOBS_PER_HEARTBEAT) {
--- a/src/peer/frame-format.ts
+++ b/src/peer/frame-format.ts
@@ -1,20 +1,21 @@
 /**
- * What encoder and decoder share. A frame is a header of 12 bytes (magic, version, kind, length of the
- * payload, its CRC-32) and a payload; all numbers are big-endian.
+ * The frame format that the encoder and the decoder share. A frame consists of a header of 12 bytes
+ * (magic number, version, kind, length of the payload, CRC-32 of the payload) and a payload. All
+ * numbers are big-endian.
  */
 import type { PeerMessageKind } from './messages.js';
 
 /** The first two bytes of every frame. */
 export const MAGIC = 0x4c48;
-/** Where each field of the header begins. */
+/** The offset of each header field. */
 export const HEADER_OFFSETS = { magic: 0, version: 2, kind: 3, length: 4, checksum: 8 } as const;
 export const HEADER_BYTES = 12;
-/** A longer payload is refused. */
+/** Frames with a longer payload are rejected. */
 export const MAX_PAYLOAD_BYTES = 256 * 1024;
-/** The length of a text is one byte. */
+/** The length of a text is encoded in one byte. */
 export const MAX_TEXT_BYTES = 255;
 
-/** The kind of a frame is its place here: new kinds go to the end. */
+/** The kind is encoded as its index in this list, so new kinds must be appended. */
 export const KINDS: readonly PeerMessageKind[] = [
   'hello',
   'leaderHeartbeat',
@@ -32,26 +33,31 @@
 const FIRST_CANCELLATIONS_KIND = KINDS.indexOf('cancellationsRequest');
 const FIRST_REINSTATEMENT_KIND = KINDS.indexOf('reinstatementRequest');
 
-/** Of all kinds up to `storeStatus`; a program that knows no later one closes a connection that brings one. */
+/**
+ * The version of all kinds up to `storeStatus`. A controller closes a connection on a version it does
+ * not know.
+ */
 const BASE_VERSION = 3;
-/** The versions of the kinds that came later, which go only to controllers known to read them. */
+/** The versions of kinds that were added later; these are sent only to peers known to support them. */
 export const CANCELLATIONS_VERSION = 4;
 export const REINSTATEMENT_VERSION = 5;
-/** The versions of frames that this program understands. */
+/** The frame versions that this controller supports. */
 export const FRAME_VERSIONS: readonly number[] = [
   BASE_VERSION,
   CANCELLATIONS_VERSION,
   REINSTATEMENT_VERSION,
 ];
 
-/** How many jobs' progress fits into one frame, however long their names are: id, done, running. */
+/**
+ * How many progress entries (id, done, running) fit into one frame, even with ids of maximum length.
+ */
 export const MAX_JOBS_PER_HEARTBEAT = Math.floor(
   (MAX_PAYLOAD_BYTES - 13) / (1 + MAX_TEXT_BYTES + 8),
 );
-/** How many jobs' names fit into one answer, however long they are. */
+/** How many job ids fit into one `cancellationsResponse`, even with ids of maximum length. */
 export const MAX_CANCELLATIONS = Math.floor((MAX_PAYLOAD_BYTES - 9) / (1 + MAX_TEXT_BYTES));
 
-/** The version in the header of a frame of this kind, given by its place in `KINDS`. */
+/** Returns the frame version of a kind, which is given as its index in `KINDS`. */
 export function versionOf(kind: number): number {
   if (kind < FIRST_CANCELLATIONS_KIND) return BASE_VERSION;
   return kind < FIRST_REINSTATEMENT_KIND ? CANCELLATIONS_VERSION : REINSTATEMENT_VERSION;
--- a/src/peer/frames.ts
+++ b/src/peer/frames.ts
@@ -1,4 +1,4 @@
-/** Frames between controllers: what the rest of the program uses of their messages, encoder and decoder. */
+/** The public interface of the frame protocol between controllers. */
 export {
   CANCELLATIONS_VERSION,
   FRAME_VERSIONS,
--- a/src/peer/lease-extension-vote.ts
+++ b/src/peer/lease-extension-vote.ts
@@ -1,44 +1,48 @@
-/** Votes between controllers that let a leader go on while the store serves nobody. */
+/** Votes among controllers by which a leader stays in office while the store is unavailable to all. */
 import type { Subscription } from 'rxjs';
 import { MAX_CLOCK_DRIFT } from '@leverhatch/core/clock';
 import type { Runtime } from '@leverhatch/core/duty';
 import type { PeerMessage, PeerMessages } from './messages.js';
 import type { PeerTransport } from './peer-transport.js';
 
-/** What a controller's vote depends on. */
+/** The state of this controller on which its votes depend. */
 export interface VoterState {
-  /** This controller leads, or an attempt of its own to lead may still be under way. */
+  /** Whether this controller leads or may still have a campaign in progress. */
   mayBeLeader(): boolean;
-  /** Asks the store something now; true if it served. */
+  /** Sends a request to the store; true if the store executed it. */
   isStoreAvailable(): Promise<boolean>;
   /**
-   * True if this process has read the leader key at this version and has not campaigned since: so no
-   * term of its own can have come after that one.
+   * True if this process has read the leader key at this version and has not campaigned since, so that
+   * it cannot have led a later term.
    */
   isLatestKnownToken(fencingToken: number): boolean;
-  /** Whether a controller is known to read reinstatement frames; an older one would close the connection. */
+  /**
+   * Whether a peer is known to support reinstatement frames; an older version would close the
+   * connection.
+   */
   supportsReinstatement(peer: string): boolean;
 }
 
-/** What this controller is asked for. */
+/** A request for a vote of this controller. */
 type VoteRequest = PeerMessages[
   'promiseCheckRequest' | 'leaseExtensionRequest' | 'reinstatementRequest'];
 
-/** The votes on one request. */
+/** The votes received for one request. */
 interface Ballot {
-  inFavour: Set<string>;
+  grantedBy: Set<string>;
   isRefused: boolean;
-  /** No further vote can change the outcome. */
+  /** Ends the wait early; called once no further vote can change the outcome. */
   close(): void;
 }
 
 /**
- * Promises not to campaign for a while. The leader of a term that the store cannot renew goes on
- * answering workers only while every other controller has given one. A controller that reaches the
- * store gives none, so a leader that the store refuses alone loses its term.
+ * Requests and gives promises not to campaign for a limited time. A leader whose lease the store cannot
+ * renew continues to answer workers only while every other controller has given such a promise. A
+ * controller that reaches the store gives none, so a leader that alone is cut off from the store loses
+ * its term.
  */
 export class LeaseExtensionVote {
-  /** Monotonic, in milliseconds. */
+  /** This controller must not campaign before this time (monotonic, in milliseconds). */
   private promisedUntil = -Infinity;
   private lastRequestId = 0;
   private readonly pendingBallots = new Map<number, Ballot>();
@@ -49,25 +53,25 @@
     private readonly voter: VoterState,
   ) {}
 
-  /** Answers the others and counts their votes until unsubscribed. */
+  /** Answers requests of other controllers and counts their votes until unsubscribed. */
   listen(): Subscription {
     return this.peerTransport.messages.subscribe(
       ({ from, message }) => void this.onMessage(from, message),
     );
   }
 
-  /** How long this controller must not campaign. */
+  /** For how much longer this controller must not campaign, in milliseconds. */
   get campaignBlockedForMs(): number {
     return Math.max(0, this.promisedUntil - this.runtime.clock.now());
   }
 
-  /** True if every other controller has promised, within `withinMs`, not to campaign for `durationMs`. */
+  /** True if every other controller promises, within `timeoutMs`, not to campaign for `durationMs`. */
   async requestExtension(
     fencingToken: number,
     durationMs: number,
-    withinMs: number,
+    timeoutMs: number,
   ): Promise<boolean> {
-    return this.requestFromAll(withinMs, (requestId) => ({
+    return this.requestFromAll(timeoutMs, (requestId) => ({
       kind: 'leaseExtensionRequest',
       requestId,
       fencingToken,
@@ -76,17 +80,17 @@
   }
 
   /**
-   * True if every other controller has promised the same and attests besides that it has led no term
-   * after that of `fencingToken`. Only controllers lead, so nobody has then.
+   * True if every other controller gives the same promise and also confirms that it has led no term
+   * after that of `fencingToken`. Since only controllers lead, there has been no later term then.
    */
   async requestReinstatement(
     fencingToken: number,
     durationMs: number,
-    withinMs: number,
+    timeoutMs: number,
   ): Promise<boolean> {
     if (!this.peerTransport.peers.every((peer) => this.voter.supportsReinstatement(peer)))
       return false;
-    return this.requestFromAll(withinMs, (requestId) => ({
+    return this.requestFromAll(timeoutMs, (requestId) => ({
       kind: 'reinstatementRequest',
       requestId,
       fencingToken,
@@ -94,31 +98,31 @@
     }));
   }
 
-  /** True if every other controller says that it neither leads nor has promised not to campaign. */
-  async confirmNoPromises(withinMs: number): Promise<boolean> {
-    return this.requestFromAll(withinMs, (requestId) => ({
+  /** True if every other controller confirms that it neither leads nor has promised not to campaign. */
+  async confirmNoPromises(timeoutMs: number): Promise<boolean> {
+    return this.requestFromAll(timeoutMs, (requestId) => ({
       kind: 'promiseCheckRequest',
       requestId,
     }));
   }
 
   private async requestFromAll(
-    withinMs: number,
-    messageOf: (requestId: number) => PeerMessage,
+    timeoutMs: number,
+    createRequest: (requestId: number) => PeerMessage,
   ): Promise<boolean> {
     const { peers } = this.peerTransport;
     if (peers.length === 0) return true;
     const requestId = ++this.lastRequestId;
     const closed = new AbortController();
     const ballot: Ballot = {
-      inFavour: new Set(),
+      grantedBy: new Set(),
       isRefused: false,
       close: () => closed.abort(),
     };
     this.pendingBallots.set(requestId, ballot);
     try {
-      for (const peer of peers) this.send(peer, messageOf(requestId));
-      await this.runtime.clock.sleep(withinMs, closed.signal);
+      for (const peer of peers) this.send(peer, createRequest(requestId));
+      await this.runtime.clock.sleep(timeoutMs, closed.signal);
     } finally {
       this.pendingBallots.delete(requestId);
     }
@@ -160,34 +164,34 @@
     this.peerTransport.send(to, message);
   }
 
-  /** The token is compared after the promise is made, so that the answer holds for as long as that lasts. */
+  /** Compares the token after making the promise, so that the vote holds for as long as the promise. */
   private async voteReinstatement(fencingToken: number, durationMs: number): Promise<boolean> {
     return (await this.voteExtension(durationMs)) && this.voter.isLatestKnownToken(fencingToken);
   }
 
   private async voteExtension(durationMs: number): Promise<boolean> {
     if (this.voter.mayBeLeader()) return false;
-    // Promised before the store is asked, so that no campaign of ours can begin in between.
-    const promisedBefore = this.promisedUntil;
+    // The promise precedes the request to the store, so that no campaign can start in between.
+    const previousPromise = this.promisedUntil;
     const until = this.runtime.clock.now() + durationMs * (1 + MAX_CLOCK_DRIFT);
-    this.promisedUntil = Math.max(promisedBefore, until);
+    this.promisedUntil = Math.max(previousPromise, until);
     if (await this.voter.isStoreAvailable()) {
-      // The promise was not sent, so nobody relies on it.
-      if (this.promisedUntil === until) this.promisedUntil = promisedBefore;
+      // The promise was never sent, so no controller relies on it.
+      if (this.promisedUntil === until) this.promisedUntil = previousPromise;
       return false;
     }
     return !this.voter.mayBeLeader();
   }
 
-  private recordVote(requestId: number, from: string, isInFavour: boolean): void {
+  private recordVote(requestId: number, from: string, isGrant: boolean): void {
     const ballot = this.pendingBallots.get(requestId);
     if (!ballot) return;
-    if (isInFavour) ballot.inFavour.add(from);
+    if (isGrant) ballot.grantedBy.add(from);
     else ballot.isRefused = true;
     if (ballot.isRefused || this.isGranted(ballot)) ballot.close();
   }
 
-  private isGranted({ inFavour, isRefused }: Ballot): boolean {
-    return !isRefused && this.peerTransport.peers.every((peer) => inFavour.has(peer));
+  private isGranted({ grantedBy, isRefused }: Ballot): boolean {
+    return !isRefused && this.peerTransport.peers.every((peer) => grantedBy.has(peer));
   }
 }
--- a/src/peer/messages.ts
+++ b/src/peer/messages.ts
@@ -1,43 +1,50 @@
-/** What controllers say to each other. Their form on the wire is in `frame-encoder.ts` and `frame-decoder.ts`. */
+/** Messages between controllers. Their encoding is in `frame-encoder.ts` and `frame-decoder.ts`. */
 
-/** One message from a controller to another; times are durations, since clocks differ. */
+/**
+ * A message from one controller to another. Times are durations, since the controllers' clocks differ.
+ */
 export type PeerMessage =
-  /** The first frame of a connection: who speaks, and how long its process has run. */
+  /** The first frame of a connection: the name of the sender and the age of its process. */
   | { kind: 'hello'; member: string; ageMs: number }
-  /** The leader lives, and the progress of open jobs, for display; `first`: of one or more frames. */
+  /**
+   * Heartbeat of the leader, with the progress of open jobs for display; `first` marks the first of the
+   * frames that one heartbeat is split into.
+   */
   | { kind: 'leaderHeartbeat'; fencingToken: number; first: boolean; progress: JobProgress[] }
-  /** A user has cancelled a job; the store's own notification may take longer. */
+  /** A user has cancelled a job; sent because the store's watch may report it later. */
   | { kind: 'jobCancelled'; id: string }
-  /** The leader asks the others not to campaign for this long while the store serves nobody. */
+  /**
+   * The leader asks the others not to campaign for `durationMs` while the store is unavailable to all.
+   */
   | { kind: 'leaseExtensionRequest'; requestId: number; fencingToken: number; durationMs: number }
   | { kind: 'leaseExtensionVote'; requestId: number; granted: boolean }
-  /** A controller that has just started asks whether anybody leads or has promised not to campaign. */
+  /** A controller that has just started asks whether any peer leads or has promised not to campaign. */
   | { kind: 'promiseCheckRequest'; requestId: number }
-  /** `free`: the speaker neither leads nor has promised anything. */
+  /** `free`: the sender neither leads nor has promised not to campaign. */
   | { kind: 'promiseCheckResponse'; requestId: number; free: boolean }
-  /** Whether the store serves the speaker. */
+  /** Whether the store is available to the sender. */
   | { kind: 'storeStatus'; available: boolean }
   /**
-   * The leader asks which jobs the receiver has told users to be cancelled within this time, and
-   * whether it can be sure to have left none out.
+   * The leader asks for which jobs the receiver has confirmed a cancellation to a user within the last
+   * `sinceMs`, and whether its list is certain to be complete.
    */
   | { kind: 'cancellationsRequest'; requestId: number; sinceMs: number }
-  /** `cancelled`: all of them; null: the speaker cannot be sure. */
+  /** `cancelled`: the complete list; null if the sender cannot be certain that it is complete. */
   | { kind: 'cancellationsResponse'; requestId: number; cancelled: string[] | null }
   /**
-   * A leader whose lease has expired asks for a promise not to campaign for this long, and whether its
-   * term is the newest that the receiver can have known or been part of.
+   * A leader whose lease has expired asks for a promise not to campaign for `durationMs`, and for
+   * confirmation that its term is the latest that the receiver can know of or have led.
    */
   | { kind: 'reinstatementRequest'; requestId: number; fencingToken: number; durationMs: number }
   | { kind: 'reinstatementVote'; requestId: number; granted: boolean };
 
-/** Tells the messages apart. */
+/** The discriminator of `PeerMessage`. */
 export type PeerMessageKind = PeerMessage['kind'];
 
-/** The message of each kind. */
+/** Message types by kind. */
 export type PeerMessages = { [K in PeerMessageKind]: Extract<PeerMessage, { kind: K }> };
 
-/** How many tasks of a job are done and running. */
+/** The number of tasks of a job that are done and that are running. */
 export interface JobProgress {
   id: string;
   done: number;
--- a/src/peer/peer-transport.ts
+++ b/src/peer/peer-transport.ts
@@ -1,48 +1,51 @@
-/** Connections between controllers. */
+/** TCP transport for messages between controllers. */
 import { connect, createServer, type Socket } from 'node:net';
 import { Subject, type Observable } from 'rxjs';
 import { supervise, type Runtime } from '@leverhatch/core/duty';
 import type { Settings } from '../settings/deploy.js';
 import { Decoder, encode, type PeerMessage } from './frames.js';
 
-/** Sends messages to the other controllers and receives theirs. Times are monotonic, in milliseconds. */
+/**
+ * Sends messages to the other controllers and receives theirs. Times are monotonic, in milliseconds.
+ */
 export interface PeerTransport {
-  /** Messages of other controllers, with the sender's name. */
+  /** Messages received from other controllers, with the sender's name. */
   readonly messages: Observable<{ from: string; message: PeerMessage }>;
-  /** Sends to one controller if it is connected; nothing is kept for later. */
+  /** Sends to one controller if it is connected; otherwise the message is dropped. */
   send(to: string, message: PeerMessage): void;
   /** The names of the other controllers. */
   readonly peers: string[];
-  /** When a peer's process began, by our clock; null if it has not been heard. */
+  /** When a peer's process started, by the local clock; null if the peer has never connected. */
   startedAt(peer: string): number | null;
   /**
-   * When a peer last sent anything, by our clock; the start of our process if it never did. Null if
-   * its connection has been closed since: its process ended, or will be back.
+   * When a peer last sent anything, by the local clock; the start of this process if it never did. Null
+   * if the peer has closed its connection since: its process has ended, or the peer will reconnect.
    */
   lastHeardAt(peer: string): number | null;
 }
 
-/** With more unsent bytes a connection is closed: its peer reads too slowly, and memory would grow. */
+/** A connection with more unsent bytes is closed: the peer reads too slowly, and memory would grow. */
 const MAX_BUFFERED_BYTES = 512 * 1024;
 
-/** A peer's connection, the one that replaces it, and one of somebody else. */
+/** Room for a peer's connection, the one that replaces it, and one from another client. */
 const CONNECTIONS_PER_PEER = 3;
 
-/** For how many retry intervals a connection may take to open. */
+/** The timeout for opening a connection, in retry intervals. */
 const CONNECT_TIMEOUT_RETRIES = 4;
 
 /**
- * One connection to each other controller, for what we send; what they send comes on theirs. All of
- * it is a hint or is requested again, so a lost connection costs a retry and nothing else.
+ * Opens one connection to each other controller for outgoing messages; incoming messages arrive on the
+ * connections that the peers open. All messages are hints or are requested again, so a lost connection
+ * costs no more than a retry.
  */
 export class TcpPeerTransport implements PeerTransport {
   readonly messages = new Subject<{ from: string; message: PeerMessage }>();
   readonly peers: string[];
-  /** The open connections on which we send. */
+  /** The open connections for outgoing messages, by peer. */
   private readonly outgoing = new Map<string, Socket>();
-  /** The connection on which each peer sends; null: the peer has closed it. */
+  /** The connection on which each peer sends; null if the peer has closed it. */
   private readonly incoming = new Map<string, Socket | null>();
-  /** Encoded once, since most messages go to every peer. */
+  /** Caches encoded messages, since most are sent to every peer. */
   private readonly encoded = new WeakMap<PeerMessage, Buffer>();
   private readonly startTimes = new Map<string, number>();
   private readonly heardTimes = new Map<string, number>();
@@ -55,7 +58,7 @@
     this.peers = settings.peers.map((peer) => peer.member);
   }
 
-  /** Accepts and opens connections until the signal aborts. */
+  /** Accepts and opens connections until `signal` is aborted. */
   async run(signal: AbortSignal): Promise<void> {
     await Promise.all([
       supervise(this.runtime, 'peer listener', signal, this.retryMs, (signal) =>
@@ -80,8 +83,8 @@
   }
 
   private encodeOnce(message: PeerMessage): Buffer {
-    const known = this.encoded.get(message);
-    if (known) return known;
+    const cached = this.encoded.get(message);
+    if (cached) return cached;
     const bytes = encode(message);
     this.encoded.set(message, bytes);
     return bytes;
@@ -103,7 +106,7 @@
     return new Promise((resolve, reject) => {
       const stop = (): void => void server.close();
       server.once('error', (error) => {
-        // After any other error than one of `listen` the server still accepts, and abort must close it.
+        // After an error other than a failed `listen` the server still accepts, so abort must close it.
         if (!server.listening) signal.removeEventListener('abort', stop);
         reject(error);
       });
@@ -120,26 +123,26 @@
     const decoder = new Decoder();
     let from: string | null = null;
     let hasTimedOut = false;
-    const end = (): void => void socket.destroy();
-    signal.addEventListener('abort', end, { once: true });
+    const destroySocket = (): void => void socket.destroy();
+    signal.addEventListener('abort', destroySocket, { once: true });
     socket.on('close', () => {
-      signal.removeEventListener('abort', end);
-      // A peer whose connection we closed on timeout has not ended: it stays unresponsive.
+      signal.removeEventListener('abort', destroySocket);
+      // A peer whose connection was closed here on timeout counts as unresponsive, not as ended.
       if (from !== null && this.incoming.get(from) === socket && !hasTimedOut)
         this.incoming.set(from, null);
     });
-    socket.on('error', end);
-    // Every controller sends something in each heartbeat interval.
+    socket.on('error', destroySocket);
+    // Every controller sends a message in each heartbeat interval, so this much silence is a failure.
     socket.setTimeout(this.settings.workers.leaseMs, () => {
       hasTimedOut = true;
-      end();
+      destroySocket();
     });
     socket.on('data', (chunk: Buffer) => {
       if (from !== null) this.heardTimes.set(from, this.runtime.clock.now());
       try {
         for (const message of decoder.push(chunk)) {
           if (message.kind === 'hello') {
-            if (!this.peers.includes(message.member)) return end();
+            if (!this.peers.includes(message.member)) return destroySocket();
             from = message.member;
             this.recordHello(from, message.ageMs, socket);
           } else if (from !== null) this.messages.next({ from, message });
@@ -147,16 +150,16 @@
       } catch (error) {
         this.runtime.log.warn(
           { peer: from, error: String(error) },
-          'peer connection closed: broken frame',
+          'peer connection closed: invalid frame',
         );
-        end();
+        destroySocket();
       }
     });
   }
 
   private recordHello(from: string, ageMs: number, socket: Socket): void {
     const previous = this.incoming.get(from);
-    // In a partition the previous connection may stay open on our side.
+    // After a partition the previous connection may still be open on this side.
     if (previous !== socket) previous?.destroy();
     this.incoming.set(from, socket);
     const now = this.runtime.clock.now();
@@ -168,9 +171,9 @@
     const [host, port] = parseAddress(address);
     return new Promise((resolve) => {
       const socket = connect({ host, port, noDelay: true });
-      const end = (): void => void socket.destroy();
-      signal.addEventListener('abort', end, { once: true });
-      socket.setTimeout(this.retryMs * CONNECT_TIMEOUT_RETRIES, end);
+      const destroySocket = (): void => void socket.destroy();
+      signal.addEventListener('abort', destroySocket, { once: true });
+      socket.setTimeout(this.retryMs * CONNECT_TIMEOUT_RETRIES, destroySocket);
       socket.on('connect', () => {
         socket.setTimeout(0);
         const { clock, startedAt } = this.runtime;
@@ -178,11 +181,11 @@
         socket.write(encode({ kind: 'hello', member: this.settings.member, ageMs }));
         this.outgoing.set(member, socket);
       });
-      socket.on('error', end);
-      // Nothing is expected here, but unread data would keep the end of the connection from being seen.
+      socket.on('error', destroySocket);
+      // Peers send nothing on this connection, but unread data would prevent the 'close' event.
       socket.on('data', () => undefined);
       socket.on('close', () => {
-        signal.removeEventListener('abort', end);
+        signal.removeEventListener('abort', destroySocket);
         if (this.outgoing.get(member) === socket) this.outgoing.delete(member);
         resolve();
       });
@@ -190,7 +193,7 @@
   }
 }
 
-/** Host and port of an address in the settings. */
+/** Splits an address of the settings into host and port. */
 function parseAddress(address: string): [string, number] {
   const colon = address.lastIndexOf(':');
   return [address.slice(0, colon), Number(address.slice(colon + 1))];
--- a/src/peer/store-reachability.ts
+++ b/src/peer/store-reachability.ts
@@ -1,62 +1,65 @@
-/** Whether the store is unavailable to this controller alone, from what the others say of it. */
+/** Detects, from the reports of peers, whether the store is unavailable to this controller only. */
 import type { Clock } from '@leverhatch/core/clock';
 
-/** For how many heartbeat intervals a peer's statement on the store is valid. */
+/** For how many heartbeat intervals a peer's report on the store is valid. */
 const FRESH_INTERVALS = 2.5;
 
-/** What a peer said last; `at` is monotonic, in milliseconds. */
-interface Statement {
+/** The last report of a peer; `at` is monotonic, in milliseconds. */
+interface Report {
   available: boolean;
   at: number;
 }
 
 /**
- * Tells an outage of the store from one that affects this controller alone. Users whose connections
- * end here would otherwise be refused for as long as it lasts, while others are served: the load
- * balancer moves them only if this controller says that it is not ready. In an outage that affects
- * all it must not, since nobody would be left to tell users when to come back.
+ * Distinguishes an outage of the store for all controllers from one for this controller only. In the
+ * latter case this controller has to report that it is not ready, so that the load balancer moves its
+ * users to other controllers; otherwise it would reject them for as long as the outage lasts. In an
+ * outage for all it must stay ready, since no controller would be left to tell users when to retry.
  */
 export class StoreReachability {
-  private readonly statements = new Map<string, Statement>();
+  private readonly reports = new Map<string, Report>();
 
   constructor(
     private readonly clock: Clock,
     private readonly heartbeatIntervalMs: number,
   ) {}
 
-  /** A peer has said whether the store serves it. */
+  /** Records whether the store is available to a peer, as reported by the peer. */
   recordStatement(peer: string, available: boolean): void {
-    this.statements.set(peer, { available, at: this.clock.now() });
+    this.reports.set(peer, { available, at: this.clock.now() });
   }
 
-  /** Whether any other controller has said lately that the store serves it: it could lead. */
+  /** Whether any other controller has recently reported the store as available, and so could lead. */
   get isAvailableToOthers(): boolean {
-    return this.freshStatements.some((statement) => statement.available);
+    return this.freshReports.some((report) => report.available);
   }
 
-  /** Whether this peer has said lately that the store serves it. */
+  /** Whether this peer has recently reported the store as available. */
   isAvailableTo(peer: string): boolean {
-    const statement = this.statements.get(peer);
-    return statement !== undefined && statement.available && this.isFresh(statement);
+    const report = this.reports.get(peer);
+    return report !== undefined && report.available && this.isFresh(report);
   }
 
-  private isFresh({ at }: Statement): boolean {
+  private isFresh({ at }: Report): boolean {
     return this.clock.now() - at < this.heartbeatIntervalMs * FRESH_INTERVALS;
   }
 
-  private get freshStatements(): Statement[] {
-    return [...this.statements.values()].filter((statement) => this.isFresh(statement));
+  private get freshReports(): Report[] {
+    return [...this.reports.values()].filter((report) => this.isFresh(report));
   }
 
-  /** `unavailableSince`: since when no request to the store has been served; null while they are. */
+  /**
+   * Whether the store is unavailable to this controller only. `unavailableSince`: since when every
+   * request to the store has failed; null while the store is available.
+   */
   isIsolated(unavailableSince: number | null): boolean {
     const now = this.clock.now();
     if (unavailableSince === null || now - unavailableSince < this.heartbeatIntervalMs)
       return false;
-    if (this.statements.size === 0) return false;
-    // A controller that no longer hears any of its peers is partitioned from them as well.
-    const fresh = this.freshStatements;
-    // In an outage a peer may need a while to notice: only what it says later counts.
+    if (this.reports.size === 0) return false;
+    // Without any recent report this controller is partitioned from its peers as well.
+    const fresh = this.freshReports;
+    // A peer needs a while to notice an outage for all, so only reports made after that time count.
     const noticedAt = unavailableSince + this.heartbeatIntervalMs;
     return fresh.length === 0 || fresh.some(({ available, at }) => available && at > noticedAt);
   }
