--- a/src/state/keys.ts
+++ b/src/state/keys.ts
@@ -1,11 +1,11 @@
 /**
- * Keys of the stored records, and their mapping to the names of the source.
+ * Maps names of the source to the keys of the stored records.
  *
- * Controllers of other versions read and write the same records, so keys keep their names where
- * the source has another name for the same thing. Keys below `shares/` belong to the shares package.
+ * Controllers of other versions read and write the same records, so a key must not change even where
+ * the source uses another name for the same thing. Keys below `shares/` belong to the shares package.
  */
 
-/** Keys and key prefixes of the records; a prefix ends in `/`. */
+/** Keys and key prefixes of the stored records; a prefix ends in `/`. */
 export const KEYS = {
   leader: 'leader',
   types: 'types',
@@ -16,7 +16,7 @@
   members: 'members/',
   zoneDelegates: 'keeper/',
   job: (id: string): string => `jobs/${id}`,
-  /** One chunk of a long list of dependencies; `list` names the list, see jobs/dependencies.ts. */
+  /** One chunk of a long list of dependencies; `list` identifies the list, see jobs/dependencies.ts. */
   dependencyChunk: (id: string, list: string, chunk: number): string =>
     `needs/${id}/${list}/${chunk}`,
   dependencyChunks: (id: string, list: string): string => `needs/${id}/${list}/`,
@@ -25,7 +25,7 @@
   member: (name: string): string => `members/${encodeURIComponent(name)}`,
   zoneDelegate: (zone: string): string => `keeper/${encodeURIComponent(zone)}`,
   provisioningRequest: (request: string): string => `rent/${request}`,
-  /** Guards all provisioning records and is none itself: see fleet/provisioning-records.ts. */
+  /** Guards all provisioning records but is not one itself; see fleet/provisioning-records.ts. */
   provisioningGuard: 'rent/guard',
 } as const;
 
@@ -33,11 +33,11 @@
 export interface RunKey {
   job: string;
   kind: 'indexed' | 'ranged';
-  /** The number of the run if `indexed`, the first task of its range if `ranged`. */
+  /** The index of the run if `indexed`, the first task of its range if `ranged`. */
   number: number;
 }
 
-/** The parts of the key of a run record; null if no version writes such a key. */
+/** Parses the key of a run record; null if no version writes keys of this form. */
 export function parseRunKey(key: string): RunKey | null {
   const match = /^runs\/(.+)\/(p?)(\d+)$/.exec(key);
   const job = match?.[1];
@@ -45,8 +45,8 @@
   return { job, kind: match?.[2] ? 'ranged' : 'indexed', number: Number(match?.[3]) };
 }
 
-/** The job that a run record belongs to, whether or not the rest of its key can be read. */
+/** Returns the job id from the key of a run record, even if the rest of the key is unknown. */
 export const jobOfRunKey = (key: string): string => key.split('/')[1] ?? '';
 
-/** The job that the key of a job record names. */
+/** Returns the job id from the key of a job record. */
 export const jobOfKey = (key: string): string => key.slice(KEYS.jobs.length);
--- a/src/state/store-health.ts
+++ b/src/state/store-health.ts
@@ -1,28 +1,28 @@
-/** Availability of the store as this controller sees it. */
+/** Tracks the availability of the store to this controller. */
 import { NoResponseError } from '../http/client.js';
 import type { Clock } from '@leverhatch/core/clock';
 
 /**
- * The store is unresponsive after this many requests in a row without a response, over this fraction
- * of the request timeout. Fewer may be responses that were lost one by one.
+ * The store counts as unresponsive after this many consecutive requests without a response, over at
+ * least this fraction of the request timeout. Fewer may be due to individually lost responses.
  */
 const UNRESPONSIVE_REQUESTS = 3;
 const UNRESPONSIVE_RATIO = 0.5;
 
-/** Whether the store is available to this controller, by the outcome of each request. */
+/** Derives the availability of the store to this controller from the outcome of each request. */
 export class StoreHealth {
   private availableAt = -Infinity;
   private failedSince: number | null = null;
   private noResponseSince: number | null = null;
   private requestsWithoutResponse = 0;
 
-  /** `timeoutMs`: how long a request may take. */
+  /** `timeoutMs`: the request timeout, in milliseconds. */
   constructor(
     private readonly clock: Clock,
     private readonly timeoutMs: number,
   ) {}
 
-  /** When the store last executed a request, or rejected one for its rate alone (monotonic, ms). */
+  /** When the store last executed a request or rejected one only for the rate limit (monotonic, ms). */
   get lastServedAt(): number {
     return this.availableAt;
   }
@@ -32,26 +32,26 @@
     return this.failedSince;
   }
 
-  /** Requests get no response at all, not even a rejection. */
+  /** Whether requests currently get no response at all, not even a rejection. */
   get isUnresponsive(): boolean {
     if (this.requestsWithoutResponse < UNRESPONSIVE_REQUESTS) return false;
     const unansweredMs = this.clock.now() - (this.noResponseSince ?? Infinity);
     return unansweredMs >= this.timeoutMs * UNRESPONSIVE_RATIO;
   }
 
-  /** A response has arrived, possibly a rejection. */
+  /** Records that a response arrived, which may be a rejection. */
   recordResponse(): void {
     this.noResponseSince = null;
     this.requestsWithoutResponse = 0;
   }
 
-  /** The store executed a request, or rejected it for its rate alone. */
+  /** Records that the store executed a request or rejected it only for the rate limit. */
   recordSuccess(): void {
     this.availableAt = this.clock.now();
     this.failedSince = null;
   }
 
-  /** A request was not executed, or got no response. */
+  /** Records that a request was not executed or got no response. */
   recordFailure(error: unknown): void {
     const now = this.clock.now();
     this.failedSince ??= now;
--- a/src/state/store-limits.ts
+++ b/src/state/store-limits.ts
@@ -1,7 +1,7 @@
-/** The limits of the store: announced, learned from rejections, and in force. */
+/** Tracks the limits of the store: configured, announced, and learned from rejections. */
 import { Subject } from 'rxjs';
 
-/** What the store allows. Rates hold for all controllers together, sizes for each value or transaction. */
+/** Limits of the store. Rates apply to all controllers together, sizes to each value or transaction. */
 export interface Limits {
   /** Requests a second. */
   rps: number;
@@ -9,59 +9,60 @@
   writeRps: number;
   /** Bytes of one value, as JSON. */
   valueBytes: number;
-  /** Puts and deletes in one transaction; conditions may be four times as many. */
+  /** Puts and deletes in one transaction; four times as many conditions are allowed. */
   txnOps: number;
 }
 
-/** How many conditions a transaction may have for each put or delete that it may have. */
+/** The maximum number of conditions of a transaction, as a multiple of `txnOps`. */
 const CONDITIONS_PER_OPERATION = 4;
 
 /**
- * The largest size that the store accepts. It starts at the announced size and is halved with every
- * rejection, since a store that accepts less than announced does not say how much it accepts. The
- * reduced size stays in force.
+ * An estimate of the largest size that the store accepts. It starts at the announced size. A rejection
+ * reduces it to half of the rejected size, since a store that accepts less than announced does not
+ * report its actual limit. The estimate is never raised again above a reduced size.
  */
 class AdaptiveLimit {
-  private learned = Infinity;
+  private learnedLimit = Infinity;
 
-  /** @param announced the announced size, which may fall at any time */
+  /** @param announced returns the announced size, which may decrease at any time */
   constructor(private readonly announced: () => number) {}
 
-  /** The size to keep within now. */
+  /** The maximum size to use at present. */
   get current(): number {
-    return Math.min(this.announced(), this.learned);
+    return Math.min(this.announced(), this.learnedLimit);
   }
 
-  /** Something of this size was rejected. Sizes above the current limit teach nothing new. */
+  /** Reduces the limit after a rejection of `size`; sizes above the current limit tell nothing new. */
   reduceBelow(size: number): void {
-    if (size <= this.current) this.learned = Math.max(1, Math.floor(size / 2));
+    if (size <= this.current) this.learnedLimit = Math.max(1, Math.floor(size / 2));
   }
 }
 
-/** A submission is too large for the store after its sizes were halved so many times. */
+/** After this many halvings of its sizes, a rejected submission counts as too large for the store. */
 const MAX_HALVINGS = 3;
 
 /**
- * The limits of the store as this controller knows them. The settings may announce smaller ones
- * that the store will have from some unknown moment on (`state.next`). The announced limits
- * come into force when an upgrade is complete or when a rejection shows that the store applies them,
- * and then hold for everything on this controller.
+ * The limits of the store as known to this controller. The settings may announce lower limits that the
+ * store will apply from an unspecified time on (`state.next`). This controller applies the announced
+ * limits to all requests once an upgrade is complete or a rejection shows that the store applies them.
  */
 export class StoreLimits {
-  /** Emits when the limits in force have changed. */
+  /** Emits when the effective limits have changed. */
   readonly changed = new Subject<void>();
   private readonly announced: Limits;
   private areAnnouncedApplied = false;
-  /** How many keys one comparison takes. */
+  /** The maximum number of keys in one version check. */
   readonly comparedKeys = new AdaptiveLimit(
     () => this.effective().txnOps * CONDITIONS_PER_OPERATION,
   );
-  /** How many changes a transaction of chunks takes; chunks are laid out for the announced limits. */
+  /**
+   * The maximum number of changes in a transaction of chunks; chunks have to fit the announced limits.
+   */
   readonly chunkChanges = new AdaptiveLimit(() => this.smallest().txnOps);
-  /** How many bytes of a value submissions are laid out for. */
+  /** The maximum size of the values of a submission, in bytes. */
   readonly submittedBytes = new AdaptiveLimit(() => this.smallest().valueBytes);
 
-  /** `next`: limits announced for some later moment; null if there are none. */
+  /** `next`: limits announced for an unspecified later time; null if there are none. */
   constructor(
     private readonly current: Limits,
     next: Partial<Limits> | null = null,
@@ -76,19 +77,20 @@
     };
   }
 
-  /** The limits to keep within now. */
+  /** The limits that apply at present. */
   effective(): Limits {
     return this.areAnnouncedApplied ? this.announced : this.current;
   }
 
-  /** The smaller of the current and the announced limits: for records that later versions rewrite. */
+  /** The lower of the current and the announced limits, for records that later versions rewrite. */
   smallest(): Limits {
     return this.announced;
   }
 
   /**
-   * Reduces both sizes after the store rejected a submission laid out for them: it does not say which
-   * of them was too large. False if nothing smaller is worth a try.
+   * Reduces both size limits after the store rejected a submission as too large, since the rejection
+   * does not tell which of the two was exceeded. False if the submission is not to be retried any
+   * smaller.
    */
   onSubmissionRejected(valueBytes: number, changes: number): boolean {
     if (valueBytes * 2 ** MAX_HALVINGS <= this.smallest().valueBytes) return false;
@@ -97,7 +99,7 @@
     return true;
   }
 
-  /** True if values or transactions will have to be smaller than now. */
+  /** True if the announced limits require smaller values or transactions than the current ones. */
   get recordsMustShrink(): boolean {
     return (
       this.announced.valueBytes < this.current.valueBytes ||
@@ -105,7 +107,7 @@
     );
   }
 
-  /** Brings the announced limits into force; false if they already were. */
+  /** Applies the announced limits; false if they already apply. */
   applyAnnounced(): boolean {
     if (this.areAnnouncedApplied) return false;
     this.areAnnouncedApplied = true;
@@ -114,5 +116,5 @@
   }
 }
 
-/** The size of a value as the store counts it, in bytes. */
+/** Returns the size of a value as the store counts it, in bytes. */
 export const jsonBytes = (value: object): number => Buffer.byteLength(JSON.stringify(value));
--- a/src/state/store-rate-limiter.ts
+++ b/src/state/store-rate-limiter.ts
@@ -1,38 +1,41 @@
-/** Client-side rate limits for requests, queries and writes to the store. */
+/** Client-side rate limits for requests, user queries and writes to the store. */
 import type { Clock } from '@leverhatch/core/clock';
 import { RateLimiter, RequestPriority } from './rate-limiter.js';
 import type { StoreLimits } from './store-limits.js';
 
-/** Requests for users' queries (`question`) have a rate of their own and the lowest priority. */
+/**
+ * The class of a request for rate limiting. User queries (`question`) have their own rate limit as
+ * well.
+ */
 export type RequestClass = RequestPriority | 'question';
 
-/** The priority of users' queries among all requests. */
+/** The priority of user queries among all requests. */
 const QUERY_PRIORITY: RequestPriority = RequestPriority.Normal;
 
 /**
- * The fraction of the store's request rate that users' queries at all controllers together may take,
- * so that a storm of them leaves room for submissions, leadership and the leader's writes. One version
- * check answers as many queries as a transaction has conditions.
+ * The fraction of the store's request rate that user queries of all controllers together may use, so
+ * that a query storm leaves capacity for submissions, leader election and the leader's writes. One
+ * version check can answer as many queries as a transaction may have conditions.
  */
 const QUERY_RATE_RATIO = 0.5;
 
-/** Burst of query requests, in seconds of their rate. */
+/** The burst of query requests, in seconds of their rate. */
 const QUERY_BURST_SECONDS = 0.5;
 
 /**
- * The fraction of the request rate that one controller may take. The rate holds for all controllers
- * together, but one of them, the leader, sends most requests. Requests that the store rejects all the
- * same are repeated after a wait.
+ * The fraction of the request rate that one controller may use. The store enforces the rate for all
+ * controllers together, but the leader sends most requests. Requests that the store rejects
+ * nevertheless are retried after a delay.
  */
 const REQUEST_RATE_RATIO = 1 / 2;
 
-/** Burst of requests, in seconds of the whole request rate. */
+/** The burst of requests, in seconds of the full request rate. */
 const REQUEST_BURST_SECONDS = 1 / 4;
 
-/** The fraction of the write rate that one controller may take: only the leader writes much. */
+/** The fraction of the write rate that one controller may use; the leader sends nearly all writes. */
 const WRITE_RATE_RATIO = 0.85;
 
-/** Burst of writes, in seconds of the whole write rate. */
+/** The burst of writes, in seconds of the full write rate. */
 const WRITE_BURST_SECONDS = 0.5;
 
 interface Rate {
@@ -47,15 +50,15 @@
 }
 
 /**
- * Keeps one controller's requests below the rates that the store enforces for all controllers
- * together. Callers wait here, by priority.
+ * Keeps one controller's requests below the rates that the store enforces for all controllers together.
+ * Callers wait in queues by priority.
  */
 export class StoreRateLimiter {
   private readonly requests: RateLimiter;
   private readonly queries: RateLimiter;
   private readonly writes: RateLimiter;
 
-  /** `controllers`: how many controllers share the rates. */
+  /** `controllers`: the number of controllers that share the rates. */
   constructor(
     clock: Clock,
     private readonly limits: StoreLimits,
@@ -65,7 +68,7 @@
     this.requests = new RateLimiter(clock, requests.perSecond, requests.burst);
     this.queries = new RateLimiter(clock, queries.perSecond, queries.burst);
     this.writes = new RateLimiter(clock, writes.perSecond, writes.burst);
-    // Never released: the store's client owns both this limiter and the limits.
+    // Never unsubscribed: the store client owns both this limiter and the limits.
     limits.changed.subscribe(() => {
       const lower = this.rates();
       this.requests.setRate(lower.requests.perSecond, lower.requests.burst);
@@ -96,17 +99,19 @@
     return this.writes.acquire(changes, priority, signal);
   }
 
-  /** Callers that wait to write, without those of background priority. */
+  /** The number of callers that wait to write, except those of background priority. */
   get queuedWrites(): number {
     return this.writes.queueLength;
   }
 
-  /** How long a transaction of `changes` puts and deletes would wait here, in milliseconds. */
+  /**
+   * How long the rate limits would delay a transaction of `changes` puts and deletes, in milliseconds.
+   */
   writeDelayMs(changes: number, priority: RequestPriority): number {
     return Math.max(this.writes.delayMs(changes, priority), this.requests.delayMs(1, priority));
   }
 
-  /** How long the last of `requests` requests for users' queries would wait here, in milliseconds. */
+  /** How long the rate limits would delay the last of `requests` query requests, in milliseconds. */
   queryDelayMs(requests: number): number {
     const queuedMs = Math.max(
       this.queries.delayMs(1, RequestPriority.Critical),
--- a/src/state/store.ts
+++ b/src/state/store.ts
@@ -1,6 +1,6 @@
 /**
- * The client of the consensus-backed key-value store: requests, their rate limits and their retries.
- * Names of the store's interface are in `src/wire/store.ts`.
+ * Client of the consensus-backed key-value store, with rate limits and retries. The names on the wire
+ * are in `src/wire/store.ts`.
  */
 import { RevisionCompactedError, type CommitResult, type StorePort } from '@leverhatch/core/store';
 import { NoResponseError, type Reply, type Transport } from '../http/client.js';
@@ -21,10 +21,10 @@
 /** The store did not execute a request. */
 export class RequestRejectedError extends Error {
   override readonly name = 'RequestRejectedError';
-  /** An earlier copy of the same transaction got no response and may have been applied. */
+  /** An earlier attempt at the same transaction got no response and may have been applied. */
   ambiguous = false;
 
-  /** `status`: the HTTP status; `subject`: what the request was about, such as its key or path. */
+  /** `status`: the HTTP status; `subject`: the target of the request, such as its key or path. */
   constructor(
     readonly status: number,
     readonly subject: string,
@@ -33,39 +33,45 @@
   }
 }
 
-/** A lease has expired or was revoked. */
+/** A lease has expired or has been revoked. */
 export class LeaseNotFoundError extends Error {
   override readonly name = 'LeaseNotFoundError';
 
-  /** `lease`: its number; null if the request named none. */
+  /** `lease`: the number of the lease; null if the request named none. */
   constructor(readonly lease: number | null) {
     super(lease === null ? 'no such lease' : `no such lease: ${lease}`);
   }
 }
 
 /**
- * Bursts of several controllers together are rejected now and then. If more than one transaction in
- * six is rejected for a while, the store allows a lower rate than before: each rejection adds one to a
- * count, each success subtracts `SUCCESS_OFFSETS`, and this count is the threshold.
+ * Coinciding bursts of several controllers cause occasional rate rejections. If more than one
+ * transaction in six is rejected for some time, the store must have lowered its rate limit. To detect
+ * this, each rejection adds one to a count and each success subtracts `SUCCESS_OFFSETS`; the announced
+ * limits apply once the count reaches `PERSISTENT_RATE_REJECTIONS`.
  */
 const PERSISTENT_RATE_REJECTIONS = 8;
 const SUCCESS_OFFSETS = 0.2;
 
-/** The request timeout divided by these: bounds of the wait between two attempts, and that of a read. */
+/**
+ * The request timeout is divided by these for the minimum and the maximum wait between two attempts of
+ * a commit, and for the wait between two attempts of a read.
+ */
 const MIN_COMMIT_WAIT_DIVISOR = 20;
 const MAX_COMMIT_WAIT_DIVISOR = 2;
 const READ_RETRY_DIVISOR = 10;
 
-/** The store as one controller uses it. Its requests reject with `NoResponseError` if no response arrives. */
+/**
+ * The store client of one controller. Requests reject with `NoResponseError` if no response arrives.
+ */
 export class Store implements StorePort {
   private readonly rates: StoreRateLimiter;
   private readonly health: StoreHealth;
-  /** Transactions rejected for the rate lately, less a fraction of those that were applied. */
+  /** Recent rate rejections, less a fraction of the transactions that were applied. */
   private rateRejections = 0;
-  /** What the store allows, as far as this controller knows. */
+  /** The limits of the store, as far as this controller knows them. */
   readonly limits: StoreLimits;
 
-  /** `timeoutMs`: how long a request may take, in milliseconds. */
+  /** `timeoutMs`: the request timeout, in milliseconds. */
   constructor(
     private readonly transport: Transport,
     private readonly runtime: Runtime,
@@ -77,30 +83,32 @@
     this.health = new StoreHealth(runtime.clock, timeoutMs);
   }
 
-  /** Callers that wait to write, without those of background priority. */
+  /** The number of callers that wait to write, except those of background priority. */
   get queuedWrites(): number {
     return this.rates.queuedWrites;
   }
 
-  /** How long a transaction of `changes` puts and deletes would wait here, in milliseconds. */
+  /**
+   * How long the rate limits would delay a transaction of `changes` puts and deletes, in milliseconds.
+   */
   writeDelayMs(changes: number, priority: RequestPriority): number {
     return this.rates.writeDelayMs(changes, priority);
   }
 
-  /** How long the last of `requests` requests for users' queries would wait here, in milliseconds. */
+  /** How long the rate limits would delay the last of `requests` query requests, in milliseconds. */
   queryDelayMs(requests: number): number {
     return this.rates.queryDelayMs(requests);
   }
 
   /**
-   * Throws if requests get no response at all, so that a user gets an error at once instead of waiting
-   * for one more of them. The controller's own requests detect when the store responds again.
+   * Throws if requests currently get no response at all, so that a user gets an error at once instead
+   * of waiting for another timeout. The controller's own requests detect when the store responds again.
    */
   assertResponsive(): void {
     if (this.health.isUnresponsive) throw new RequestRejectedError(503, 'unresponsive store');
   }
 
-  /** When the store last executed a request, or rejected one for its rate alone (monotonic, ms). */
+  /** When the store last executed a request or rejected one only for the rate limit (monotonic, ms). */
   get lastServedAt(): number {
     return this.health.lastServedAt;
   }
@@ -110,7 +118,7 @@
     return this.health.unavailableSince;
   }
 
-  /** One entry; null if there is none. */
+  /** Reads one entry; null if the key does not exist. */
   async get(
     key: string,
     requestClass: RequestClass,
@@ -121,13 +129,13 @@
     return wire.parseEntry(expectStatus(reply, 200, key));
   }
 
-  /** Reads a key, and repeats the read until it succeeds; rejects if `signal` is aborted. */
+  /** Reads a key, with retries until the read succeeds; rejects if `signal` is aborted. */
   async readWithRetry(key: string, signal: AbortSignal): Promise<wire.Entry | null> {
     for (;;) {
       try {
         return await this.get(key, RequestPriority.High, signal);
       } catch {
-        // The health record notes the failure; whatever it was, only another try helps.
+        // The health state records the failure; every kind of failure is retried.
         signal.throwIfAborted();
         const waitMs = this.timeoutMs / READ_RETRY_DIVISOR;
         await this.runtime.clock.sleep(jitter(waitMs, this.runtime.random), signal);
@@ -135,7 +143,7 @@
     }
   }
 
-  /** All entries below `prefix`, and the revision from which to follow them. */
+  /** Reads all entries below `prefix`, and the revision from which to watch them. */
   async range(
     prefix: string,
     signal?: AbortSignal,
@@ -146,8 +154,8 @@
   }
 
   /**
-   * Passes the entries below `prefix` to `onPage` page by page, so that no more than one page is in
-   * memory; resolves to the revision from which to follow them.
+   * Passes the entries below `prefix` to `onPage` page by page, so that only one page is in memory at a
+   * time; resolves to the revision from which to watch them.
    */
   async forEachPage(
     prefix: string,
@@ -155,7 +163,7 @@
     signal?: AbortSignal,
   ): Promise<number> {
     let after: string | null = null;
-    // Following starts at the first page's revision: it repeats changes made while later ones are read.
+    // A watch has to start at the first page's revision, to include changes made during later reads.
     let revision: number | null = null;
     for (;;) {
       const page: wire.RangePage = await this.page(prefix, after, wire.RANGE_PAGE, signal);
@@ -167,7 +175,9 @@
     }
   }
 
-  /** The first entries below `prefix` whose key sorts after `after`, at most `limit` of them. */
+  /**
+   * Reads up to `limit` entries below `prefix`, starting with the first key that sorts after `after`.
+   */
   async page(
     prefix: string,
     after: string | null,
@@ -181,8 +191,8 @@
   }
 
   /**
-   * One attempt. Rejects with `RequestRejectedError` if the transaction was not executed, with
-   * `LeaseNotFoundError` if its lease has ended, with `NoResponseError` if the result is ambiguous.
+   * Attempts a transaction once. Rejects with `RequestRejectedError` if it was not executed, with
+   * `LeaseNotFoundError` if its lease has ended, and with `NoResponseError` if the result is ambiguous.
    */
   async tryCommit(
     conditions: wire.Condition[],
@@ -195,12 +205,12 @@
     const reply = await this.sendTransaction(body, changes.length > 0, priority, signal);
     if (reply.status === 409) return { ok: false, failed: wire.parseConflict(reply.body) };
     if (reply.status === 400 && wire.isLeaseNotFound(reply.body))
-      throw new LeaseNotFoundError(leaseOf(changes));
+      throw new LeaseNotFoundError(findLease(changes));
     if (reply.status === 400) this.onSizeRejected(changes.length);
     return { ok: true, revision: wire.parseCommitted(expectStatus(reply, 200, 'txn')) };
   }
 
-  /** A version check: the keys whose versions differ from those in `conditions`. */
+  /** Checks versions; resolves to the keys whose versions differ from those in `conditions`. */
   async compareVersions(
     conditions: wire.Condition[],
     requestClass: RequestClass,
@@ -232,21 +242,28 @@
     }
   }
 
-  /** A value was too large or its operations too many: the store applies the announced limits. */
+  /** A value was too large or had too many operations, so the store applies the announced limits. */
   private onSizeRejected(changes: number): void {
     if (!this.limits.applyAnnounced()) return;
-    this.runtime.log.warn({ changes }, 'store rejected a size, announced limits in force');
+    this.runtime.log.warn(
+      { changes },
+      'store rejected a request as too large, announced limits applied',
+    );
   }
 
   private onRateRejected(): void {
     this.rateRejections++;
     if (this.rateRejections < PERSISTENT_RATE_REJECTIONS || !this.limits.applyAnnounced()) return;
-    this.runtime.log.warn({}, 'store rejects the rate persistently, announced limits in force');
+    this.runtime.log.warn(
+      {},
+      'store keeps rejecting requests over the rate limit, announced limits applied',
+    );
   }
 
   /**
-   * Repeats one transaction until the outcome is known. A copy without a response may still be applied
-   * later; all copies have the same conditions on the keys they write, so at most one ever is.
+   * Retries a transaction until its outcome is known. An attempt without a response may still be
+   * applied later; since all attempts have the same conditions on the keys they write, at most one is
+   * applied.
    */
   async commit(
     conditions: wire.Condition[],
@@ -274,7 +291,7 @@
     }
   }
 
-  /** Grants a lease of `ttlMs` milliseconds; resolves to its number. */
+  /** Requests a lease of `ttlMs` milliseconds; resolves to its number. */
   async grantLease(ttlMs: number, signal?: AbortSignal): Promise<number> {
     const body = wire.leaseBody(ttlMs);
     const reply = await this.call('POST', wire.STORE_PATHS.leases, body, null, signal);
@@ -282,8 +299,8 @@
   }
 
   /**
-   * Renews a lease; rejects with `LeaseNotFoundError` if it has ended. Renewals never wait for the rate
-   * limit; `timeoutMs` is their own timeout, in milliseconds.
+   * Renews a lease; rejects with `LeaseNotFoundError` if it has ended. Renewals bypass the rate limit.
+   * `timeoutMs` is the timeout of this request, in milliseconds.
    */
   async renewLease(lease: number, timeoutMs: number, signal?: AbortSignal): Promise<void> {
     const path = wire.STORE_PATHS.renew(lease);
@@ -292,14 +309,14 @@
     expectStatus(reply, 200, 'renewal');
   }
 
-  /** Ends a lease; its keys are deleted. */
+  /** Revokes a lease; the store deletes the keys bound to it. */
   async revokeLease(lease: number): Promise<void> {
     await this.call('DELETE', wire.STORE_PATHS.lease(lease), null, null);
   }
 
   /**
    * Waits up to `waitMs` milliseconds for changes below `prefix` since revision `after`; rejects with
-   * `RevisionCompactedError` if some were missed.
+   * `RevisionCompactedError` if the store no longer has all of them.
    */
   async watch(
     prefix: string,
@@ -349,14 +366,17 @@
   return reply.body;
 }
 
-/** The store rejected a transaction as too large: a value, or the number of changes or conditions. */
+/**
+ * Whether the store rejected a transaction as too large: a value, or the number of changes or
+ * conditions.
+ */
 export const isSizeRejection = (error: unknown): boolean =>
   error instanceof RequestRejectedError && error.status === 400;
 
 const isRetryable = (status: number): boolean => status === 429 || status === 503;
 
-/** The lease that a transaction binds its keys to. */
-function leaseOf(changes: wire.Change[]): number | null {
+/** Returns the lease to which a transaction binds keys; null if it binds none. */
+function findLease(changes: wire.Change[]): number | null {
   for (const change of changes) {
     if ('put' in change && change.lease !== undefined) return change.lease;
   }
