--- a/src/index.ts
+++ b/src/index.ts
@@ -1,4 +1,4 @@
-/** The scheduler as a library. */
+/** Public interface of the scheduler as a library. */
 export { Controller, type ControllerDependencies } from './control/controller.js';
 export { httpTransport, NoResponseError, type Reply, type Transport } from './http/client.js';
 export { createApp, listen } from './http/server.js';
--- a/src/main.ts
+++ b/src/main.ts
@@ -1,4 +1,4 @@
-/** The controller's process: settings, connections, listeners. Exit codes: 0, 1 (fault), 2 (settings). */
+/** Entry point of the controller process. Exit codes: 0, 1 (failure), 2 (invalid settings). */
 import { setMaxListeners } from 'node:events';
 import type { Logger } from '@leverhatch/core/log';
 import { Controller, type ControllerDependencies } from './control/controller.js';
@@ -19,24 +19,26 @@
 import { loadExtensions, type LoadedExtensions } from './settings/extensions.js';
 import { VERSION } from './version.js';
 
-/** The fraction of connections kept for workers, health checks and single answers to further users. */
+/**
+ * The fraction of connections reserved for workers, health checks and one response to each excess user.
+ */
 const CONNECTIONS_RESERVE_RATIO = 0.1;
 
-/** The longest response of an external service, in bytes for each MB of memory: a sixteenth of it. */
+/** The maximum response of an external service, in bytes for each MB of memory: one sixteenth of it. */
 const RESPONSE_BYTES_PER_MB = (1024 * 1024) / 16;
 
-/** A lost connection to a peer is opened again after the heartbeat interval divided by this. */
+/** The interval between connection attempts to a peer is the heartbeat interval divided by this. */
 const PEER_RETRY_DIVISOR = 4;
 
-/** The public listener and the one for peers. */
+/** The number of listeners: the public one and the one for peers. */
 const LISTENERS = 2;
 
-/** How the connections that the machine has room for are divided. */
+/** The division of the machine's connections by purpose. */
 interface ConnectionBudget {
   store: number;
   cloud: number;
   workers: number;
-  /** Connections from outside. */
+  /** Connections opened by workers, users and health checks. */
   inbound: number;
 }
 
@@ -45,11 +47,11 @@
   const store = Math.max(4, Math.floor(sockets / 20));
   const workers = Math.max(4, Math.floor(sockets / 20));
   const cloud = Math.max(2, Math.ceil(settings.cloud.rps / 2));
-  // Peers have a connection each way.
+  // There is one connection in each direction for every peer.
   const peers = 2 * settings.peers.length;
-  const own = store + cloud + workers + peers + LISTENERS + extensionSockets;
+  const nonInbound = store + cloud + workers + peers + LISTENERS + extensionSockets;
   const reserve = Math.ceil(sockets * CONNECTIONS_RESERVE_RATIO);
-  return { store, cloud, workers, inbound: Math.max(1, sockets - own - reserve) };
+  return { store, cloud, workers, inbound: Math.max(1, sockets - nonInbound - reserve) };
 }
 
 function createTransports(
@@ -64,10 +66,10 @@
   };
 }
 
-/** A signal that the platform's request to end the process aborts. */
-function shutdownSignal(): AbortSignal {
+/** Creates a signal that is aborted when the platform asks the process to terminate. */
+function createShutdownSignal(): AbortSignal {
   const shutdown = new AbortController();
-  // Every task of the controller listens to it.
+  // Every background task of the controller adds a listener, so the default limit would be exceeded.
   setMaxListeners(0, shutdown.signal);
   for (const name of ['SIGINT', 'SIGTERM'] as const) {
     process.once(name, () => shutdown.abort(new Error(name)));
@@ -75,7 +77,7 @@
   return shutdown.signal;
 }
 
-/** Runs the controller until the process is told to end. */
+/** Runs the controller until the process is asked to terminate. */
 async function run(
   settings: Settings,
   operator: OperatorSettings,
@@ -83,7 +85,7 @@
 ): Promise<void> {
   const log = createLogger(process.env.LOG_LEVEL, settings.member, settings.machine.memoryMb);
   const runtime = { clock: systemClock, random: systemRandom(), log, startedAt: 0 };
-  const signal = shutdownSignal();
+  const signal = createShutdownSignal();
   const peerRetryMs = settings.workers.heartbeatIntervalMs / PEER_RETRY_DIVISOR;
   const peerTransport = new TcpPeerTransport(settings, runtime, peerRetryMs);
   const extensions = await loadExtensions(operator, operatorFile);
--- a/src/wire/cloud.ts
+++ b/src/wire/cloud.ts
@@ -1,6 +1,6 @@
 /**
- * Maps the cloud's interface (PROTOCOL, cloud) to the names of the source. The field names in the
- * schemas and bodies are the cloud's and stay as they are.
+ * Maps the cloud's interface (section "cloud" of PROTOCOL) to the names of the source. The field names
+ * in the schemas and bodies are part of that interface and must not change.
  */
 import { z } from 'zod/mini';
 import type { MachineType } from '../fleet/resources.js';
@@ -24,7 +24,7 @@
   ),
 });
 
-/** The machine types on offer. Throws if the body does not have the cloud's form. */
+/** Parses the available machine types. Throws if the body is malformed. */
 export function parseMachineTypes(body: unknown): MachineType[] {
   return z.parse(flavors, body).hulls.map((hull) => ({
     name: hull.sku,
@@ -38,7 +38,7 @@
   }));
 }
 
-/** A machine as the cloud lists it. */
+/** A machine in the list of the cloud. */
 export interface ListedMachine {
   id: string;
   type: string;
@@ -68,7 +68,7 @@
   failed: 'failed',
 };
 
-/** One page of the list of machines; `more`: it goes on after the last one. */
+/** Parses one page of the list of machines; `more`: further pages follow. */
 export function parseMachineList(body: unknown): { machines: ListedMachine[]; more: boolean } {
   const page = z.parse(list, body);
   return {
@@ -86,7 +86,7 @@
 
 /** A request for `count` machines of one type in one zone. */
 export interface ProvisioningRequest {
-  /** Its id; the cloud provisions once for each id. */
+  /** The idempotency key: the cloud provisions only once for each. */
   request: string;
   type: string;
   zone: string;
@@ -94,14 +94,15 @@
   count: number;
 }
 
-/** What the cloud takes at most in one request to provision, and in one to release. */
+/** The maximum number of machines in one provisioning request. */
 export const MAX_MACHINES_PER_REQUEST = 50;
+/** The maximum number of machines in one request to release machines. */
 export const MAX_MACHINES_PER_RELEASE = 100;
 
-/** Machines on one page of the list. */
+/** The number of machines on one page of the list. */
 const LIST_PAGE = 500;
 
-/** The body of a request to provision machines. */
+/** Builds the body of a request to provision machines. */
 export function provisioningBody(order: ProvisioningRequest): object {
   return {
     charter: order.request,
@@ -114,13 +115,13 @@
 
 const provisioned = z.object({ rigs: z.array(z.string()) });
 
-/** The ids of the machines that a request has provisioned. */
+/** Parses the ids of the machines that a request has provisioned. */
 export const parseProvisioned = (body: unknown): string[] => z.parse(provisioned, body).rigs;
 
-/** The body of a request to release machines. */
+/** Builds the body of a request to release machines. */
 export const releaseBody = (machines: string[]): object => ({ rigs: machines });
 
-/** The path of one page of the list of machines; `after`: the last machine of the page before. */
+/** Builds the path of one page of the list; `after`: the last machine of the previous page. */
 export const listPath = (after: string | null): string =>
   after === null
     ? `/hosts?page=${LIST_PAGE}`
--- a/src/wire/store.ts
+++ b/src/wire/store.ts
@@ -1,6 +1,6 @@
 /**
- * Maps the interface of the key-value store (PROTOCOL, state) to the names of the source. The field
- * names in the schemas and bodies are the store's and stay as they are.
+ * Maps the interface of the key-value store (section "state" of PROTOCOL) to the names of the source.
+ * The field names in the schemas and bodies are part of that interface and must not change.
  */
 import type { Change, Condition, Entry, StoreEvent } from '@leverhatch/core/store';
 import { z } from 'zod/mini';
@@ -38,30 +38,30 @@
   version: item.stamp,
 });
 
-/** One entry. Like all parsers here it throws if the body does not have the store's form. */
+/** Parses one entry. Like all parsers of this module, it throws if the body is malformed. */
 export const parseEntry = (body: unknown): Entry => toEntry(z.parse(entry, body));
 
-/** A part of a range, in key order; `more`: it goes on after the last item. */
+/** One page of a range, in key order; `more`: further pages follow. */
 export interface RangePage {
   items: Entry[];
   more: boolean;
   revision: number;
 }
 
-/** One page of a range. */
+/** Parses one page of a range. */
 export function parseRange(body: unknown): RangePage {
   const page = z.parse(rangePage, body);
   return { items: page.entries.map(toEntry), more: page.more, revision: page.ledgerRev };
 }
 
-/** The revision of a transaction that was applied. */
+/** Parses the revision of a transaction that was applied. */
 export const parseCommitted = (body: unknown): number => z.parse(committed, body).ledgerRev;
-/** The keys whose conditions failed. */
+/** Parses the keys whose conditions failed. */
 export const parseConflict = (body: unknown): string[] => z.parse(conflict, body).failed;
-/** The number of a lease that was granted. */
+/** Parses the number of a lease that was granted. */
 export const parseGranted = (body: unknown): number => z.parse(granted, body).hold;
 
-/** The changes that a watch reports, and the revision to follow from next. */
+/** Parses the changes that a watch reports, and the revision from which to continue. */
 export function parseWatch(body: unknown): { revision: number; events: StoreEvent[] } {
   const page = z.parse(follow, body);
   return {
@@ -74,7 +74,7 @@
   };
 }
 
-/** The body of a compare-and-swap transaction. */
+/** Builds the body of a compare-and-swap transaction. */
 export function transactionBody(conditions: Condition[], changes: Change[]): object {
   return {
     // eslint-disable-next-line id-length -- the store's field name
@@ -91,7 +91,7 @@
   };
 }
 
-/** Whether a rejected transaction named a lease that has ended. */
+/** Whether a transaction was rejected because its lease has ended. */
 export const isLeaseNotFound = (body: unknown): boolean =>
   typeof body === 'object' &&
   body !== null &&
@@ -108,13 +108,13 @@
   leases: '/grants',
   renew: (lease: number): string => `/grants/${lease}/extend`,
   lease: (lease: number): string => `/grants/${lease}`,
-  /** The store takes a wait that is no integer for none, and would answer at once. */
+  /** The wait is rounded because the store ignores a non-integer one and responds at once. */
   watch: (prefix: string, after: number, waitMs: number): string =>
     `/follow?starts=${encodeURIComponent(prefix)}&since=${after}&holdMs=${Math.round(waitMs)}`,
 };
 
-/** Entries on one page of a range. */
+/** The number of entries on one page of a range. */
 export const RANGE_PAGE = 1000;
 
-/** The body of a request for a lease; `ttlMs` in milliseconds. */
+/** Builds the body of a request for a lease of `ttlMs` milliseconds. */
 export const leaseBody = (ttlMs: number): object => ({ lifeMs: ttlMs });
--- a/src/wire/submission.ts
+++ b/src/wire/submission.ts
@@ -1,6 +1,7 @@
 /**
- * Maps users' submissions and answers (PROTOCOL, users) to the names of the source. The field names in
- * the schema and the answers are the interface's and stay as they are.
+ * Maps submissions of users and the responses to them (section "users" of PROTOCOL) to the names of the
+ * source. The field names in the schema and the responses are part of that interface and must not
+ * change.
  */
 import { z } from 'zod/mini';
 import { Priority, type JobKind, type JobSpec } from '../jobs/job.js';
@@ -8,7 +9,7 @@
 const amount = z.number().check(z.nonnegative(), z.maximum(1e9));
 const name = z.string().check(z.minLength(1), z.maxLength(200));
 
-/** The most tasks that one job may have. */
+/** The maximum number of tasks of one job. */
 const MAX_TASKS = 100_000;
 
 const JOB_ID = /^req-\d{1,20}$/;
@@ -45,18 +46,18 @@
   best_effort: Priority.Low,
 } as const;
 
-/** A job as a user submits it. */
+/** A submitted job. */
 export interface Submission {
   id: string;
   spec: JobSpec;
-  /** Jobs that must be done before any task of this one starts, each named once. */
+  /** The ids of jobs that must be done before any task of this one starts, without duplicates. */
   dependencies: readonly string[];
 }
 
-/** What was parsed, or why it could not be. */
+/** The parsed value, or the reason why parsing failed. */
 export type ParseResult<T> = { ok: true; value: T } | { ok: false; reason: string };
 
-/** Parses a submission; `reason` goes to the user. */
+/** Parses a submission; on failure, `reason` is sent to the user. */
 export function parseSubmission(body: unknown): ParseResult<Submission> {
   const result = schema.safeParse(body);
   if (!result.success) {
@@ -93,25 +94,28 @@
   };
 }
 
-/** The job id in a body, even if the rest is malformed: known jobs are answered before it is checked. */
+/**
+ * Returns the job id of a submission, even if the rest of the body is malformed: a submission with a
+ * known id is answered before the rest is validated.
+ */
 export function submissionId(body: unknown): string | null {
   if (typeof body !== 'object' || body === null) return null;
   const id: unknown = (body as { ref?: unknown }).ref;
   return typeof id === 'string' && isJobId(id) ? id : null;
 }
 
-/** Whether `id` has the form of a job id. */
+/** Whether `id` is a well-formed job id. */
 export const isJobId = (id: string): boolean => JOB_ID.test(id);
 
-/** The phase of a job as users see it. */
+/** The phase of a job as shown to users. */
 export type PublicPhase = 'pending' | 'running' | 'done' | 'withdrawn';
 
-/** The answer to a submission or a cancellation. */
+/** Builds the response to a submission or a cancellation. */
 export function jobAnswer(id: string, phase: PublicPhase): object {
   return { ref: id, phase };
 }
 
-/** The answer to a query; `done` and `running` count tasks. */
+/** Builds the response to a query; `done` and `running` are numbers of tasks. */
 export function jobStatus(id: string, phase: PublicPhase, done: number, running: number): object {
   return { ref: id, phase, done, running };
 }
--- a/src/wire/worker-heartbeat.ts
+++ b/src/wire/worker-heartbeat.ts
@@ -1,14 +1,14 @@
 /**
- * Maps workers' heartbeats and commands (PROTOCOL, workers) to the names of the source. The field names
- * in the bodies are the interface's and stay as they are.
+ * Maps heartbeats of workers and commands to them (section "workers" of PROTOCOL) to the names of the
+ * source. The field names in the bodies are part of that interface and must not change.
  *
- * A heartbeat arrives from every machine once a second, so the parser is written by hand: a schema
- * library costs several times as much, and the leader has an eighth of a core.
+ * Every machine sends a heartbeat once a second, so the parser is written by hand: a schema library
+ * takes several times as much processor time, and the leader has an eighth of a core.
  */
 
-/** What a task does on its machine. */
+/** The state of a task on its machine. */
 export type TaskState = 'fetching' | 'waiting' | 'running' | 'saving' | 'exited';
-/** Why a task has exited. */
+/** The reason why a task has exited. */
 export type ExitReason =
   | 'done'
   | 'stopped'
@@ -19,7 +19,7 @@
   | 'already_running'
   | 'unknown';
 
-/** One attempt of a task as its worker sees it. */
+/** The status of one attempt of a task, as reported by its worker. */
 export interface TaskStatus {
   job: string;
   task: number;
@@ -27,11 +27,11 @@
   state: TaskState;
   /** Null unless `state` is `exited`. */
   exitReason: ExitReason | null;
-  /** Its progress is saved. */
+  /** Whether the task's progress is saved. */
   checkpointed: boolean;
 }
 
-/** What a worker reports of its machine and of the tasks there. */
+/** A report of a worker on its machine and the tasks that run there. */
 export interface WorkerHeartbeat {
   machine: string;
   address: string;
@@ -41,7 +41,7 @@
   agentEpoch: number;
   sequence: number;
   fencingToken: number;
-  /** In how many milliseconds the cloud takes the machine back; null: no notice. */
+  /** The time until the cloud reclaims the machine, in milliseconds; null: no notice was given. */
   preemptionNoticeMs: number | null;
   tasks: TaskStatus[];
 }
@@ -75,7 +75,7 @@
 const isNotice = (value: unknown): value is number | null | undefined =>
   value == null || (typeof value === 'number' && value >= 0);
 
-/** Parses a heartbeat; null if any field is missing or invalid: such a heartbeat changes nothing. */
+/** Parses a heartbeat; null if any field is missing or invalid, so that it is rejected as a whole. */
 export function parseHeartbeat(body: unknown): WorkerHeartbeat | null {
   if (!isObject(body)) return null;
   const machine = parseMachine(body);
@@ -124,26 +124,26 @@
   };
 }
 
-/** An unknown cause counts as a failure: the task is off the machine either way. */
+/** An unknown cause counts as a failure, since the task has left the machine either way. */
 function parseExitReason(cause: unknown): ExitReason {
   return (typeof cause === 'string' ? EXIT_REASONS[cause] : undefined) ?? 'error';
 }
 
-/** What a worker shall do with one attempt of a task; `graceMs`: time to save, in milliseconds. */
+/** A command for one attempt of a task; `graceMs`: the time to save its progress, in milliseconds. */
 export type WorkerCommand =
   | { kind: 'start'; job: string; task: number; attempt: number }
   | { kind: 'stop'; job: string; task: number; attempt: number; graceMs: number }
   | { kind: 'forget'; job: string; task: number; attempt: number };
 
-/** The leader's answer to a heartbeat. */
+/** Builds the leader's response to a heartbeat. */
 export function heartbeatResponse(fencingToken: number, commands: WorkerCommand[]): object {
   return { baton: fencingToken, orders: commands.map(encodeCommand) };
 }
 
-/** Where a worker takes commands between two heartbeats. */
+/** The path at which a worker accepts commands between two heartbeats. */
 export const DIRECT_COMMAND_PATH = '/do';
 
-/** The body of commands between two heartbeats. */
+/** Builds the body of a request that sends commands between two heartbeats. */
 export function directCommandBody(
   fencingToken: number,
   agentEpoch: number,
@@ -152,7 +152,10 @@
   return { baton: fencingToken, shift: agentEpoch, orders: commands.map(encodeCommand) };
 }
 
-/** The answer of a controller that does not lead; `leader`: the one that does, null if unknown. */
+/**
+ * Builds the response of a controller that does not lead; `leader`: the name of the leader, null if
+ * unknown.
+ */
 export function redirectResponse(leader: string | null): object {
   return leader === null ? {} : { foreman: leader };
 }
