--- a/src/control/controller-services.ts
+++ b/src/control/controller-services.ts
@@ -4,7 +4,7 @@
 import { SuccessorPolicy } from '../election/successor-policy.js';
 import { ZoneDelegate, zoneDelegationMs } from '../election/zone-delegate.js';
 import { MachineTypeCatalog } from '../fleet/machine-type-catalog.js';
-import type { WorkerTransports } from '../fleet/stop-commands.js';
+import type { WorkerTransportFactory } from '../fleet/stop-command-sender.js';
 import type { Transport } from '../http/client.js';
 import { CancellationLog } from '../jobs/cancellation-log.js';
 import {
@@ -13,7 +13,7 @@
   type ControllerStatus,
   type TaskCounts,
 } from '../jobs/job-api.js';
-import { Membership, OWN_FORMATS, type Formats } from '../membership/membership.js';
+import { Membership, OWN_FORMATS, type SupportedFormats } from '../membership/membership.js';
 import { CancellationQuery } from '../peer/cancellation-query.js';
 import { CANCELLATIONS_VERSION, MAX_CANCELLATIONS, REINSTATEMENT_VERSION } from '../peer/frames.js';
 import type { PeerTransport } from '../peer/peer-transport.js';
@@ -56,7 +56,7 @@
   peerTransport: PeerTransport;
   store: Transport;
   cloud: Transport;
-  workers: WorkerTransports;
+  workers: WorkerTransportFactory;
   /** The enabled extensions. */
   extensions?: readonly CreateExtension[];
 }
@@ -144,7 +144,7 @@
       dependencies.peerTransport,
       runtime,
       this.cancellationLog,
-      (peer) => this.membership.readsFrames(peer, CANCELLATIONS_VERSION),
+      (peer) => this.membership.readsFrameVersion(peer, CANCELLATIONS_VERSION),
     );
     this.jobApi = this.createJobApi();
     this.partitionedWorkers = this.createPartitionedWorkers();
@@ -170,7 +170,8 @@
       member: this.settings.member,
       leaderLeaseMs: this.leaderLeaseMs,
       successorPolicy: this.successorPolicy,
-      supportsReinstatement: (peer) => this.membership.readsFrames(peer, REINSTATEMENT_VERSION),
+      supportsReinstatement: (peer) =>
+        this.membership.readsFrameVersion(peer, REINSTATEMENT_VERSION),
     });
   }
 
@@ -180,7 +181,7 @@
       ...{ store, runtime, settings },
       isLeading: (): boolean => this.host.leader()?.isRecovered ?? false,
       haveAllEnabled: (feature: string, signal: AbortSignal): Promise<boolean> =>
-        this.membership.haveAllEnabled(feature, signal),
+        this.membership.isFeatureEnabledByAll(feature, signal),
       promisedQuotas: async (): Promise<TeamQuotaMap> =>
         (await this.quotaExtension?.promisedQuotas()) ?? settings.teams,
     };
@@ -223,7 +224,7 @@
   }
 
   /** The formats that this controller supports, including the features of its enabled extensions. */
-  private get formats(): Formats {
+  private get formats(): SupportedFormats {
     const features = this.extensions.map(({ feature }) => feature);
     return features.length > 0 ? { ...OWN_FORMATS, features } : OWN_FORMATS;
   }
--- a/src/control/extensions/term-extensions.ts
+++ b/src/control/extensions/term-extensions.ts
@@ -36,7 +36,7 @@
   /** How many tasks of a job may start now, regardless of free capacity. */
   startableTasks(job: Job): number {
     const remaining = Math.max(0, this.placementLimit(job.id) - job.placements.size);
-    return Math.min(job.startableCount, remaining);
+    return Math.min(job.startableTaskCount, remaining);
   }
 
   /** How many tasks of a job may be placed at once; `Infinity` without a limit. */
--- a/src/control/leader-parts.ts
+++ b/src/control/leader-parts.ts
@@ -9,7 +9,7 @@
 import type { MachineTypeCatalog } from '../fleet/machine-type-catalog.js';
 import { Fleet } from '../fleet/fleet.js';
 import { MachineProvisioner } from '../fleet/machine-provisioner.js';
-import { StopCommands, type WorkerTransports } from '../fleet/stop-commands.js';
+import { StopCommandSender, type WorkerTransportFactory } from '../fleet/stop-command-sender.js';
 import type { MachineType } from '../fleet/resources.js';
 import type { Transport } from '../http/client.js';
 import { markRecorded } from '../jobs/placement-stage.js';
@@ -46,7 +46,7 @@
 export interface LeaderDependencies {
   store: Store;
   cloud: Transport;
-  workers: WorkerTransports;
+  workers: WorkerTransportFactory;
   machineTypes: MachineTypeCatalog;
   membership: Membership;
   settings: Settings;
@@ -85,7 +85,7 @@
   readonly rewriter: RunRewriter;
   readonly zoneDelegates: ZoneDelegateWatch;
   readonly longPoll: LongPoll;
-  readonly stopCommands: StopCommands;
+  readonly stopCommands: StopCommandSender;
   readonly taskStopper: TaskStopper;
   readonly jobRecords: JobRecordWatcher;
   readonly dependencies: DependencyTracker;
@@ -163,9 +163,9 @@
     );
   }
 
-  private createStopCommands(): StopCommands {
+  private createStopCommands(): StopCommandSender {
     const { runtime, settings, workers } = this.context;
-    return new StopCommands(
+    return new StopCommandSender(
       workers,
       runtime,
       this.term,
@@ -338,7 +338,7 @@
         exitsRecorded: (placements) => {
           for (const placement of placements) this.fleet.acknowledgeExit(placement);
         },
-        contradiction: (what) => {
+        inconsistencyDetected: (what) => {
           runtime.log.error({ what }, 'giving up leadership');
           term.end();
         },
--- a/src/control/reconciliation/heartbeat-handler.ts
+++ b/src/control/reconciliation/heartbeat-handler.ts
@@ -96,7 +96,9 @@
   }
 
   private isNewest({ agentEpoch, sequence }: WorkerHeartbeat, known: Machine | undefined): boolean {
-    return this.context.jobRecords.isRecovered && (known?.isNewer(agentEpoch, sequence) ?? true);
+    return (
+      this.context.jobRecords.isRecovered && (known?.isNewerReport(agentEpoch, sequence) ?? true)
+    );
   }
 
   /** How long to hold an answer without commands, in case a command for the worker arises. */
--- a/src/control/reconciliation/job-record-watcher.ts
+++ b/src/control/reconciliation/job-record-watcher.ts
@@ -7,10 +7,10 @@
 import type { JobRecordWriter } from '../../jobs/job-record-writer.js';
 import { Job, type StoredRuns } from '../../jobs/tracked-job.js';
 import { parseJob, tasksPerRange, tasksPerRecord, type JobRecord } from '../../jobs/records.js';
-import { readRuns } from '../../jobs/run-reader.js';
+import { groupRunRecords } from '../../jobs/run-reader.js';
 import { RECORD_FORMATS, type Membership } from '../../membership/membership.js';
 import { MAX_CANCELLATIONS } from '../../peer/frames.js';
-import { jobOfKey, jobOfRunKey, KEYS } from '../../state/keys.js';
+import { jobIdFromKey, jobIdFromRunKey, KEYS } from '../../state/keys.js';
 import type { Settings } from '../../settings/deploy.js';
 import { RevisionCompactedError, type Entry, type Store } from '../../state/store.js';
 import type { DependencyTracker } from '../dependencies/dependency-tracker.js';
@@ -122,7 +122,7 @@
     this.context.jobs.clear();
     this.context.dependencies.clear();
     this.endedJobs.clear();
-    this.jobsWithRuns = new Set(runs.map((entry) => jobOfRunKey(entry.key)));
+    this.jobsWithRuns = new Set(runs.map((entry) => jobIdFromRunKey(entry.key)));
     return this.context.store.forEachPage(
       KEYS.jobs,
       (page) => {
@@ -136,7 +136,10 @@
   private restoreRuns(entries: Entry[]): void {
     const { runtime, store } = this.context;
     const perRange = tasksPerRange(store.limits.smallest().valueBytes);
-    const { runs, unreadable } = readRuns(entries, (id) => this.context.jobs.get(id) ?? null);
+    const { runs, unreadable } = groupRunRecords(
+      entries,
+      (id) => this.context.jobs.get(id) ?? null,
+    );
     for (const { id, key, version, job } of unreadable) {
       if (job === null && this.endedJobs.has(id)) {
         this.context.recordWriter.leftovers.add([{ key, version }]);
@@ -156,7 +159,7 @@
       if (job.phase !== 'open') placement.stop = { graceMs: 0 };
     }
     const { membership } = this.context;
-    if (!job.hasForeignLayout || membership.allRead(RECORD_FORMATS.rangedRuns)) return;
+    if (!job.hasMismatchedLayout || membership.allRead(RECORD_FORMATS.rangedRuns)) return;
     // Only ranged records could supersede these records, and not every controller can read those.
     this.context.runtime.log.error(
       { job: job.id },
@@ -230,7 +233,7 @@
       this.context.runtime.log.error({ key: entry.key }, 'unreadable job record');
       return;
     }
-    this.onJobRecord(jobOfKey(entry.key), entry.version, record);
+    this.onJobRecord(jobIdFromKey(entry.key), entry.version, record);
   }
 
   onJobRecord(id: string, version: number, record: JobRecord): void {
--- a/src/control/reconciliation/machine-reconciler.ts
+++ b/src/control/reconciliation/machine-reconciler.ts
@@ -70,11 +70,11 @@
   private applyListed(listed: ListedMachine, now: number): void {
     const known = this.fleet.machines.get(listed.id);
     const machine = known ?? this.fleet.getOrCreate(listed.id, now);
-    if (!known) machine.discover(listed, now);
+    if (!known) machine.initializeFromListing(listed, now);
     machine.applyListing(listed.state, this.machineTypes().get(listed.type) ?? null, now);
     if (listed.state !== 'failed') return;
     // The cloud reports that it has stopped, so nothing runs on it any more.
-    for (const placement of [...machine.placements.values()]) this.fleet.withdraw(placement);
+    for (const placement of [...machine.placements.values()]) this.fleet.withdrawStart(placement);
     machine.beginRelease();
     this.provisioner.release(listed.id);
   }
--- a/src/control/reconciliation/task-stopper.ts
+++ b/src/control/reconciliation/task-stopper.ts
@@ -1,7 +1,7 @@
 /** Stopping of tasks, with a grace period for saving a checkpoint. */
 import type { Clock } from '@leverhatch/core/clock';
 import type { Fleet } from '../../fleet/fleet.js';
-import type { StopCommands } from '../../fleet/stop-commands.js';
+import type { StopCommandSender } from '../../fleet/stop-command-sender.js';
 import { stopCommand } from '../../fleet/worker-commands.js';
 import type { Job, Placement } from '../../jobs/tracked-job.js';
 import type { Settings } from '../../settings/deploy.js';
@@ -21,7 +21,7 @@
   constructor(
     private readonly fleet: Fleet,
     private readonly longPoll: LongPoll,
-    private readonly commands: StopCommands,
+    private readonly commands: StopCommandSender,
     private readonly workers: Settings['workers'],
     private readonly clock: Clock,
   ) {}
@@ -37,7 +37,7 @@
     if (!placement.stop && placement.state === 'running') this.countStop(placement, graceMs);
     placement.stop = { graceMs };
     if (placement.stage === 'recording' || placement.stage === 'recorded')
-      this.fleet.withdraw(placement);
+      this.fleet.withdrawStart(placement);
     else if (!this.longPoll.release(placement.machine)) this.sendStop(placement, graceMs);
   }
 
--- a/src/control/scheduling/opportunistic-work.ts
+++ b/src/control/scheduling/opportunistic-work.ts
@@ -24,7 +24,7 @@
  * @param bootMs the longest boot time of any machine type
  * @param teams the current guarantees of the teams
  */
-export function tasksAtOnce(
+export function requiredConcurrency(
   settings: Settings,
   job: Job,
   waitedMs: number,
--- a/src/control/scheduling/pipeline-steps.ts
+++ b/src/control/scheduling/pipeline-steps.ts
@@ -52,7 +52,7 @@
   const { spec } = job;
   // A service is never done, and no job may depend on it.
   if (spec.kind === 'service') return 0;
-  if (job.waitingCount > 0) return startMs(sources, spec) + spec.estimateMs;
+  if (job.waitingTaskCount > 0) return startMs(sources, spec) + spec.estimateMs;
   let longestMs = 0;
   for (const placement of job.placements.values()) {
     const leftMs =
--- a/src/control/scheduling/snapshot.ts
+++ b/src/control/scheduling/snapshot.ts
@@ -23,7 +23,7 @@
 import type { TermExtensions } from '../extensions/term-extensions.js';
 import type { MachineReconciler } from '../reconciliation/machine-reconciler.js';
 import type { ExpectedDemand } from './expected-demand.js';
-import { tasksAtOnce } from './opportunistic-work.js';
+import { requiredConcurrency } from './opportunistic-work.js';
 import { openJobs, pipelineSteps, type PipelineSources } from './pipeline-steps.js';
 import { teamUsage } from './team-usage.js';
 
@@ -80,7 +80,7 @@
     jobs: jobViews(context),
     upcomingJobs: upcomingJobs(context),
     expectedTasks: sources.expectedDemand.observe(now, context.longestBootMs),
-    leavingCpus: leavingCpus(sources),
+    cpusFreedSoon: cpusFreedSoon(sources),
     teams: teamViews(sources),
     types,
     offers: offers(context),
@@ -128,7 +128,7 @@
         isUp: false,
         images: new Set(),
         incomingGb: 0,
-        tasksOf: new Map(),
+        tasksByJob: new Map(),
         replicas: 0,
         idleTimeoutMs: sources.reconciler.idleTimeoutMs(type),
       });
@@ -143,12 +143,12 @@
   up: boolean,
   idleTimeoutMs: number,
 ): MachineView {
-  const tasksOf = new Map<string, number>();
+  const tasksByJob = new Map<string, number>();
   let replicas = 0;
   let incomingGb = 0;
   for (const image of machine.images.values()) if (!image.isPresent) incomingGb += image.gb;
   for (const placement of machine.placements.values()) {
-    tasksOf.set(placement.job.id, (tasksOf.get(placement.job.id) ?? 0) + 1);
+    tasksByJob.set(placement.job.id, (tasksByJob.get(placement.job.id) ?? 0) + 1);
     if (placement.job.spec.kind === 'service') replicas++;
   }
   return {
@@ -160,7 +160,7 @@
     isUp: up,
     images: new Set(machine.images.keys()),
     incomingGb,
-    tasksOf,
+    tasksByJob,
     replicas,
     idleTimeoutMs,
   };
@@ -189,7 +189,7 @@
 }
 
 /** CPUs held by tasks without GPUs, which are expected to free them soon. */
-function leavingCpus(sources: SnapshotSources): number {
+function cpusFreedSoon(sources: SnapshotSources): number {
   let cpus = 0;
   for (const { spec, placements } of sources.jobs.values()) {
     if (spec.kind !== 'service' && spec.need.gpus === 0) cpus += spec.need.cpus * placements.size;
@@ -212,7 +212,7 @@
     readyAt,
     dueAt: priority?.dueAt ?? readyAt,
     isBackfill: isBackfill(context, job, waitedMs),
-    opportunisticTasks: tasksAtOnce(
+    opportunisticConcurrency: requiredConcurrency(
       sources.settings,
       job,
       waitedMs,
@@ -236,8 +236,8 @@
   waitedMs: number,
 ): boolean {
   if (spec.kind === 'service' || spec.need.gpus > 0 || gpuBootMs === null) return false;
-  const isPressed = urgencies.get(id)?.isPressed ?? false;
-  return !isPressed && waitedMs < gpuBootMs * BACKFILL_WAIT_BOOTS;
+  const hasLowSlack = urgencies.get(id)?.hasLowSlack ?? false;
+  return !hasLowSlack && waitedMs < gpuBootMs * BACKFILL_WAIT_BOOTS;
 }
 
 function isAdmissible(job: Job, now: number): boolean {
--- a/src/fleet/fleet.ts
+++ b/src/fleet/fleet.ts
@@ -70,7 +70,7 @@
   ) {}
 
   /** Number of machines that have sent a heartbeat in this term. */
-  get heard(): number {
+  get heardMachineCount(): number {
     let count = 0;
     for (const machine of this.machines.values()) if (machine.lastHeartbeatAt !== null) count++;
     return count;
@@ -122,7 +122,7 @@
     machine.lastAnsweredAt = now;
     // A response to a direct command has overtaken this heartbeat. The answer still renews the
     // lease, so it must include pending stops.
-    if (!machine.isNewer(agentEpoch, sequence))
+    if (!machine.isNewerReport(agentEpoch, sequence))
       return agentEpoch === machine.agentEpoch ? this.pendingStopCommands(machine) : [];
     if (machine.isBooting && machine.type)
       this.bootTimes.recordBoot(machine.type.name, machine.provisionedAt, now);
@@ -170,7 +170,7 @@
     const machine = this.machines.get(heartbeat.machine);
     if (
       machine?.agentEpoch !== heartbeat.agentEpoch ||
-      !machine.isNewer(heartbeat.agentEpoch, heartbeat.sequence)
+      !machine.isNewerReport(heartbeat.agentEpoch, heartbeat.sequence)
     )
       return;
     machine.sequence = heartbeat.sequence;
@@ -198,7 +198,7 @@
     const previousState = placement.state;
     placement.state = status.state;
     if (status.state !== previousState) {
-      machine.noteImage(
+      machine.recordImageUse(
         placement.job.spec.image,
         placement.job.spec.imageGb,
         status.state !== 'fetching',
@@ -243,7 +243,7 @@
 
   private dispatch(machine: Machine, placement: Placement): WorkerCommand {
     markDispatched(placement);
-    machine.noteImage(placement.job.spec.image, placement.job.spec.imageGb, false);
+    machine.recordImageUse(placement.job.spec.image, placement.job.spec.imageGb, false);
     return startCommand(placement);
   }
 
@@ -293,7 +293,7 @@
   }
 
   /** Withdraws a start that was recorded in this term but never dispatched. */
-  withdraw(placement: Placement): void {
+  withdrawStart(placement: Placement): void {
     const machine = this.machines.get(placement.machine);
     if (machine) this.markLost(machine, placement);
   }
--- a/src/fleet/image-cache.ts
+++ b/src/fleet/image-cache.ts
@@ -29,7 +29,7 @@
    * @param isPresent whether a task has started with it, so that the machine has fetched it
    * @param cacheGb capacity of the machine's cache
    */
-  note(image: string, gb: number, isPresent: boolean, cacheGb: number): void {
+  recordUse(image: string, gb: number, isPresent: boolean, cacheGb: number): void {
     const known = this.entries.get(image);
     this.entries.delete(image);
     this.entries.set(image, { gb, isPresent: isPresent || (known?.isPresent ?? false) });
--- a/src/fleet/machine.ts
+++ b/src/fleet/machine.ts
@@ -78,7 +78,7 @@
   }
 
   /** Sets zone, price class and age from the first listing that contains the machine. */
-  discover(listed: ListedMachine, now: number): void {
+  initializeFromListing(listed: ListedMachine, now: number): void {
     this.provisionedAt = now - listed.ageMs;
     this.zone = listed.zone;
     this.spot = listed.spot;
@@ -237,8 +237,8 @@
   }
 
   /** Records that a task needs the image; `isPresent` is true once one has started with it. */
-  noteImage(image: string, gb: number, isPresent: boolean): void {
-    this.imageCache.note(image, gb, isPresent, this.type?.cacheGb ?? Infinity);
+  recordImageUse(image: string, gb: number, isPresent: boolean): void {
+    this.imageCache.recordUse(image, gb, isPresent, this.type?.cacheGb ?? Infinity);
   }
 
   /** Drops an image that is still being fetched if no task needs it any more. */
@@ -253,7 +253,7 @@
   }
 
   /** Whether a heartbeat or direct response is newer than the newest one that has been applied. */
-  isNewer(agentEpoch: number, sequence: number): boolean {
+  isNewerReport(agentEpoch: number, sequence: number): boolean {
     return (
       agentEpoch > this.agentEpoch || (agentEpoch === this.agentEpoch && sequence > this.sequence)
     );
--- a/src/fleet/resources.ts
+++ b/src/fleet/resources.ts
@@ -45,7 +45,7 @@
 }
 
 /** How many tasks with this request fit into the capacity. */
-export function copiesThatFit(request: Resources, capacity: Resources): number {
+export function countFittingTasks(request: Resources, capacity: Resources): number {
   // Fast path: this is called for every machine many times per cycle, and most machines are full.
   if (!fits(request, capacity)) return 0;
   return Math.min(
--- a/src/fleet/stop-commands.ts
+++ b/src/fleet/stop-command-sender.ts
@@ -12,20 +12,20 @@
 import type { Machine } from './machine.js';
 
 /** Returns the transport to the worker at an address. */
-export type WorkerTransports = (address: string) => Transport;
+export type WorkerTransportFactory = (address: string) => Transport;
 
 /**
  * Sends stop commands directly to workers instead of in the answers to their next heartbeats. Only
  * stops are sent this way: a direct command may be executed minutes late, which is harmless for a
  * stop but not for a start. Lost commands are repeated in the answers to heartbeats.
  */
-export class StopCommands {
+export class StopCommandSender {
   private readonly queuedCommands = new Map<Machine, WorkerCommand[]>();
   /** Number of requests without a response yet. */
   private inFlight = 0;
 
   constructor(
-    private readonly transportTo: WorkerTransports,
+    private readonly transportTo: WorkerTransportFactory,
     private readonly runtime: Runtime,
     private readonly term: Term,
     /** Time-out of one request, in milliseconds. */
--- a/src/jobs/job-api.ts
+++ b/src/jobs/job-api.ts
@@ -135,7 +135,7 @@
     const parsed = wire.parseSubmission(body);
     if (!parsed.ok) {
       // A repeated submission of an accepted job returns its state, even if the body is invalid.
-      const id = wire.submissionId(body);
+      const id = wire.parseSubmissionId(body);
       return this.respondIfKnown(id, signal, { status: 400, body: { error: parsed.reason } });
     }
     const { id, spec } = parsed.value;
@@ -223,7 +223,7 @@
       if (!record) return BUSY;
       if (record.phase === 'done') {
         this.cacheEnded(id, entry.version, record);
-        return { status: 200, body: wire.jobAnswer(id, 'done') };
+        return { status: 200, body: wire.jobPhaseResponse(id, 'done') };
       }
       let { version } = entry;
       if (record.phase === 'open') {
@@ -232,7 +232,7 @@
         version = outcome.revision;
       }
       this.cacheEnded(id, version, { ...record, phase: 'cancelled' });
-      return { status: 200, body: wire.jobAnswer(id, this.announceWithdrawn(id)) };
+      return { status: 200, body: wire.jobPhaseResponse(id, this.announceWithdrawn(id)) };
     }
   }
 
@@ -274,7 +274,7 @@
   }
 
   private submissionBody(id: string, job: JobState | null): object {
-    return wire.jobAnswer(id, job ? this.publicPhase(id, job) : 'pending');
+    return wire.jobPhaseResponse(id, job ? this.publicPhase(id, job) : 'pending');
   }
 
   /** Every cancellation is announced through this method, however the job was cancelled. */
@@ -293,7 +293,7 @@
     const counts = this.controller.progressOf(id);
     const done = job.phase === 'done' ? job.tasks : (counts?.done ?? 0);
     const running = job.phase === 'open' ? (counts?.running ?? 0) : 0;
-    return wire.jobStatus(id, this.publicPhase(id, job), done, running);
+    return wire.jobStatusResponse(id, this.publicPhase(id, job), done, running);
   }
 
   private async withTimeout(
--- a/src/jobs/job-record-writer.ts
+++ b/src/jobs/job-record-writer.ts
@@ -39,7 +39,7 @@
   /** The exits of these placements are in the store, so the placements may be dropped. */
   exitsRecorded(placements: Placement[]): void;
   /** The store contains something that only another leader can have written. */
-  contradiction(what: string): void;
+  inconsistencyDetected(description: string): void;
   /** The store contains the job's final state. */
   endRecorded(job: Job, phase: JobPhase): void;
   /** Nothing of the job remains to be written. */
@@ -103,7 +103,7 @@
     void this.write(job)
       .catch((error: unknown) => {
         if (this.term.signal.aborted) return;
-        this.events.contradiction(`${job.id}: ${String(error)}`);
+        this.events.inconsistencyDetected(`${job.id}: ${String(error)}`);
       })
       .finally(() => {
         job.isWriteInFlight = false;
@@ -131,7 +131,7 @@
    * Rewrites the job's superseded records as ranged ones; to be called while no other writes are
    * queued. `job.isRewriting` is reset when the rewrite is complete.
    */
-  rewrite(job: Job): void {
+  rewriteSuperseded(job: Job): void {
     if (job.phase !== 'open' || job.isUnreadable || job.isArchived) return;
     job.isRewriting = true;
     this.flush(job);
--- a/src/jobs/job-state-cache.ts
+++ b/src/jobs/job-state-cache.ts
@@ -3,7 +3,7 @@
 import { RequestPriority } from '@leverhatch/core/store';
 import type { Runtime } from '@leverhatch/core/duty';
 import type { Settings } from '../settings/deploy.js';
-import { jobOfKey, KEYS } from '../state/keys.js';
+import { jobIdFromKey, KEYS } from '../state/keys.js';
 import type { Entry, RequestClass, Store } from '../state/store.js';
 import { readDependencies } from './dependencies.js';
 import { MAX_SINGLE_READS, readJobEntries } from './job-reader.js';
@@ -309,7 +309,7 @@
 
   /** Caches a record that was not requested, if that takes no further request and no eviction. */
   private prefetchEntry(entry: Entry): void {
-    const id = jobOfKey(entry.key);
+    const id = jobIdFromKey(entry.key);
     const record = parseJob(entry.value);
     if (!record || this.cache.has(id) || this.weight >= this.maxWeight) return;
     const { phase, tasks, needs } = record;
--- a/src/jobs/run-layout.ts
+++ b/src/jobs/run-layout.ts
@@ -130,7 +130,7 @@
   }
 
   /** Switches the job to ranged records of at most `perRecord` tasks. */
-  toRanged(perRecord: number, isEmpty: (from: number, to: number) => boolean): void {
+  switchToRanged(perRecord: number, isEmpty: (from: number, to: number) => boolean): void {
     const previous = this.sections;
     this.superseded = previous.filter((section) => section.version > 0);
     this.kind = 'ranged';
--- a/src/jobs/run-reader.ts
+++ b/src/jobs/run-reader.ts
@@ -1,22 +1,25 @@
 /** Grouping of stored run records by job. */
 
-import { jobOfRunKey, parseRunKey } from '../state/keys.js';
+import { jobIdFromRunKey, parseRunKey } from '../state/keys.js';
 import type { Entry } from '../state/store.js';
 import type { Job, StoredRuns } from './tracked-job.js';
 import { parseRangedRun, parseRun } from './records.js';
 
 /** The run records of all jobs, and those that are unreadable or belong to no known job. */
-export interface ReadRuns {
+export interface GroupedRunRecords {
   runs: Map<Job, StoredRuns>;
   unreadable: { id: string; key: string; version: number; job: Job | null }[];
 }
 
 /** Groups run records of both layouts by job. */
-export function readRuns(entries: Entry[], jobOf: (id: string) => Job | null): ReadRuns {
+export function groupRunRecords(
+  entries: Entry[],
+  jobOf: (id: string) => Job | null,
+): GroupedRunRecords {
   const runs = new Map<Job, StoredRuns>();
-  const unreadable: ReadRuns['unreadable'] = [];
+  const unreadable: GroupedRunRecords['unreadable'] = [];
   for (const entry of entries) {
-    const id = jobOfRunKey(entry.key);
+    const id = jobIdFromRunKey(entry.key);
     const job = jobOf(id);
     const stored = job && (runs.get(job) ?? { indexed: [], ranged: [] });
     if (!job || !stored || !addEntry(entry, job, stored)) {
--- a/src/jobs/run-rewriter.ts
+++ b/src/jobs/run-rewriter.ts
@@ -35,7 +35,7 @@
         await this.runtime.clock.sleep(intervalMs / 10, signal);
       }
       if (!isDue(job)) continue;
-      this.writer.rewrite(job);
+      this.writer.rewriteSuperseded(job);
       while (job.isRewriting && isDue(job) && !signal.aborted) {
         await this.runtime.clock.sleep(intervalMs / 10, signal);
       }
--- a/src/jobs/tracked-job.ts
+++ b/src/jobs/tracked-job.ts
@@ -65,7 +65,7 @@
   /** A record of the job is unreadable: all its tasks count as running, and none is started. */
   isUnreadable = false;
   /** Its indexed records were written under a different value limit, see `RunLayout`. */
-  hasForeignLayout = false;
+  hasMismatchedLayout = false;
   /** Its cancellation was announced to users, but this leader has not read its record yet. */
   isCancellationAnnounced = false;
   /** Jobs that have to be done before any task of this one starts. */
@@ -108,7 +108,7 @@
     return this.done.has(task);
   }
 
-  get waitingCount(): number {
+  get waitingTaskCount(): number {
     if (this.phase !== 'open' || this.isCancellationAnnounced) return 0;
     return this.spec.tasks - this.doneCount - this.placedIncompleteCount();
   }
@@ -132,9 +132,9 @@
   /**
    * How many tasks may be started. A job that fails on every machine gets one at a time, as a trial.
    */
-  get startableCount(): number {
-    if (!this.failures.isSuspected || this.gang) return this.waitingCount;
-    return Math.min(this.waitingCount, this.placements.size > 0 ? 0 : 1);
+  get startableTaskCount(): number {
+    if (!this.failures.isSuspected || this.gang) return this.waitingTaskCount;
+    return Math.min(this.waitingTaskCount, this.placements.size > 0 ? 0 : 1);
   }
 
   get runningCount(): number {
@@ -164,7 +164,7 @@
 
   /** Switches the job to ranged records. */
   switchToRangedRecords(perRecord: number): void {
-    this.layout.toRanged(perRecord, (from, to) => this.isEmpty(from, to));
+    this.layout.switchToRanged(perRecord, (from, to) => this.isEmpty(from, to));
   }
 
   toRecord(
@@ -228,10 +228,11 @@
       to: Math.min(record.to, this.spec.tasks),
     }));
     const isEmpty = (from: number, to: number): boolean => this.isEmpty(from, to);
-    this.hasForeignLayout = indexed.some(
+    this.hasMismatchedLayout = indexed.some(
       ({ index, record }) => !this.layout.containsTasks(index, mentionedTasks(record)),
     );
-    if (this.hasForeignLayout) this.layout.restoreMismatched(indexed, sections, perRange, isEmpty);
+    if (this.hasMismatchedLayout)
+      this.layout.restoreMismatched(indexed, sections, perRange, isEmpty);
     else if (ranged.length > 0) this.layout.restoreRanged(sections, perRange, isEmpty);
   }
 
--- a/src/membership/membership.ts
+++ b/src/membership/membership.ts
@@ -18,7 +18,7 @@
 export const RECORD_FORMATS = { indexedRuns: 1, rangedRuns: 2, leftoverRuns: 3 } as const;
 
 /** The formats and features that a program supports. */
-export interface Formats {
+export interface SupportedFormats {
   /** The newest supported record format. */
   recordFormat: number;
   /** Supported versions of the frames that controllers exchange. */
@@ -28,7 +28,7 @@
 }
 
 /** The formats that this program supports. */
-export const OWN_FORMATS: Formats = {
+export const OWN_FORMATS: SupportedFormats = {
   recordFormat: Math.max(...Object.values(RECORD_FORMATS)),
   frameVersions: FRAME_VERSIONS,
 };
@@ -47,7 +47,7 @@
 /**
  * A controller's description of its program in the store. It is not deleted when the process ends.
  */
-export interface MemberRecord extends Formats {
+export interface MemberRecord extends SupportedFormats {
   name: string;
   version: string;
   /** Wall-clock time at which the process started, in milliseconds. */
@@ -82,7 +82,7 @@
     private readonly names: ControllerNames,
     private readonly refreshMs: number,
     /** The formats and features that this program supports. */
-    private readonly ownFormats: Formats = OWN_FORMATS,
+    private readonly ownFormats: SupportedFormats = OWN_FORMATS,
   ) {}
 
   /** Whether all controllers are known to read records of this format. */
@@ -91,7 +91,7 @@
   }
 
   /** Whether this peer is known to read frames of this version. */
-  readsFrames(peer: string, version: number): boolean {
+  readsFrameVersion(peer: string, version: number): boolean {
     return this.members.get(peer)?.frameVersions.includes(version) ?? false;
   }
 
@@ -104,7 +104,7 @@
     return (
       this.allRead(recordFormat) &&
       this.names.peers.every((peer) =>
-        frameVersions.every((frameVersion) => this.readsFrames(peer, frameVersion)),
+        frameVersions.every((frameVersion) => this.readsFrameVersion(peer, frameVersion)),
       )
     );
   }
@@ -162,7 +162,7 @@
    * Whether every controller currently has a feature enabled. Unlike a format, a feature can be
    * disabled again, so the member records are read from the store each time.
    */
-  async haveAllEnabled(feature: string, signal?: AbortSignal): Promise<boolean> {
+  async isFeatureEnabledByAll(feature: string, signal?: AbortSignal): Promise<boolean> {
     const { items } = await this.store.range(KEYS.members, signal);
     const enabledMembers = new Set<string>();
     for (const { value } of items) {
--- a/src/scheduler/backfill.ts
+++ b/src/scheduler/backfill.ts
@@ -37,7 +37,7 @@
   schedule(): void {
     this.startDeferred();
     const { snapshot, reservations, upMachines } = this.context;
-    let { leavingCpus } = snapshot;
+    let { cpusFreedSoon } = snapshot;
     const upcoming = snapshot.upcomingJobs.map((job) => ({
       job,
       missing: job.waitingTasks,
@@ -46,8 +46,8 @@
     for (const { job, missing, rules } of [...this.deferredJobs, ...upcoming]) {
       const { cpus } = job.spec.need;
       const waitsForRunning =
-        cpus > 0 ? Math.min(missing, Math.floor(leavingCpus / cpus)) : missing;
-      leavingCpus -= waitsForRunning * cpus;
+        cpus > 0 ? Math.min(missing, Math.floor(cpusFreedSoon / cpus)) : missing;
+      cpusFreedSoon -= waitsForRunning * cpus;
       const uncovered = missing - waitsForRunning;
       const reserved = reservations.reserveOn(job, uncovered, upMachines, rules);
       reservations.reserveOrScaleOut(job, uncovered - reserved, rules);
--- a/src/scheduler/consolidation.ts
+++ b/src/scheduler/consolidation.ts
@@ -28,7 +28,7 @@
   const drainable = upMachines
     .filter((machine) => {
       const replicas = byMachine.get(machine.id)?.length ?? 0;
-      const tasks = [...machine.tasksOf.values()].reduce((a, b) => a + b, 0);
+      const tasks = [...machine.tasksByJob.values()].reduce((a, b) => a + b, 0);
       return (
         replicas > 0 &&
         tasks === replicas &&
@@ -82,7 +82,7 @@
     },
     isTarget: ({ job, spec }, machine, rules, moves) =>
       // Replicas of one service go to different machines, so that losing one machine stops few.
-      !machine.tasksOf.has(job) &&
+      !machine.tasksByJob.has(job) &&
       !moves.some(({ task, to }) => task.job === job && to.id === machine.id) &&
       machine.images.has(spec.image) &&
       fetchSeconds(spec, machine) === 0 &&
--- a/src/scheduler/contended-types.ts
+++ b/src/scheduler/contended-types.ts
@@ -1,5 +1,5 @@
 /** Machine types that some jobs depend on, and the placement penalty of other jobs on them. */
-import { fits, copiesThatFit, type MachineType } from '../fleet/resources.js';
+import { fits, countFittingTasks, type MachineType } from '../fleet/resources.js';
 import { Priority, type JobSpec } from '../jobs/job.js';
 import { schedulingShape } from './placement-rules.js';
 import type { JobView, MachineView } from './scheduling-model.js';
@@ -84,7 +84,7 @@
     let missing = dependents.unfinishedTasks * RESERVED_RATIO;
     for (const machine of this.upMachines) {
       if (machine.type.name === name && (dependents.spot || !machine.spot))
-        missing -= copiesThatFit(dependents.spec.need, machine.free);
+        missing -= countFittingTasks(dependents.spec.need, machine.free);
     }
     return missing > 0;
   }
--- a/src/scheduler/cycle-context.ts
+++ b/src/scheduler/cycle-context.ts
@@ -25,7 +25,7 @@
 }
 
 /** True for jobs that may wait and whose team has no guarantee. */
-export const isOpportunistic = (job: JobView): boolean => job.opportunisticTasks !== null;
+export const isOpportunistic = (job: JobView): boolean => job.opportunisticConcurrency !== null;
 
 /** Creates the initial state of a cycle. */
 export function createCycleContext(snapshot: Snapshot): CycleContext {
--- a/src/scheduler/gang-reservations.ts
+++ b/src/scheduler/gang-reservations.ts
@@ -1,5 +1,5 @@
 /** Reserves capacity for whole gangs that do not fit on free capacity (KEP-349). */
-import { copiesThatFit } from '../fleet/resources.js';
+import { countFittingTasks } from '../fleet/resources.js';
 import type { CycleContext } from './cycle-context.js';
 import type { JobView, MachineView } from './scheduling-model.js';
 import { rank } from './job-order.js';
@@ -100,7 +100,7 @@
     for (const machine of this.finder.suitableMachines(spec)) {
       if (missing <= 0) break;
       if (isInZone(zone, machine) && !job.avoidedMachines.has(machine.id)) {
-        missing -= copiesThatFit(
+        missing -= countFittingTasks(
           spec.need,
           this.preemption.capacityAfterPreemption(job, machine, guaranteed),
         );
@@ -108,7 +108,7 @@
     }
     for (const machine of upcomingMachines) {
       if (isInZone(zone, machine) && canUse(job, machine))
-        missing -= copiesThatFit(spec.need, machine.free);
+        missing -= countFittingTasks(spec.need, machine.free);
     }
     return Math.max(0, missing);
   }
--- a/src/scheduler/headroom.ts
+++ b/src/scheduler/headroom.ts
@@ -1,5 +1,5 @@
 /** Headroom: scale-out ahead of forecast demand. */
-import { copiesThatFit, subtract } from '../fleet/resources.js';
+import { countFittingTasks, subtract } from '../fleet/resources.js';
 import type { ExpectedTasks } from './demand-forecast.js';
 import type { JobView, MachineView, Snapshot } from './scheduling-model.js';
 import { isAllowedOn, ZoneRules } from './placement-rules.js';
@@ -15,7 +15,7 @@
     readyAt: Infinity,
     dueAt: Infinity,
     isBackfill: false,
-    opportunisticTasks: null,
+    opportunisticConcurrency: null,
     waitingTasks: count,
     unfinishedTasks: count,
     tasksByZone: new Map(),
@@ -55,7 +55,7 @@
           machine,
           (remaining = { ...preemption.capacityAfterPreemption(job, machine, false) }),
         );
-      const found = Math.min(missing, copiesThatFit(job.spec.need, remaining));
+      const found = Math.min(missing, countFittingTasks(job.spec.need, remaining));
       subtract(remaining, job.spec.need, found);
       missing -= found;
     }
--- a/src/scheduler/opportunistic-drain.ts
+++ b/src/scheduler/opportunistic-drain.ts
@@ -31,7 +31,7 @@
 
 /** True if a machine is empty or holds only tasks of these jobs. */
 export const holdsOnlyTasksOf = (machine: MachineView, jobs: ReadonlySet<string>): boolean =>
-  [...machine.tasksOf.keys()].every((job) => jobs.has(job));
+  [...machine.tasksByJob.keys()].every((job) => jobs.has(job));
 
 /**
  * Returns the machines to drain, emptiest first. All tasks of a machine must fit on machines that
@@ -61,7 +61,7 @@
   };
   const inUse = upMachines.filter((machine) => !tasksOn.has(machine.id));
   const order = idle
-    .filter((machine) => machine.tasksOf.size > 0)
+    .filter((machine) => machine.tasksByJob.size > 0)
     .sort((a, b) => usedShare(a) - usedShare(b) || (a.id < b.id ? -1 : 1));
   const drained: string[] = [];
   const moveTargets = new Set<MachineView>();
--- a/src/scheduler/opportunistic-scheduler.ts
+++ b/src/scheduler/opportunistic-scheduler.ts
@@ -22,7 +22,7 @@
     readonly team: TeamView,
   ) {
     this.rules = new ZoneRules(job.spec, job.tasksByZone);
-    this.requiredConcurrency = job.opportunisticTasks ?? 0;
+    this.requiredConcurrency = job.opportunisticConcurrency ?? 0;
     this.running = [...job.tasksByZone.values()].reduce((a, b) => a + b, 0);
     this.waiting = job.waitingTasks;
   }
--- a/src/scheduler/pipelines.ts
+++ b/src/scheduler/pipelines.ts
@@ -26,7 +26,7 @@
   /** Wall-clock time by which it should be done so that its dependents can be in time. */
   dueAt: number;
   /** True if its slack is low, so that it should not wait for capacity that backfill may free. */
-  isPressed: boolean;
+  hasLowSlack: boolean;
   /** Milliseconds until it is expected to be ready; 0 if it is ready. */
   readyInMs: number;
 }
@@ -159,7 +159,7 @@
     priority: node.priority,
     // Jobs without a deadline are ordered by age, which counts from the time they became ready.
     dueAt: node.dueAt ?? readyAt ?? submittedAt,
-    isPressed: hasLowSlack(node, now),
+    hasLowSlack: hasLowSlack(node, now),
     readyInMs: node.readyInMs,
   };
 }
--- a/src/scheduler/placement-cost.ts
+++ b/src/scheduler/placement-cost.ts
@@ -62,7 +62,7 @@
     contentionPenalty;
   if (spec.need.gpus === 0) cost += (machine.free.cpus / capacity.cpus) * FREE_CPUS_SECONDS;
   if (spec.kind === 'service') {
-    cost += (machine.tasksOf.get(job.id) ?? 0) * SAME_SERVICE_SECONDS;
+    cost += (machine.tasksByJob.get(job.id) ?? 0) * SAME_SERVICE_SECONDS;
     if (machine.replicas === 0) cost += FIRST_REPLICA_SECONDS;
   }
   if (spec.spot && machine.spot) cost -= SPOT_BONUS_SECONDS;
--- a/src/scheduler/placement.ts
+++ b/src/scheduler/placement.ts
@@ -1,5 +1,5 @@
 /** Places tasks on machines of the snapshot: bin packing by cost, and all-or-nothing for gangs. */
-import { fits, copiesThatFit, subtract, type Resources } from '../fleet/resources.js';
+import { fits, countFittingTasks, subtract, type Resources } from '../fleet/resources.js';
 import type { ContendedTypes } from './contended-types.js';
 import { placementCost } from './placement-cost.js';
 import { canUse, ZoneRules } from './placement-rules.js';
@@ -61,7 +61,7 @@
       maxTasks,
       remaining,
       rules.remaining(machine.zone),
-      copiesThatFit(need, machine.free),
+      countFittingTasks(need, machine.free),
     );
     if (tasks <= 0) return;
     subtract(machine.free, need, tasks);
@@ -78,7 +78,7 @@
       .map(({ machine, cost }) => ({ machine, cost: cost - penalty(machine) }))
       .sort(byCost);
     for (const { machine } of withoutContention)
-      place(machine, copiesThatFit(need, capacityBeyondGpuShare(machine)));
+      place(machine, countFittingTasks(need, capacityBeyondGpuShare(machine)));
   }
   if (!keepGpuShare) for (const { machine } of candidates) place(machine, Infinity);
   return [...placed].map(([machine, tasks]) => ({ machine, count: tasks }));
--- a/src/scheduler/preemption.ts
+++ b/src/scheduler/preemption.ts
@@ -2,7 +2,7 @@
  * Preemption: frees capacity by stopping tasks of lower priority or, for a job within its team's
  * guarantee, tasks of teams that exceed their own guarantee.
  */
-import { fits, copiesThatFit, subtract, type Resources } from '../fleet/resources.js';
+import { fits, countFittingTasks, subtract, type Resources } from '../fleet/resources.js';
 import { outranks, rank } from './job-order.js';
 import { canUse, schedulingShape, type ZoneRules } from './placement-rules.js';
 import type {
@@ -146,7 +146,7 @@
       if (found === count) break;
       const maxTasks = Math.min(count - found, rules.remaining(machine.zone));
       if (maxTasks <= 0) continue;
-      const tasks = Math.min(maxTasks, copiesThatFit(need, this.capacityAfterStops(machine)));
+      const tasks = Math.min(maxTasks, countFittingTasks(need, this.capacityAfterStops(machine)));
       if (tasks <= 0) continue;
       subtract(machine.free, need, tasks);
       rules.add(machine.zone, tasks);
--- a/src/scheduler/scale-out-plan.ts
+++ b/src/scheduler/scale-out-plan.ts
@@ -1,5 +1,5 @@
 /** Selects the instance offers of the cloud to provision. */
-import { fits, copiesThatFit, subtract } from '../fleet/resources.js';
+import { fits, countFittingTasks, subtract } from '../fleet/resources.js';
 import type { JobSpec } from '../jobs/job.js';
 import type { JobView, MachineView, InstanceOffer, ScaleOutRequest } from './scheduling-model.js';
 import { isAllowedOn, type ZoneRules } from './placement-rules.js';
@@ -47,7 +47,7 @@
       const tasks = Math.min(
         remaining,
         rules.remaining(offer.zone),
-        copiesThatFit(spec.need, view.free),
+        countFittingTasks(spec.need, view.free),
       );
       subtract(view.free, spec.need, tasks);
       rules.add(offer.zone, tasks);
@@ -69,7 +69,7 @@
     for (const offer of this.offers) {
       if ((zone !== null && offer.zone !== zone) || !isSuitable(spec, offer)) continue;
       const maxTasks = Math.min(
-        copiesThatFit(spec.need, offer.type.capacity),
+        countFittingTasks(spec.need, offer.type.capacity),
         rules.remaining(offer.zone),
       );
       if (maxTasks <= 0) continue;
@@ -121,7 +121,7 @@
     isUp: false,
     images: new Set(),
     incomingGb: 0,
-    tasksOf: new Map(),
+    tasksByJob: new Map(),
     replicas: 0,
     idleTimeoutMs: 0,
   };
--- a/src/scheduler/scheduling-model.ts
+++ b/src/scheduler/scheduling-model.ts
@@ -20,7 +20,7 @@
   /** Total size of the images that are being fetched. */
   incomingGb: number;
   /** Number of its tasks by job id. */
-  tasksOf: ReadonlyMap<string, number>;
+  tasksByJob: ReadonlyMap<string, number>;
   /** Number of service replicas: they run longest and prevent scale-in. */
   replicas: number;
   /** Minimum time for which the machine is kept when idle, in case new tasks arrive. */
@@ -51,7 +51,7 @@
    * It uses leftover capacity on machines that are up, no task is preempted for it, and scale-out
    * covers at most this many tasks. Null for all other jobs.
    */
-  opportunisticTasks: number | null;
+  opportunisticConcurrency: number | null;
   /** Number of tasks that are not done and neither on a machine nor possibly on one. */
   waitingTasks: number;
   /** Number of tasks that are not done. */
@@ -143,7 +143,7 @@
   /** Tasks that are not submitted yet but expected to need capacity before a machine could boot. */
   expectedTasks: ExpectedTasks[];
   /** CPUs used by running CPU-only tasks, most of which finish before a machine could boot. */
-  leavingCpus: number;
+  cpusFreedSoon: number;
   teams: ReadonlyMap<string, TeamView>;
   types: MachineType[];
   /** Offers available to scale-out, without those that the cloud recently refused. */
--- a/src/state/keys.ts
+++ b/src/state/keys.ts
@@ -46,7 +46,7 @@
 }
 
 /** Returns the job id from the key of a run record, even if the rest of the key is unknown. */
-export const jobOfRunKey = (key: string): string => key.split('/')[1] ?? '';
+export const jobIdFromRunKey = (key: string): string => key.split('/')[1] ?? '';
 
 /** Returns the job id from the key of a job record. */
-export const jobOfKey = (key: string): string => key.slice(KEYS.jobs.length);
+export const jobIdFromKey = (key: string): string => key.slice(KEYS.jobs.length);
--- a/src/wire/submission.ts
+++ b/src/wire/submission.ts
@@ -98,7 +98,7 @@
  * Returns the job id of a submission, even if the rest of the body is malformed: a submission with a
  * known id is answered before the rest is validated.
  */
-export function submissionId(body: unknown): string | null {
+export function parseSubmissionId(body: unknown): string | null {
   if (typeof body !== 'object' || body === null) return null;
   const id: unknown = (body as { ref?: unknown }).ref;
   return typeof id === 'string' && isJobId(id) ? id : null;
@@ -111,11 +111,16 @@
 export type PublicPhase = 'pending' | 'running' | 'done' | 'withdrawn';
 
 /** Builds the response to a submission or a cancellation. */
-export function jobAnswer(id: string, phase: PublicPhase): object {
+export function jobPhaseResponse(id: string, phase: PublicPhase): object {
   return { ref: id, phase };
 }
 
 /** Builds the response to a query; `done` and `running` are numbers of tasks. */
-export function jobStatus(id: string, phase: PublicPhase, done: number, running: number): object {
+export function jobStatusResponse(
+  id: string,
+  phase: PublicPhase,
+  done: number,
+  running: number,
+): object {
   return { ref: id, phase, done, running };
 }
--- a/test/consolidation.test.ts
+++ b/test/consolidation.test.ts
@@ -42,7 +42,7 @@
       zone: zoneOf(id),
       free: { cpus: 48 - 8 * replicas, gpus: 8 - 2 * replicas, memoryGb: 288 - 40 * replicas },
       images: new Set(['img-1']),
-      tasksOf,
+      tasksByJob: tasksOf,
       replicas,
       ...over.machine,
     });
--- a/test/fakes/samples.ts
+++ b/test/fakes/samples.ts
@@ -30,7 +30,7 @@
     isUp: true,
     images: new Set(),
     incomingGb: 0,
-    tasksOf: new Map(),
+    tasksByJob: new Map(),
     replicas: 0,
     idleTimeoutMs: 40_000,
     ...view,
@@ -73,7 +73,7 @@
     gang: spec.kind === 'gang' ? { holdsGate: false, suspensions: 0 } : null,
     isAdmissible: true,
     isLastResortRetry: false,
-    opportunisticTasks: null,
+    opportunisticConcurrency: null,
     ...view,
   };
 }
@@ -88,7 +88,7 @@
     jobs: [],
     upcomingJobs: [],
     expectedTasks: [],
-    leavingCpus: 0,
+    cpusFreedSoon: 0,
     teams,
     types: [TYPE],
     offers: [],
--- a/test/headroom.test.ts
+++ b/test/headroom.test.ts
@@ -69,7 +69,7 @@
     isStopping: false,
   };
   const full = { cpus: 40, gpus: 0, memoryGb: 248 };
-  const withBatch = machine('m1', { free: full, tasksOf: new Map([['req-1', 1]]) });
+  const withBatch = machine('m1', { free: full, tasksByJob: new Map([['req-1', 1]]) });
   const booting = machine('m2', { isUp: false });
   const free = machine('m3');
   for (const machines of [[withBatch], [booting], [free]]) {
--- a/test/job-record-writer.test.ts
+++ b/test/job-record-writer.test.ts
@@ -35,7 +35,7 @@
       jobChanged: nothing,
       startsRecorded: nothing,
       exitsRecorded: nothing,
-      contradiction: (what) => assert.fail(what),
+      inconsistencyDetected: (what) => assert.fail(what),
       endRecorded: nothing,
       archived: nothing,
     },
@@ -73,7 +73,7 @@
     startsRecorded: (placements) =>
       started.push(...placements.map((placement) => `${placement.job.id}/${placement.task}`)),
     exitsRecorded: () => undefined,
-    contradiction: (what) => assert.fail(what),
+    inconsistencyDetected: (what) => assert.fail(what),
     endRecorded: () => undefined,
     archived: () => undefined,
   });
--- a/test/membership.test.ts
+++ b/test/membership.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { Membership, RECORD_FORMATS, type Formats } from '../src/membership/membership.js';
+import { Membership, RECORD_FORMATS, type SupportedFormats } from '../src/membership/membership.js';
 import { FRAME_VERSIONS, CANCELLATIONS_VERSION } from '../src/peer/frames.js';
 import type { Runtime } from '@leverhatch/core/duty';
 import { RequestRejectedError, Store } from '../src/state/store.js';
@@ -21,7 +21,7 @@
   const fakeStore = new FakeStore(clock);
   const end = new AbortController();
   const log = { error() {}, warn() {}, info() {}, debug() {} };
-  const start = (self: string, fate: () => Fate = () => 'serve', own?: Formats) => {
+  const start = (self: string, fate: () => Fate = () => 'serve', own?: SupportedFormats) => {
     const runtime = { clock, random: fakeRandom(self), log, startedAt: clock.now() };
     const base = settings();
     const store = new Store(
@@ -54,14 +54,14 @@
     false,
     'a missing record proves nothing',
   );
-  assert.equal(first.membership.readsFrames('berth-1', CANCELLATIONS_VERSION), true);
-  assert.equal(first.membership.readsFrames('berth-2', CANCELLATIONS_VERSION), false);
+  assert.equal(first.membership.readsFrameVersion('berth-1', CANCELLATIONS_VERSION), true);
+  assert.equal(first.membership.readsFrameVersion('berth-2', CANCELLATIONS_VERSION), false);
   assert.equal(first.store.limits.effective().txnOps, 20);
   start('berth-2');
   await clock.advance(3000);
   for (const { membership, store } of [first, second]) {
     assert.equal(membership.allRead(RECORD_FORMATS.rangedRuns), true);
-    assert.equal(membership.readsFrames('berth-2', CANCELLATIONS_VERSION), true);
+    assert.equal(membership.readsFrameVersion('berth-2', CANCELLATIONS_VERSION), true);
     assert.deepEqual(
       [store.limits.effective().txnOps, store.limits.effective().valueBytes],
       [4, 2048],
@@ -173,12 +173,12 @@
   assert.equal(membership.allRead(rangedRuns), true, 'ranged records are read by all');
   assert.equal(store.limits.effective().txnOps, 4);
   assert.equal(membership.allRead(later.recordFormat), false, 'nobody is taken for new');
-  assert.equal(membership.readsFrames('berth-1', CANCELLATIONS_VERSION), true);
-  assert.equal(membership.readsFrames('berth-1', NEXT_FRAMES), false);
+  assert.equal(membership.readsFrameVersion('berth-1', CANCELLATIONS_VERSION), true);
+  assert.equal(membership.readsFrameVersion('berth-1', NEXT_FRAMES), false);
   for (const name of ['berth-1', 'berth-2']) start(name, undefined, later);
   await clock.advance(5000);
   assert.equal(membership.allRead(later.recordFormat), true);
-  assert.equal(membership.readsFrames('berth-2', NEXT_FRAMES), true);
+  assert.equal(membership.readsFrameVersion('berth-2', NEXT_FRAMES), true);
   end.abort();
 });
 
@@ -191,10 +191,10 @@
   const { membership } = start('berth-0', undefined, later);
   for (const name of ['berth-1', 'berth-2']) start(name);
   await clock.advance(10_000);
-  assert.equal(membership.readsFrames('berth-2', NEXT_FRAMES), false);
+  assert.equal(membership.readsFrameVersion('berth-2', NEXT_FRAMES), false);
   for (const name of ['berth-1', 'berth-2']) start(name, undefined, later);
   await clock.advance(5000);
-  assert.equal(membership.readsFrames('berth-2', NEXT_FRAMES), true);
+  assert.equal(membership.readsFrameVersion('berth-2', NEXT_FRAMES), true);
   end.abort();
 });
 
--- a/test/opportunistic.test.ts
+++ b/test/opportunistic.test.ts
@@ -2,7 +2,7 @@
 import { test } from 'node:test';
 import { Priority, type JobSpec } from '../src/jobs/job.js';
 import { Job } from '../src/jobs/tracked-job.js';
-import { tasksAtOnce } from '../src/control/scheduling/opportunistic-work.js';
+import { requiredConcurrency } from '../src/control/scheduling/opportunistic-work.js';
 import { SPEC } from './fakes/samples.js';
 import { settings, SimulatedCluster, type JobTemplate } from './fakes/simulated-cluster.js';
 
@@ -15,7 +15,7 @@
   const full = { ...SPEC, team: 'guests', priority: Priority.Low, ...spec };
   const objective = { kind: 'finished', jobClass: 'c', share: 1, deadlineMultiple: 1 };
   const objectives = finishedMs === undefined ? [] : [{ ...objective, withinMs: finishedMs }];
-  return tasksAtOnce(
+  return requiredConcurrency(
     { ...settings(), objectives },
     new Job('req-1', full, 0, 1, 10),
     waitedMs,
--- a/test/pipelines.test.ts
+++ b/test/pipelines.test.ts
@@ -85,12 +85,12 @@
 test('a step is pressed when its slack is less than half of all that is still to be run', () => {
   const steps = [step('split', []), step('scan', ['split']), step('publish', ['scan'], LAST)];
   // Due at 60 s, it takes 20 s, and 60 s of work are left.
-  assert.equal(urgencies(steps, 10_000)('split').isPressed, false);
-  assert.equal(urgencies(steps, 10_001)('split').isPressed, true);
+  assert.equal(urgencies(steps, 10_000)('split').hasLowSlack, false);
+  assert.equal(urgencies(steps, 10_001)('split').hasLowSlack, true);
   // Without a deadline nothing presses, however important it is.
   const undated = [step('split', []), step('publish', ['split'], { priority: Priority.High })];
   assert.equal(urgencies(undated)('split').priority, Priority.High);
-  assert.equal(urgencies(undated)('split').isPressed, false);
+  assert.equal(urgencies(undated)('split').hasLowSlack, false);
 });
 
 test('a pipeline that all of its steps would make late aims at the next multiple', () => {
--- a/test/production-samples.test.ts
+++ b/test/production-samples.test.ts
@@ -2,9 +2,9 @@
 import { test } from 'node:test';
 import { Job, type StoredRuns } from '../src/jobs/tracked-job.js';
 import { parseJob, parseProvisioning, parseRun, tasksPerRecord } from '../src/jobs/records.js';
-import { readRuns } from '../src/jobs/run-reader.js';
+import { groupRunRecords } from '../src/jobs/run-reader.js';
 import { Decoder, encode } from '../src/peer/frames.js';
-import { jobOfKey, parseRunKey } from '../src/state/keys.js';
+import { jobIdFromKey, parseRunKey } from '../src/state/keys.js';
 import { inCurrentNames } from './fakes/released-samples.js';
 import { productionFrames, productionStore } from './fakes/production.js';
 import { settings, SimulatedCluster } from './fakes/simulated-cluster.js';
@@ -18,13 +18,13 @@
   for (const [key, { value, stamp }] of Object.entries(keys)) {
     const record = key.startsWith('jobs/') ? parseJob(value) : null;
     if (!record?.spec) continue;
-    const id = jobOfKey(key);
+    const id = jobIdFromKey(key);
     jobs.set(id, new Job(id, record.spec, record.at!, stamp, PER_RECORD));
   }
   const entries = Object.entries(keys)
     .filter(([key]) => key.startsWith('runs/'))
     .map(([key, { value, stamp }]) => ({ key, value, version: stamp }));
-  const { runs, unreadable } = readRuns(entries, (id) => jobs.get(id) ?? null);
+  const { runs, unreadable } = groupRunRecords(entries, (id) => jobs.get(id) ?? null);
   assert.deepEqual(unreadable, []);
   for (const [job, stored] of runs) job.restore(stored, 128, 5000, wall);
   return { jobs, runs, wall };
--- a/test/released-samples.test.ts
+++ b/test/released-samples.test.ts
@@ -9,9 +9,9 @@
   parseProvisioning,
   tasksPerRecord,
 } from '../src/jobs/records.js';
-import { readRuns } from '../src/jobs/run-reader.js';
+import { groupRunRecords } from '../src/jobs/run-reader.js';
 import { Decoder, encode } from '../src/peer/frames.js';
-import { jobOfKey } from '../src/state/keys.js';
+import { jobIdFromKey } from '../src/state/keys.js';
 import type { Store } from '../src/state/store.js';
 import { machines } from './fakes/fault-scenario.js';
 import { BUNDLES } from './fakes/released.js';
@@ -43,10 +43,13 @@
     const record = parseJob(value);
     assert.ok(record, key);
     if (!record.spec) continue;
-    const id = jobOfKey(key);
+    const id = jobIdFromKey(key);
     jobs.set(id, new Job(id, record.spec, record.at!, version, PER_RECORD));
   }
-  const { runs, unreadable } = readRuns(below(sample.keys, 'runs/'), (id) => jobs.get(id) ?? null);
+  const { runs, unreadable } = groupRunRecords(
+    below(sample.keys, 'runs/'),
+    (id) => jobs.get(id) ?? null,
+  );
   assert.deepEqual(unreadable, []);
   for (const [job, stored] of runs) job.restore(stored, PER_RANGE, 5000, sample.wall);
   return runs;
@@ -224,8 +227,8 @@
       // Whatever it does not know it drops: nothing may be written that it does not know.
       assert.deepEqual(record, value);
       if (!record?.spec) continue;
-      const job = new OldJob(jobOfKey(key), record.spec, record.at, version, PER_RECORD);
-      jobs.set(jobOfKey(key), job);
+      const job = new OldJob(jobIdFromKey(key), record.spec, record.at, version, PER_RECORD);
+      jobs.set(jobIdFromKey(key), job);
     }
     for (const { value } of of('rent/')) assert.deepEqual(parseRental(value), value);
     const { runs, unreadable } = readRuns(of('runs/'), (id) => jobs.get(id) ?? null);
--- a/test/request-limits.test.ts
+++ b/test/request-limits.test.ts
@@ -67,7 +67,7 @@
 test('a superseded record stays until ranged ones hold all that it says', () => {
   const layout = new RunLayout('req-1', 100, 50);
   for (const section of layout.sections) section.version = 3;
-  layout.toRanged(30, () => false);
+  layout.switchToRanged(30, () => false);
   const [first, second, third] = layout.sections;
   const removable = (...written: typeof layout.sections): number[] =>
     layout.removable(new Set(written)).map((record) => record.from);
--- a/test/resource-bounds.test.ts
+++ b/test/resource-bounds.test.ts
@@ -151,7 +151,7 @@
   const machine = new Machine('host-1', 0);
   for (let i = 0; i < 1000; i++) {
     machine.recordFailure(new FailureHistory());
-    machine.noteImage(`img-${i}`, 0, true);
+    machine.recordImageUse(`img-${i}`, 0, true);
   }
   assert.ok(machine.images.size <= 200);
   assert.ok((machine as unknown as { failedJobs: Set<unknown> }).failedJobs.size <= 16);
--- a/test/run-layout.test.ts
+++ b/test/run-layout.test.ts
@@ -5,7 +5,7 @@
 import { JobRecordWriter } from '../src/jobs/job-record-writer.js';
 import { Job, type Placement } from '../src/jobs/tracked-job.js';
 import { markRecorded } from '../src/jobs/placement-stage.js';
-import { readRuns } from '../src/jobs/run-reader.js';
+import { groupRunRecords } from '../src/jobs/run-reader.js';
 import { tasksPerRange, tasksPerRecord } from '../src/jobs/records.js';
 import type { Runtime } from '@leverhatch/core/duty';
 import type { StoreLimits } from '../src/state/store-limits.js';
@@ -72,7 +72,7 @@
           }
         },
         exitsRecorded: () => undefined,
-        contradiction: (what) => assert.fail(what),
+        inconsistencyDetected: (what) => assert.fail(what),
         archived: () => undefined,
         endRecorded: () => undefined,
       },
@@ -113,7 +113,7 @@
     const entries = [...this.fakeStore.keys]
       .filter(([key]) => key.startsWith('runs/'))
       .map(([key, stored]) => ({ key, value: stored.value, version: stored.stamp }));
-    const { runs, unreadable } = readRuns(entries, () => job);
+    const { runs, unreadable } = groupRunRecords(entries, () => job);
     assert.deepEqual(unreadable, []);
     for (const stored of runs.values()) job.restore(stored, tasksPerRange(SMALL), 0, 0);
     return job;
@@ -168,7 +168,7 @@
         else leadership.exit(task);
       }
       leadership.writer.flush(job);
-      if (leadership.ranged && random() < 0.2) leadership.writer.rewrite(job);
+      if (leadership.ranged && random() < 0.2) leadership.writer.rewriteSuperseded(job);
       // Looked at between any two transactions.
       for (let ms = random() * 40; ms > 0; ms -= 4) {
         await leadership.clock.advance(4);
@@ -179,7 +179,7 @@
     leadership.writer.flush(job);
     await leadership.clock.advance(20_000);
     leadership.checkAll();
-    leadership.writer.rewrite(job);
+    leadership.writer.rewriteSuperseded(job);
     await leadership.clock.advance(20_000);
     leadership.checkAll();
     const left = [...leadership.fakeStore.keys].filter(([key]) => key.startsWith('runs/'));
@@ -209,7 +209,7 @@
   leadership.writer.flush(leadership.job);
   await leadership.clock.advance(100);
   leadership.ranged = true;
-  leadership.writer.rewrite(leadership.job);
+  leadership.writer.rewriteSuperseded(leadership.job);
   await leadership.clock.advance(1000);
   assert.equal(leadership.successor().gang!.phase, 'placed');
   assert.deepEqual(
--- a/test/scheduling-cycle.test.ts
+++ b/test/scheduling-cycle.test.ts
@@ -241,8 +241,11 @@
     job({ tasks, need: { cpus: 2, gpus: 0, memoryGb: 4 }, imageGb: 1 });
   const machines = (): MachineView[] => [
     machine('empty'),
-    machine('half', { free: { cpus: 30, gpus: 4, memoryGb: 160 }, tasksOf: new Map([['x', 4]]) }),
-    machine('full', { free: { cpus: 8, gpus: 0, memoryGb: 100 }, tasksOf: new Map([['x', 8]]) }),
+    machine('half', {
+      free: { cpus: 30, gpus: 4, memoryGb: 160 },
+      tasksByJob: new Map([['x', 4]]),
+    }),
+    machine('full', { free: { cpus: 8, gpus: 0, memoryGb: 100 }, tasksByJob: new Map([['x', 8]]) }),
   ];
   const on = (tasks: number): Record<string, number> => {
     const result = schedule(snapshot({ machines: machines(), jobs: [step(tasks)] }));
@@ -315,11 +318,11 @@
   // 24 and 2 tasks found no capacity, and a machine holds 6.
   assert.equal(provisioned(waits), 5);
   // Those that run leave capacity for as many as they are.
-  assert.equal(provisioned(run(true, { leavingCpus: 13 * 8 })), 3);
-  assert.equal(provisioned(run(true, { leavingCpus: 26 * 8 })), 0);
+  assert.equal(provisioned(run(true, { cpusFreedSoon: 13 * 8 })), 3);
+  assert.equal(provisioned(run(true, { cpusFreedSoon: 26 * 8 })), 0);
   // What waits for other jobs counts too, and starts nothing.
   const upcoming = [job({ tasks: 12, need })];
-  assert.equal(provisioned(run(true, { leavingCpus: 26 * 8, upcomingJobs: upcoming })), 2);
+  assert.equal(provisioned(run(true, { cpusFreedSoon: 26 * 8, upcomingJobs: upcoming })), 2);
   const hurries = run(false);
   assert.ok(hurries.stops.length > 0);
   assert.equal(provisioned(hurries), 5);
@@ -337,7 +340,7 @@
           machine('m1'),
           machine('m2', {
             free: { cpus: 8, gpus: 0, memoryGb: 100 },
-            tasksOf: new Map([['x', 8]]),
+            tasksByJob: new Map([['x', 8]]),
           }),
         ],
         jobs: [{ ...steps, isBackfill: patient }, gang],
@@ -373,7 +376,7 @@
       need: { cpus: 12, gpus: 0, memoryGb: 4 },
       ...spec,
     },
-    { opportunisticTasks: atOnce, ...view },
+    { opportunisticConcurrency: atOnce, ...view },
   );
 
 const withOpportunisticTeam = (overrides: Partial<Snapshot>): Snapshot =>
@@ -415,7 +418,7 @@
     tasks.map((task) => ({ ...runningTasks(held, 1)[0]!, task, machine: member }));
   const used = (count: number): Partial<MachineView> => ({
     free: { cpus: 48 - 12 * count, gpus: 8, memoryGb: 288 - 4 * count },
-    tasksOf: new Map([[held.id, count]]),
+    tasksByJob: new Map([[held.id, count]]),
   });
   const inUse = { free: { cpus: 20, gpus: 1, memoryGb: 9 }, tasksOf: new Map([[replica.id, 3]]) };
   const run = (few: Partial<PreemptionCandidate>, two: number): ReturnType<typeof schedule> =>
