--- a/test/scheduling-cycle.test.ts
+++ b/test/scheduling-cycle.test.ts
@@ -420,7 +420,10 @@
     free: { cpus: 48 - 12 * count, gpus: 8, memoryGb: 288 - 4 * count },
     tasksByJob: new Map([[held.id, count]]),
   });
-  const inUse = { free: { cpus: 20, gpus: 1, memoryGb: 9 }, tasksOf: new Map([[replica.id, 3]]) };
+  const inUse = {
+    free: { cpus: 20, gpus: 1, memoryGb: 9 },
+    tasksByJob: new Map([[replica.id, 3]]),
+  };
   const run = (few: Partial<PreemptionCandidate>, two: number): ReturnType<typeof schedule> =>
     schedule(
       withOpportunisticTeam({
