--- a/test/consolidation.test.ts
+++ b/test/consolidation.test.ts
@@ -12,14 +12,14 @@
   need: { cpus: 8, gpus: 2, memoryGb: 40 },
 };
 
-/** Jobs named by where their replicas run: `['m1', 'm2']` is one service with two. */
-function fleet(
+/** Services given by the machines of their replicas: `['m1', 'm2']` is one with two replicas. */
+function fleetWith(
   services: string[][],
-  over: { spec?: Partial<JobSpec>; machine?: Partial<MachineView>; zones?: string[] } = {},
+  overrides: { spec?: Partial<JobSpec>; machine?: Partial<MachineView>; zones?: string[] } = {},
 ): { movable: ReplicaView[]; up: MachineView[]; jobs: JobView[] } {
-  const spec = { ...REPLICA, ...over.spec };
+  const spec = { ...REPLICA, ...overrides.spec };
   const ids = [...new Set(services.flat())].sort();
-  const zoneOf = (id: string): string => over.zones?.[ids.indexOf(id)] ?? 'a';
+  const zoneOf = (id: string): string => overrides.zones?.[ids.indexOf(id)] ?? 'a';
   const movable: ReplicaView[] = [];
   const jobs = services.map((machines, i) => {
     const zones = new Map<string, number>();
@@ -44,38 +44,45 @@
       images: new Set(['img-1']),
       tasksByJob: tasksOf,
       replicas,
-      ...over.machine,
+      ...overrides.machine,
     });
   });
   return { movable, up, jobs };
 }
 
-const run = (f: ReturnType<typeof fleet>): string[] =>
-  consolidate(f.movable, f.up, f.jobs).map(({ job, task }) => `${job}/${task}`);
+const movedReplicas = (setup: ReturnType<typeof fleetWith>): string[] =>
+  consolidate(setup.movable, setup.up, setup.jobs).map(({ job, task }) => `${job}/${task}`);
 
-test('replicas left alone on two machines are consolidated on one, and stay there', () => {
-  assert.deepEqual(run(fleet([['m1'], ['m2']])), ['req-1/0']);
-  assert.deepEqual(run(fleet([['m1'], ['m1']])), []);
+test('single replicas on two machines are consolidated on one, and stay there', () => {
+  assert.deepEqual(movedReplicas(fleetWith([['m1'], ['m2']])), ['req-1/0']);
+  assert.deepEqual(movedReplicas(fleetWith([['m1'], ['m1']])), []);
 });
 
 test('the emptiest machine is drained, and only if all of its replicas fit elsewhere', () => {
-  assert.deepEqual(run(fleet([['m1'], ['m1'], ['m1'], ['m2']])), ['req-3/0']);
-  // Four fill a machine: of the two on the second only one would fit.
-  assert.deepEqual(run(fleet([['m1'], ['m1'], ['m1'], ['m2'], ['m2']])), []);
+  assert.deepEqual(movedReplicas(fleetWith([['m1'], ['m1'], ['m1'], ['m2']])), ['req-3/0']);
+  // Four replicas fill a machine, so that only one of the two on m2 would fit on m1.
+  assert.deepEqual(movedReplicas(fleetWith([['m1'], ['m1'], ['m1'], ['m2'], ['m2']])), []);
 });
 
-test('replicas do not move where their image is not, nor off a machine that is kept anyway', () => {
-  assert.deepEqual(run(fleet([['m1'], ['m2']], { machine: { images: new Set() } })), []);
-  assert.deepEqual(run(fleet([['m1'], ['m2']], { machine: { incomingGb: 70 } })), []);
-  assert.deepEqual(run(fleet([['m1'], ['m2']], { machine: { idleTimeoutMs: 200_000 } })), []);
+test('replicas do not move to a machine without their image, nor off a machine that is kept anyway', () => {
+  assert.deepEqual(
+    movedReplicas(fleetWith([['m1'], ['m2']], { machine: { images: new Set() } })),
+    [],
+  );
+  assert.deepEqual(movedReplicas(fleetWith([['m1'], ['m2']], { machine: { incomingGb: 70 } })), []);
+  assert.deepEqual(
+    movedReplicas(fleetWith([['m1'], ['m2']], { machine: { idleTimeoutMs: 200_000 } })),
+    [],
+  );
 });
 
-test('replicas of one service keep apart, and in the zones they may be in', () => {
-  assert.deepEqual(run(fleet([['m1', 'm2']])), []);
+test('replicas of one service stay on different machines and within the limits per zone', () => {
+  assert.deepEqual(movedReplicas(fleetWith([['m1', 'm2']])), []);
   const zones = ['a', 'a', 'b'];
-  // Zone b holds its half of the first service already, so that nothing may go there from zone a.
-  const spread = fleet([['m2', 'm3'], ['m3']], { spec: { spread: true }, zones: ['a', 'b'] });
-  assert.deepEqual(run(spread), []);
-  const inside = fleet([['m2', 'm3'], ['m1']], { spec: { spread: true }, zones });
-  assert.deepEqual(run(inside), ['req-0/0']);
+  // Zone b has its half of the first service already, so that the replica in zone a may not move
+  // there.
+  const spread = fleetWith([['m2', 'm3'], ['m3']], { spec: { spread: true }, zones: ['a', 'b'] });
+  assert.deepEqual(movedReplicas(spread), []);
+  const inside = fleetWith([['m2', 'm3'], ['m1']], { spec: { spread: true }, zones });
+  assert.deepEqual(movedReplicas(inside), ['req-0/0']);
 });
--- a/test/cycle-sizer.test.ts
+++ b/test/cycle-sizer.test.ts
@@ -7,11 +7,11 @@
 
 const LEASE_MS = 3000;
 
-/** So many jobs of one team; the later ones are the more urgent. */
+/** A snapshot with waiting jobs of one team, the last of which is the most urgent. */
 function waitingJobs(count: number, view: Partial<JobView> = {}): Snapshot {
   const jobs = Array.from({ length: count }, (_, i): JobView => {
-    const due = { readyAt: i, dueAt: count - i, waitingTasks: 1, unfinishedTasks: 1 };
-    return jobView(`req-${i}`, SPEC, { ...due, ...view });
+    const timing = { readyAt: i, dueAt: count - i, waitingTasks: 1, unfinishedTasks: 1 };
+    return jobView(`req-${i}`, SPEC, { ...timing, ...view });
   });
   const guarantee = { cpus: 0, gpus: count * 10 };
   const limit = { cpus: Infinity, gpus: Infinity };
@@ -19,13 +19,13 @@
   return snapshotWith(teams, { jobs });
 }
 
-const taken = (sizer: CycleSizer, snapshot: Snapshot): JobView[] =>
+const includedJobs = (sizer: CycleSizer, snapshot: Snapshot): JobView[] =>
   sizer.limit(snapshot).jobs.filter((job) => job.waitingTasks > 0);
 
-test('a new leader begins with the first jobs in order, and the others keep their claims', () => {
+test('a new leader starts with the first jobs in order, and the others still count for the guarantee', () => {
   const snapshot = waitingJobs(400);
   const sizer = new CycleSizer(() => LEASE_MS);
-  const first = taken(sizer, snapshot);
+  const first = includedJobs(sizer, snapshot);
   assert.equal(first.length, 50);
   assert.ok(first.every((job) => job.dueAt <= 50));
   const { jobs, teams } = sizer.limit(snapshot);
@@ -33,27 +33,27 @@
   assert.deepEqual(withinGuarantee(jobs, teams), withinGuarantee(snapshot.jobs, teams));
 });
 
-test('cycles take in more jobs while they are short, and fewer after one that was long', () => {
+test('a cycle includes more jobs while cycles are short, and fewer after a long one', () => {
   const snapshot = waitingJobs(400);
   const sizer = new CycleSizer(() => LEASE_MS);
   for (const expected of [100, 200, 400]) {
     sizer.recordDuration(20);
-    assert.equal(taken(sizer, snapshot).length, expected);
+    assert.equal(includedJobs(sizer, snapshot).length, expected);
   }
   assert.equal(sizer.limit(snapshot), snapshot);
   sizer.recordDuration(LEASE_MS / 2);
-  assert.equal(taken(sizer, snapshot).length, 200);
+  assert.equal(includedJobs(sizer, snapshot).length, 200);
   for (let i = 0; i < 9; i++) sizer.recordDuration(LEASE_MS / 2);
-  assert.equal(taken(sizer, snapshot).length, 25);
-  // Neither long nor short: jobs further behind get their turn all the same.
+  assert.equal(includedJobs(sizer, snapshot).length, 25);
+  // After a cycle that was neither short nor long, jobs further back still get their turn.
   sizer.recordDuration(LEASE_MS / 10);
-  assert.equal(taken(sizer, snapshot).length, 50);
+  assert.equal(includedJobs(sizer, snapshot).length, 50);
 });
 
-test("jobs that may not be placed now take no other job's place in the cycle", () => {
+test("inadmissible jobs do not use up other jobs' places in the cycle", () => {
   const blocked = waitingJobs(60, { isAdmissible: false, priority: 0 });
   const snapshot = waitingJobs(50);
   const sizer = new CycleSizer(() => LEASE_MS);
   const both = { ...snapshot, jobs: [...blocked.jobs, ...snapshot.jobs] };
-  assert.equal(taken(sizer, both).filter((job) => job.isAdmissible).length, 50);
+  assert.equal(includedJobs(sizer, both).filter((job) => job.isAdmissible).length, 50);
 });
--- a/test/failing-jobs.test.ts
+++ b/test/failing-jobs.test.ts
@@ -2,15 +2,15 @@
 import { machines, runScenarios, type FaultScenario } from './fakes/fault-scenario.js';
 import type { SimulatedCluster } from './fakes/simulated-cluster.js';
 
-/** How often tasks of a job have come onto a machine. */
+/** Number of task starts of a job. */
 const startsOf = (cluster: SimulatedCluster, ref: string): number =>
   cluster.starts.filter((name) => name.startsWith(`${ref}/`)).length;
 
 const gangPhase = (cluster: SimulatedCluster, ref: string): string | undefined =>
   (cluster.store.get(`runs/${ref}/0`) as { gang?: { phase: string } } | undefined)?.gang?.phase;
 
-/** Two arrays and a gang that fail wherever they are tried, of the team `vision`. */
-async function brokenJobs(cluster: SimulatedCluster): Promise<string[]> {
+/** Submits two arrays and a gang of the team `vision` whose tasks fail on every machine. */
+async function submitFailingJobs(cluster: SimulatedCluster): Promise<string[]> {
   return [
     await cluster.accept({ pieces: 8, failsAfterMs: 1000 }),
     await cluster.accept({ pieces: 6, failsAfterMs: 700, fetchMs: 500 }),
@@ -18,10 +18,10 @@
   ];
 }
 
-/** Four machines have work for long: they are not given back as idle. */
+/** Keeps four machines busy, so that they are not released as idle. */
 async function keepBusy(cluster: SimulatedCluster): Promise<string> {
   const job = await cluster.accept({ pieces: 4, gpus: 5, runMs: 100_000, crew: 'speech' });
-  await cluster.until(() => cluster.running(job) === 4, 20, 'four machines are of use');
+  await cluster.until(() => cluster.running(job) === 4, 20, 'four machines are busy');
   return job;
 }
 
@@ -29,101 +29,128 @@
   for (const job of jobs) await cluster.cancel(job);
 }
 
-const MEETINGS: FaultScenario[] = [
+const SCENARIOS: FaultScenario[] = [
   {
-    // Each of them failed on every machine, and two made a machine faulty: the whole fleet went back.
-    name: 'jobs that fail everywhere cost no machine and few starts, also when leaders end',
+    // Failures of two jobs once marked a machine as faulty, so that jobs that fail on every machine
+    // caused the whole fleet to be released.
+    name: 'jobs that fail on every machine cause few starts and no release of machines, also when leaders crash',
     play: async (cluster, seed) => {
-      const base = await keepBusy(cluster);
-      const broken = await brokenJobs(cluster);
-      const sound = await cluster.accept({ pieces: 6, runMs: 40_000 });
-      await cluster.until(() => cluster.running(sound) === 6, 20, 'the rest of the team runs');
+      const baseJob = await keepBusy(cluster);
+      const failing = await submitFailingJobs(cluster);
+      const healthyJob = await cluster.accept({ pieces: 6, runMs: 40_000 });
+      await cluster.until(
+        () => cluster.running(healthyJob) === 6,
+        20,
+        'the healthy job of the team runs',
+      );
       await cluster.pass(10 + seed);
-      const before = broken.map((job) => startsOf(cluster, job));
+      const before = failing.map((job) => startsOf(cluster, job));
       const written = cluster.store.changes;
       const machinesBefore = new Set(cluster.cloud.hosts.keys());
       await cluster.pass(50);
-      for (const [i, job] of broken.entries()) {
-        const more = startsOf(cluster, job) - before[i]!;
-        assert.ok(more >= 2 && more <= 10, `${more} starts of ${job} in 50 s`);
+      for (const [i, job] of failing.entries()) {
+        const newStarts = startsOf(cluster, job) - before[i]!;
+        assert.ok(newStarts >= 2 && newStarts <= 10, `${newStarts} starts of ${job} in 50 s`);
       }
-      // A trial is recorded when it starts and when it has ended.
+      // Each retry is recorded at its start and at its exit.
       assert.ok(
         cluster.store.changes - written <= 60,
         `${cluster.store.changes - written} changes`,
       );
-      const atOffice = broken.map((job) => startsOf(cluster, job));
+      const startsAtTakeover = failing.map((job) => startsOf(cluster, job));
       await cluster.faults.endLeader(3);
       await cluster.pass(20);
-      for (const [i, job] of broken.entries()) {
+      for (const [i, job] of failing.entries()) {
         const { pieces } = cluster.facts.get(job)!;
-        const more = startsOf(cluster, job) - atOffice[i]!;
-        // As a whole on one machine, as a whole on another, then one by one.
-        assert.ok(more <= pieces * 2 + 4, `${more} starts of ${job} after a change of leader`);
+        const newStarts = startsOf(cluster, job) - startsAtTakeover[i]!;
+        // All tasks on one machine, all tasks on another, then single retries.
+        assert.ok(
+          newStarts <= pieces * 2 + 4,
+          `${newStarts} starts of ${job} after a change of leader`,
+        );
       }
-      assert.equal(cluster.holding(base).length, 4);
-      assert.ok([...cluster.workers.values()].slice(0, 4).every((x) => !x.dead));
-      // None is rented for them. The one that came for the sound job is beyond need by now, and may go back.
+      assert.equal(cluster.holding(baseJob).length, 4);
+      assert.ok([...cluster.workers.values()].slice(0, 4).every((worker) => !worker.dead));
+      // No machine is provisioned for the failing jobs. The one that was provisioned for the
+      // healthy job is no longer needed and may be released.
       assert.ok([...cluster.cloud.hosts.keys()].every((id) => machinesBefore.has(id)));
       assert.ok(cluster.cloud.hosts.size >= machinesBefore.size - 1);
-      await cancelAll(cluster, broken);
+      await cancelAll(cluster, failing);
     },
   },
   {
-    name: 'a faulty machine is found while jobs fail everywhere, and no other is given back',
+    name: 'a faulty machine is detected while jobs fail on every machine, and no other machine is released',
     machines: machines('aabba'),
     play: async (cluster, seed) => {
-      const base = await keepBusy(cluster);
-      const busy = cluster.holding(base);
-      const faulty = [...cluster.workers.values()].find((x) => !busy.includes(x))!;
-      const broken = await brokenJobs(cluster);
+      const baseJob = await keepBusy(cluster);
+      const busy = cluster.holding(baseJob);
+      const faultyWorker = [...cluster.workers.values()].find((worker) => !busy.includes(worker))!;
+      const failing = await submitFailingJobs(cluster);
       await cluster.pass(5 * seed);
-      faulty.failsAfterMs = 500;
+      faultyWorker.failsAfterMs = 500;
       for (let i = 0; i < 3; i++)
         await cluster.accept({ pieces: 6, runMs: 15_000, crew: 'speech' });
-      await cluster.until(() => faulty.dead, 60, 'the faulty machine is given back');
-      assert.ok(busy.every((x) => !x.dead));
-      assert.equal(cluster.running(base), 4);
-      await cancelAll(cluster, broken);
+      await cluster.until(() => faultyWorker.dead, 60, 'the faulty machine is released');
+      assert.ok(busy.every((worker) => !worker.dead));
+      assert.equal(cluster.running(baseJob), 4);
+      await cancelAll(cluster, failing);
     },
   },
   {
-    name: 'a gang that fails everywhere neither keeps the gate nor has machines rented',
+    name: 'a gang that fails on every machine neither holds the gate nor causes scale-out',
     machines: machines('aa'),
     play: async (cluster) => {
-      const broken = await cluster.accept({
+      const failing = await cluster.accept({
         shape: 'gang',
         pieces: 2,
         gpus: 8,
         failsAfterMs: 1000,
       });
-      await cluster.until(() => startsOf(cluster, broken) >= 4, 30, 'it has been tried twice');
-      // Its machines are taken from it, so that it finds no room any more.
-      const others = await cluster.accept({ pieces: 2, gpus: 8, runMs: 60_000, crew: 'speech' });
-      await cluster.until(() => cluster.running(others) === 2, 40, 'others have its machines');
+      await cluster.until(() => startsOf(cluster, failing) >= 4, 30, 'it has been started twice');
+      // Another team's job takes its machines, so that the gang finds no capacity any more.
+      const otherTeamJob = await cluster.accept({
+        pieces: 2,
+        gpus: 8,
+        runMs: 60_000,
+        crew: 'speech',
+      });
+      await cluster.until(
+        () => cluster.running(otherTeamJob) === 2,
+        40,
+        'the other job has its machines',
+      );
       for (let i = 0; i < 30; i++) {
         await cluster.pass(1);
-        assert.notEqual(gangPhase(cluster, broken), 'admitted');
+        assert.notEqual(gangPhase(cluster, failing), 'admitted');
       }
       assert.equal(cluster.cloud.hosts.size, 2);
-      const sound = await cluster.accept({ shape: 'gang', pieces: 2, gpus: 8, crew: 'speech' });
-      await cluster.until(() => cluster.running(sound) === 2, 70, 'another gang passes the gate');
-      await cluster.cancel(broken);
+      const healthyJob = await cluster.accept({
+        shape: 'gang',
+        pieces: 2,
+        gpus: 8,
+        crew: 'speech',
+      });
+      await cluster.until(
+        () => cluster.running(healthyJob) === 2,
+        70,
+        'another gang passes the gate',
+      );
+      await cluster.cancel(failing);
     },
   },
   {
-    name: 'a job that failed on several machines runs soon once it does not fail any more',
+    name: 'a job that failed on several machines runs soon after its cause of failure is gone',
     play: async (cluster, seed) => {
       await keepBusy(cluster);
-      const jobs = await brokenJobs(cluster);
+      const jobs = await submitFailingJobs(cluster);
       await cluster.pass(40 + 7 * seed);
       for (const job of jobs) delete cluster.facts.get(job)!.failsAfterMs;
-      // The longest pause, a trial and the proof that it goes well.
-      const all = (): boolean =>
+      // The time limit covers the longest retry delay and a retry that proves that the job works.
+      const allRun = (): boolean =>
         jobs.every((job) => cluster.stored(job) === 'done' || cluster.running(job) > 1);
-      await cluster.until(all, 40, 'all of them run');
+      await cluster.until(allRun, 40, 'all of them run');
     },
   },
 ];
 
-runScenarios(MEETINGS);
+runScenarios(SCENARIOS);
--- a/test/fleet.test.ts
+++ b/test/fleet.test.ts
@@ -10,7 +10,7 @@
 const MAX_HEARTBEAT_AGE_MS = LEASE_MS / 3;
 const TOKEN = 7;
 
-/** A new leader's fleet with one machine; what heartbeats prove is recorded by task. */
+/** A new leader's fleet with one machine; collects the tasks that are running, exited or lost. */
 class FleetScenario {
   readonly running: number[] = [];
   readonly exited: number[] = [];
--- a/test/headroom.test.ts
+++ b/test/headroom.test.ts
@@ -40,22 +40,22 @@
 const waitingGang = (id: string, readyAt: number): JobView =>
   jobView(id, PAIR, { readyAt, dueAt: readyAt });
 
-function snapshot(what: Partial<Snapshot>): Snapshot {
+function snapshot(overrides: Partial<Snapshot>): Snapshot {
   const limit = { cpus: Infinity, gpus: Infinity };
   const team = { guarantee: { cpus: 0, gpus: 100 }, limit, used: { cpus: 0, gpus: 0 } };
-  return snapshotWith(new Map([['vision', team]]), { offers: OFFERS, ...what });
+  return snapshotWith(new Map([['vision', team]]), { offers: OFFERS, ...overrides });
 }
 
 const provisioned = (scaleOut: ScaleOutRequest[]): number =>
   scaleOut.reduce((sum, request) => sum + request.count, 0);
 
-test('expected work that does not fit is scaled out for ahead, and nothing is preempted for it', () => {
+test('expected tasks that do not fit cause scale-out ahead of time, but no preemption', () => {
   const result = schedule(snapshot({ expectedTasks: [{ spec: REPLICA, count: 6 }] }));
   assert.equal(provisioned(result.scaleOut), 2);
   assert.deepEqual([result.starts, result.stops], [[], []]);
 });
 
-test('capacity that is free, that boots, or that preemption would free is enough', () => {
+test('free capacity, booting machines and capacity that preemption would free count for expected tasks', () => {
   const batch: PreemptionCandidate = {
     job: 'req-1',
     task: 0,
@@ -73,19 +73,19 @@
   const booting = machine('m2', { isUp: false });
   const free = machine('m3');
   for (const machines of [[withBatch], [booting], [free]]) {
-    const four = snapshot({
+    const withFourTasks = snapshot({
       machines,
       preemptionCandidates: machines[0] === withBatch ? [batch] : [],
       expectedTasks: [{ spec: REPLICA, count: 4 }],
     });
-    assert.equal(provisioned(schedule(four).scaleOut), 0);
-    assert.deepEqual(schedule(four).stops, []);
-    const five = { ...four, expectedTasks: [{ spec: REPLICA, count: 5 }] };
-    assert.equal(provisioned(schedule(five).scaleOut), 1);
+    assert.equal(provisioned(schedule(withFourTasks).scaleOut), 0);
+    assert.deepEqual(schedule(withFourTasks).stops, []);
+    const withFiveTasks = { ...withFourTasks, expectedTasks: [{ spec: REPLICA, count: 5 }] };
+    assert.equal(provisioned(schedule(withFiveTasks).scaleOut), 1);
   }
 });
 
-test('two classes do not count on the same capacity', () => {
+test('two job classes do not count on the same capacity', () => {
   const other = { ...REPLICA, jobClass: 'others' };
   const both = snapshot({
     machines: [machine('m1')],
@@ -97,7 +97,7 @@
   assert.equal(provisioned(schedule(both).scaleOut), 1);
 });
 
-test('gangs that all need scale-out go to different zones, or the first zone is used up', () => {
+test('gangs that all need scale-out go to different zones, so that the first zone is not used up', () => {
   const gangs = [1, 2, 3].map((i) => waitingGang(`req-${i}`, i));
   const { scaleOut: scaleOut } = schedule(snapshot({ jobs: gangs }));
   assert.deepEqual(
@@ -110,7 +110,7 @@
   );
 });
 
-test('a gang stays in the zone that is nearest to having capacity for it, however many machines are there', () => {
+test('a gang stays in the zone that lacks the least capacity for it, even if it has the most machines', () => {
   const machines = [1, 2, 3].map((i) => machine(`m${i}`, { zone: 'b', isUp: i === 1 }));
   const other = machine('m4', { zone: 'c' });
   const { scaleOut: scaleOut } = schedule(
--- a/test/large-fleet.test.ts
+++ b/test/large-fleet.test.ts
@@ -14,15 +14,15 @@
 
 const log = { error() {}, warn() {}, info() {}, debug() {} };
 
-/** Something that ends in the time it takes. */
-async function after<T>(clock: FakeClock, promise: Promise<T>): Promise<T> {
+/** Advances the clock until a promise settles, and returns its result. */
+async function advanceUntilSettled<T>(clock: FakeClock, promise: Promise<T>): Promise<T> {
   let done = false;
   void promise.finally(() => (done = true));
   while (!done) await clock.advance(20);
   return promise;
 }
 
-function cloudOf(machines: number) {
+function cloudWith(machines: number) {
   const clock = new FakeClock();
   const cloud = new FakeCloud(clock, () => undefined);
   cloud.capacity = 2000;
@@ -38,60 +38,60 @@
   const term = new Term('t', 1, 0, Infinity);
   const lists: ListedMachine[][] = [];
   const returned: string[] = [];
-  const rentals = new MachineProvisioner(cloud.link(), store, runtime, settings(), term, 4000, {
+  const provisioner = new MachineProvisioner(cloud.link(), store, runtime, settings(), term, 4000, {
     provisioned: () => undefined,
     listed: (machines) => lists.push(machines),
     released: (ids) => returned.push(...ids),
   });
-  return { clock, cloud, fakeStore, store, runtime, term, rentals, lists, returned };
+  return { clock, cloud, fakeStore, store, runtime, term, provisioner, lists, returned };
 }
 
-test('a list of 900 machines is taken whole or not at all', async () => {
-  const { clock, cloud, rentals, lists } = cloudOf(900);
-  assert.equal(await after(clock, rentals.listMachines()), true);
+test('a list of 900 machines is applied as a whole or not at all', async () => {
+  const { clock, cloud, provisioner, lists } = cloudWith(900);
+  assert.equal(await advanceUntilSettled(clock, provisioner.listMachines()), true);
   assert.equal(new Set(lists[0]!.map((listed) => listed.id)).size, 900);
   cloud.failLaterPages = true;
-  assert.equal(await after(clock, rentals.listMachines()), false);
-  assert.equal(lists.length, 1, 'half of a list would make machines look missing');
+  assert.equal(await advanceUntilSettled(clock, provisioner.listMachines()), false);
+  assert.equal(lists.length, 1, 'a partial list would make machines look missing');
   cloud.failLaterPages = false;
   cloud.hosts.delete([...cloud.hosts.keys()][700]!);
-  assert.equal(await after(clock, rentals.listMachines()), true);
+  assert.equal(await advanceUntilSettled(clock, provisioner.listMachines()), true);
   assert.equal(lists[1]!.length, 899);
 });
 
-test('the log says once when the cloud does not serve, and once when it does again', async () => {
-  const { clock, cloud, runtime, rentals } = cloudOf(1);
+test('an outage of the cloud is logged once, and so is its end', async () => {
+  const { clock, cloud, runtime, provisioner } = cloudWith(1);
   const lines: unknown[][] = [];
-  const quiet = runtime.log.info;
+  const originalInfo = runtime.log.info;
   runtime.log.info = (...line: unknown[]) => lines.push(line);
   for (const down of [true, true, false, false]) {
     cloud.down = down;
-    await after(clock, rentals.listMachines());
+    await advanceUntilSettled(clock, provisioner.listMachines());
   }
-  runtime.log.info = quiet;
+  runtime.log.info = originalInfo;
   assert.deepEqual(
     lines.map(([, message]) => message),
     ['cloud unavailable', 'cloud available again'],
   );
 });
 
-test('rentals and returns of hundreds keep within what one call may carry, each machine once', async () => {
-  const { clock, cloud, fakeStore, rentals, returned, term } = cloudOf(250);
+test('hundreds of machines are provisioned and released once each, within the size limit of a call', async () => {
+  const { clock, cloud, fakeStore, provisioner, returned, term } = cloudWith(250);
   fakeStore.keys.set('leader', { value: {}, stamp: 1, hold: null });
   const ids = [...cloud.hosts.keys()];
-  for (const id of ids) rentals.release(id);
+  for (const id of ids) provisioner.release(id);
   await clock.advance(10_000);
   assert.deepEqual([...returned].sort(), ids);
-  rentals.provision({ type: 'g8', zone: 'a', spot: false, count: 120 });
+  provisioner.provision({ type: 'g8', zone: 'a', spot: false, count: 120 });
   await clock.advance(10_000);
   assert.equal(cloud.hosts.size, 120);
   assert.ok(cloud.calls.every((call) => call.count <= (call.path === '/hosts/return' ? 100 : 50)));
   term.end();
 });
 
-test('nothing is returned by a leader whose right has lapsed', async () => {
-  const { clock, cloud, rentals, term, returned } = cloudOf(1);
-  const lapsed = new MachineProvisioner(
+test('a leader whose lease has expired releases no machine', async () => {
+  const { clock, cloud, provisioner, term, returned } = cloudWith(1);
+  const lapsedProvisioner = new MachineProvisioner(
     cloud.link(),
     null as never,
     { clock, random: fakeRandom('l'), log, startedAt: 0 },
@@ -105,51 +105,51 @@
     },
   );
   const [id] = [...cloud.hosts.keys()];
-  lapsed.release(id!);
+  lapsedProvisioner.release(id!);
   await clock.advance(10_000);
   assert.deepEqual([cloud.hosts.size, returned], [1, []]);
-  rentals.release(id!);
+  provisioner.release(id!);
   await clock.advance(1000);
   assert.deepEqual([cloud.hosts.size, returned], [0, [id]]);
   term.end();
 });
 
-test('a machine that went back is not counted on while a lagging list still shows it', async () => {
+test('a released machine is not used while a lagging list still shows it', async () => {
   const simulatedCluster = new SimulatedCluster([{ yard: 'a' }]);
   await simulatedCluster.start();
-  const [old] = [...simulatedCluster.cloud.hosts.values()];
+  const [oldMachine] = [...simulatedCluster.cloud.hosts.values()];
   const { leader } = simulatedCluster.nodes[simulatedCluster.leader]!.controller as unknown as {
     leader: { parts: Pick<LeaderParts, 'provisioner' | 'fleet'> };
   };
-  leader.parts.provisioner.release(old!.ref);
+  leader.parts.provisioner.release(oldMachine!.ref);
   await simulatedCluster.pass(1);
   assert.equal(simulatedCluster.cloud.hosts.size, 0);
-  // The list is as old as before the return.
-  simulatedCluster.cloud.hosts.set(old!.ref, old!);
+  // The list is still as of before the release.
+  simulatedCluster.cloud.hosts.set(oldMachine!.ref, oldMachine!);
   await simulatedCluster.pass(7);
-  assert.equal(leader.parts.fleet.machines.has(old!.ref), false);
-  simulatedCluster.cloud.hosts.delete(old!.ref);
+  assert.equal(leader.parts.fleet.machines.has(oldMachine!.ref), false);
+  simulatedCluster.cloud.hosts.delete(oldMachine!.ref);
   await simulatedCluster.close();
 });
 
-test('thousands of jobs are read in pages, whatever the order of their names', async () => {
-  const { clock, fakeStore, store } = cloudOf(0);
-  const names = Array.from({ length: 2500 }, (_, i) => `jobs/req-${(i * 7919) % 100_003}`);
-  names.forEach((name, i) => fakeStore.keys.set(name, { value: { i }, stamp: i + 1, hold: null }));
-  const { items } = await after(clock, store.range('jobs/'));
+test('thousands of jobs are read in pages, whatever the order of their keys', async () => {
+  const { clock, fakeStore, store } = cloudWith(0);
+  const keys = Array.from({ length: 2500 }, (_, i) => `jobs/req-${(i * 7919) % 100_003}`);
+  keys.forEach((key, i) => fakeStore.keys.set(key, { value: { i }, stamp: i + 1, hold: null }));
+  const { items } = await advanceUntilSettled(clock, store.range('jobs/'));
   assert.deepEqual(
     items.map((entry) => entry.key),
-    [...names].sort(),
+    [...keys].sort(),
   );
 });
 
-test('an accepted job that leaves memory while it is asked for is not called unknown', async () => {
-  const { clock, fakeStore, store, runtime } = cloudOf(0);
-  const small = { ...settings(), machine: { ...settings().machine, memoryMb: 0.04 } };
+test('a query about an accepted job that is evicted from the cache meanwhile does not get 404', async () => {
+  const { clock, fakeStore, store, runtime } = cloudWith(0);
+  const smallSettings = { ...settings(), machine: { ...settings().machine, memoryMb: 0.04 } };
   const jobApi = new JobApi(
     store,
     { types: { value: null } } as unknown as MachineTypeCatalog,
-    small,
+    smallSettings,
     runtime,
     {
       progressOf: () => null,
@@ -164,8 +164,11 @@
     fakeStore.keys.set(`jobs/req-${i}`, { value, stamp: i + 1, hold: null });
   }
   for (let round = 0; round < 3; round++) {
-    const asked = Array.from({ length: 200 }, (_, i) => jobApi.query(`req-${i}`));
-    const codes = await after(clock, Promise.all(asked.map(async (a) => (await a).status)));
+    const queries = Array.from({ length: 200 }, (_, i) => jobApi.query(`req-${i}`));
+    const codes = await advanceUntilSettled(
+      clock,
+      Promise.all(queries.map(async (answer) => (await answer).status)),
+    );
     assert.ok(!codes.includes(404), `round ${round}`);
   }
 });
--- a/test/machine-provisioner.test.ts
+++ b/test/machine-provisioner.test.ts
@@ -56,7 +56,7 @@
 /** A job that no machine has capacity for, so that one is provisioned. */
 const UNPLACEABLE = { shape: 'service', pieces: 1, gpus: 8, runMs: 1_000_000 } as const;
 
-/** Delays the first write of each provisioning record: it gets no answer and waits in `store.late`. */
+/** Delays the first write of each provisioning record, unanswered, in `store.late`. */
 async function delayRecords(cluster: SimulatedCluster): Promise<void> {
   const seen = new Set<string>();
   cluster.nodes[cluster.leader]!.fate = (_method, path, body) => {
@@ -70,7 +70,7 @@
 
 for (const next of ['current', ...RELEASES] as const) {
   test(`a delayed write does not bring back the record of a finished request (${next} leads next)`, async () => {
-    // Its machines would count as pending, and none would be provisioned in their place.
+    // Otherwise its machines would count as pending, and none would be provisioned instead of them.
     const simulatedCluster = new SimulatedCluster([]);
     await simulatedCluster.start();
     simulatedCluster.cloud.capacity = 0;
@@ -100,7 +100,7 @@
   });
 }
 
-test('a pending request whose record is fenced off is recorded again, and provisioned once', async () => {
+test('a pending request whose record was fenced off is recorded again and provisioned once', async () => {
   const simulatedCluster = new SimulatedCluster([]);
   await simulatedCluster.start();
   simulatedCluster.cloud.capacity = 1;
--- a/test/scheduling-cycle.test.ts
+++ b/test/scheduling-cycle.test.ts
@@ -12,9 +12,9 @@
 import { schedule } from '../src/scheduler/scheduling-cycle.js';
 import { jobView, machine, snapshotWith, SPEC, TYPE } from './fakes/samples.js';
 
-let total = 0;
+let createdJobs = 0;
 function job(spec: Partial<JobSpec>, view: Partial<JobView> = {}): JobView {
-  const order = ++total;
+  const order = ++createdJobs;
   return jobView(`req-${order}`, { ...SPEC, ...spec }, { readyAt: order, dueAt: order, ...view });
 }
 
@@ -24,15 +24,15 @@
   used: { cpus: used, gpus: used },
 });
 
-function snapshot(what: Partial<Snapshot>): Snapshot {
+function snapshot(overrides: Partial<Snapshot>): Snapshot {
   const teams = new Map([
     ['vision', team(0)],
     ['speech', team(0)],
   ]);
-  return snapshotWith(teams, what);
+  return snapshotWith(teams, overrides);
 }
 
-const started = (plan: ReturnType<typeof schedule>, id: string): number =>
+const startedTasks = (plan: ReturnType<typeof schedule>, id: string): number =>
   plan.starts
     .filter((start) => start.job === id)
     .reduce(
@@ -41,14 +41,14 @@
       0,
     );
 
-/** The first tasks of a job, as they run on one machine and lose nothing by a stop. */
-const runningTasks = (of: JobView, count: number): PreemptionCandidate[] =>
+/** The first tasks of a job, running on machine m1; stopping one loses no work. */
+const runningTasks = (view: JobView, count: number): PreemptionCandidate[] =>
   Array.from({ length: count }, (_, task) => ({
-    job: of.id,
+    job: view.id,
     task,
     machine: 'm1',
-    spec: of.spec,
-    priority: of.priority,
+    spec: view.spec,
+    priority: view.priority,
     lostWorkMs: 0,
     stopsWithoutCheckpoint: 0,
     remainingMs: 10_000,
@@ -56,9 +56,9 @@
     isStopping: false,
   }));
 
-test('what is told to stop counts against its team until it is gone', () => {
-  // The team is at its limit; one of its tasks makes way for a replica of another team. Its share
-  // of the limit must not be given out again in the same scheduling cycle.
+test('a task that was told to stop counts against its team until it has exited', () => {
+  // The team is at its limit, and its tasks are preempted for a replica of another team. What they
+  // use of the limit must not be given out again in the same scheduling cycle.
   const running = job({ tasks: 20 }, { waitingTasks: 4 });
   const replica = job({
     team: 'speech',
@@ -94,22 +94,22 @@
     }),
   );
   assert.equal(result.stops.length, 8);
-  assert.equal(started(result, running.id), 0);
+  assert.equal(startedTasks(result, running.id), 0);
 });
 
-test('a spread job leaves half of its tasks to another zone', () => {
+test('a spread job places at most half of its tasks in one zone', () => {
   const spread = job({ kind: 'service', tasks: 2, spread: true });
   const result = schedule(snapshot({ machines: [machine('m1'), machine('m2')], jobs: [spread] }));
-  assert.equal(started(result, spread.id), 1);
+  assert.equal(startedTasks(result, spread.id), 1);
   const both = schedule(
     snapshot({ machines: [machine('m1'), machine('m2', { zone: 'b' })], jobs: [spread] }),
   );
-  assert.equal(started(both, spread.id), 2);
+  assert.equal(startedTasks(both, spread.id), 2);
 });
 
 test('preemption for a spread job frees capacity only in a zone that may hold more of it', () => {
-  // Zone a has its half already. Stopping work there would help nobody, and would be done again in
-  // every scheduling cycle while the replica waits.
+  // Zone a has its half already. Preemption there would not let the replica start, and it would be
+  // repeated in every scheduling cycle while the replica waits.
   const replicas = job(
     { team: 'speech', kind: 'service', priority: Priority.Production, tasks: 2, spread: true },
     { waitingTasks: 1, tasksByZone: new Map([['a', 1]]) },
@@ -142,16 +142,16 @@
   assert.deepEqual(result.stops, [{ job: batch.id, task: 1 }]);
 });
 
-test('a job stays in the zone where some of it may still be', () => {
+test('a one-zone job stays in the zone where one of its tasks may still run', () => {
   const held = job(
     { oneZone: true, tasks: 3 },
     { waitingTasks: 2, tasksByZone: new Map([['b', 1]]) },
   );
   const only = schedule(snapshot({ machines: [machine('m1')], jobs: [held] }));
-  assert.equal(started(only, held.id), 0);
+  assert.equal(startedTasks(only, held.id), 0);
 });
 
-test('only jobs that allow spot instances get one, and nothing is provisioned in vain', () => {
+test('only jobs that allow spot instances get one, and nothing is provisioned beside a booting machine', () => {
   const plain = job({ tasks: 8 });
   const offers = [true, false].map((spot) => ({
     type: TYPE,
@@ -162,7 +162,7 @@
   const result = schedule(
     snapshot({ machines: [machine('m1', { spot: true })], jobs: [plain], offers }),
   );
-  assert.equal(started(result, plain.id), 0);
+  assert.equal(startedTasks(result, plain.id), 0);
   assert.deepEqual(result.scaleOut, [{ type: 'g8', zone: 'a', spot: false, count: 1 }]);
   const booting = schedule(
     snapshot({ machines: [machine('m1', { isUp: false })], jobs: [plain], offers }),
@@ -170,16 +170,16 @@
   assert.deepEqual(booting.scaleOut, []);
 });
 
-test('equal work does not preempt equal work, except to give a team its guarantee', () => {
+test('work does not preempt work of equal priority, except to give a team its guarantee', () => {
   const holder = job({ team: 'speech', tasks: 8 }, { waitingTasks: 0 });
   const candidates = runningTasks(holder, 8);
   const full = (): MachineView => machine('m1', { free: { cpus: 40, gpus: 0, memoryGb: 256 } });
-  const wish = job({ tasks: 2 });
-  const within = (guarantee: number): ReturnType<typeof schedule> =>
+  const waitingJob = job({ tasks: 2 });
+  const planWithGuarantee = (guarantee: number): ReturnType<typeof schedule> =>
     schedule(
       snapshot({
         machines: [full()],
-        jobs: [holder, wish],
+        jobs: [holder, waitingJob],
         teams: new Map([
           ['vision', team(0, guarantee)],
           ['speech', team(8, 4)],
@@ -187,14 +187,14 @@
         preemptionCandidates: candidates,
       }),
     );
-  assert.equal(within(0).stops.length, 0);
-  assert.equal(within(8).stops.length, 2);
+  assert.equal(planWithGuarantee(0).stops.length, 0);
+  assert.equal(planWithGuarantee(8).stops.length, 2);
 });
 
 test('of two gangs that wait for capacity one is admitted, and one that fits on free capacity starts', () => {
-  const big = (): JobView =>
+  const largeGang = (): JobView =>
     job({ kind: 'gang', tasks: 2, need: { cpus: 40, gpus: 8, memoryGb: 200 } });
-  const [first, second] = [big(), big()];
+  const [first, second] = [largeGang(), largeGang()];
   const small = job({ kind: 'gang', tasks: 2, need: { cpus: 4, gpus: 1, memoryGb: 8 } });
   const offers = [{ type: TYPE, zone: 'a', spot: false, price: 20 }];
   const teams = new Map([['vision', team(0, 8, 64)]]);
@@ -202,9 +202,9 @@
     snapshot({ machines: [machine('m1')], jobs: [first, second, small], offers, teams }),
   );
   assert.equal(result.admittedGang, first.id);
-  assert.equal(started(result, second.id), 0);
-  // The one machine is set aside for the gang that was admitted.
-  assert.equal(started(result, small.id), 0);
+  assert.equal(startedTasks(result, second.id), 0);
+  // The one machine is reserved for the gang that was admitted.
+  assert.equal(startedTasks(result, small.id), 0);
   const more = schedule(
     snapshot({
       machines: [machine('m1'), machine('m2', { free: { cpus: 8, gpus: 2, memoryGb: 20 } })],
@@ -213,10 +213,10 @@
       teams: new Map([['vision', team(0, 8, 64)]]),
     }),
   );
-  assert.equal(started(more, small.id), 2);
+  assert.equal(startedTasks(more, small.id), 2);
 });
 
-test('work is not preempted for what comes after it in the order: it would take the capacity back', () => {
+test('work is not preempted for a job that comes after it in the order, since it would take the capacity back', () => {
   const batch = job({ priority: Priority.Low, tasks: 8 }, { waitingTasks: 0 });
   const candidates = runningTasks(batch, 8);
   const gang = job({ kind: 'gang', team: 'speech', tasks: 1, need: TYPE.capacity });
@@ -236,7 +236,7 @@
   assert.equal(stops(4), 8);
 });
 
-test('tasks without GPUs go beside full GPUs, then together, and leave whole machines free', () => {
+test('tasks without GPUs go to machines without free GPUs first, then to as few others as possible', () => {
   const step = (tasks: number): JobView =>
     job({ tasks, need: { cpus: 2, gpus: 0, memoryGb: 4 }, imageGb: 1 });
   const machines = (): MachineView[] => [
@@ -247,7 +247,7 @@
     }),
     machine('full', { free: { cpus: 8, gpus: 0, memoryGb: 100 }, tasksByJob: new Map([['x', 8]]) }),
   ];
-  const on = (tasks: number): Record<string, number> => {
+  const placedByMachine = (tasks: number): Record<string, number> => {
     const result = schedule(snapshot({ machines: machines(), jobs: [step(tasks)] }));
     return Object.fromEntries(
       result.starts.flatMap((start) =>
@@ -255,35 +255,40 @@
       ),
     );
   };
-  assert.deepEqual(on(4), { full: 4 });
-  // Each free GPU of the half full machine keeps its 6 processors.
-  assert.deepEqual(on(7), { full: 4, half: 3 });
-  assert.deepEqual(on(10), { full: 4, half: 6 });
-  assert.deepEqual(on(25), { full: 4, half: 15, empty: 6 });
+  assert.deepEqual(placedByMachine(4), { full: 4 });
+  // Each free GPU of the half-full machine keeps its 6 CPUs.
+  assert.deepEqual(placedByMachine(7), { full: 4, half: 3 });
+  assert.deepEqual(placedByMachine(10), { full: 4, half: 6 });
+  assert.deepEqual(placedByMachine(25), { full: 4, half: 15, empty: 6 });
 });
 
-test('a step has the priority of its dependents: it preempts lower work, and is not preempted by it', () => {
+test('a pipeline step has the priority of its dependents: it preempts lower work and is not preempted by it', () => {
   const batch = job({ priority: Priority.Normal, tasks: 8 }, { waitingTasks: 0 });
   const step = job(
     { priority: Priority.Low, tasks: 1, need: { cpus: 8, gpus: 0, memoryGb: 4 } },
     { priority: Priority.High },
   );
-  const stops = (holder: JobView, wish: JobView): number => {
+  const stops = (holder: JobView, waitingJob: JobView): number => {
     const candidates = runningTasks(holder, 8);
     const full = machine('m1', { free: { cpus: 7, gpus: 1, memoryGb: 100 } });
-    // Nothing is guaranteed to the team: priority alone decides.
+    // The team has no guarantee, so that priority alone decides.
     const teams = new Map([['vision', team(8, 0)]]);
     return schedule(
-      snapshot({ machines: [full], jobs: [holder, wish], preemptionCandidates: candidates, teams }),
+      snapshot({
+        machines: [full],
+        jobs: [holder, waitingJob],
+        preemptionCandidates: candidates,
+        teams,
+      }),
     ).stops.length;
   };
   assert.equal(stops(batch, step), 1);
   assert.equal(stops(batch, { ...step, priority: Priority.Low }), 0);
   const steps = { ...step, waiting: 0 };
-  const wish = job({ priority: Priority.Normal, need: { cpus: 8, gpus: 0, memoryGb: 4 } });
-  assert.equal(stops(steps, wish), 0);
-  // Work without GPUs frees its capacity soon; what needs GPUs preempts it.
-  assert.equal(stops({ ...steps, priority: Priority.Low }, wish), 0);
+  const waitingJob = job({ priority: Priority.Normal, need: { cpus: 8, gpus: 0, memoryGb: 4 } });
+  assert.equal(stops(steps, waitingJob), 0);
+  // Jobs without GPUs do not preempt it, since its capacity is free soon; jobs that need GPUs do.
+  assert.equal(stops({ ...steps, priority: Priority.Low }, waitingJob), 0);
   const withGpu = job({
     priority: Priority.Normal,
     tasks: 1,
@@ -292,48 +297,48 @@
   assert.equal(stops({ ...steps, priority: Priority.Low }, withGpu), 1);
 });
 
-test('backfill preempts nothing, and scales out only for what other backfill will not free', () => {
+test('backfill preempts nothing, and scales out only for capacity that other backfill will not free', () => {
   const need = { cpus: 8, gpus: 0, memoryGb: 4 };
   const batch = job({ priority: Priority.Low, tasks: 8 }, { waitingTasks: 0 });
   const candidates = runningTasks(batch, 8);
   const offers = [{ type: TYPE, zone: 'a', spot: false, price: 20 }];
   const steps = job({ tasks: 25, need });
   const gang = job({ kind: 'gang', tasks: 2, need });
-  const run = (patient: boolean, s: Partial<Snapshot> = {}): ReturnType<typeof schedule> =>
+  const run = (backfill: boolean, overrides: Partial<Snapshot> = {}): ReturnType<typeof schedule> =>
     schedule(
       snapshot({
         machines: [machine('m1', { free: { cpus: 12, gpus: 0, memoryGb: 100 } })],
-        jobs: [batch, { ...steps, isBackfill: patient }, { ...gang, isBackfill: patient }],
+        jobs: [batch, { ...steps, isBackfill: backfill }, { ...gang, isBackfill: backfill }],
         teams: new Map([['vision', team(8, 0, 64)]]),
         offers,
         preemptionCandidates: candidates,
-        ...s,
+        ...overrides,
       }),
     );
   const provisioned = (plan: ReturnType<typeof schedule>): number =>
     plan.scaleOut.reduce((sum, request) => sum + request.count, 0);
-  const waits = run(true);
-  assert.equal(started(waits, steps.id), 1);
-  assert.deepEqual([waits.stops, waits.admittedGang], [[], null]);
-  // 24 and 2 tasks found no capacity, and a machine holds 6.
-  assert.equal(provisioned(waits), 5);
-  // Those that run leave capacity for as many as they are.
+  const waitingPlan = run(true);
+  assert.equal(startedTasks(waitingPlan, steps.id), 1);
+  assert.deepEqual([waitingPlan.stops, waitingPlan.admittedGang], [[], null]);
+  // 24 tasks of the array and 2 of the gang found no capacity, and a machine holds 6.
+  assert.equal(provisioned(waitingPlan), 5);
+  // Running backfill frees capacity for as many tasks.
   assert.equal(provisioned(run(true, { cpusFreedSoon: 13 * 8 })), 3);
   assert.equal(provisioned(run(true, { cpusFreedSoon: 26 * 8 })), 0);
-  // What waits for other jobs counts too, and starts nothing.
+  // Jobs that still wait for dependencies count too, and none of their tasks starts.
   const upcoming = [job({ tasks: 12, need })];
   assert.equal(provisioned(run(true, { cpusFreedSoon: 26 * 8, upcomingJobs: upcoming })), 2);
-  const hurries = run(false);
-  assert.ok(hurries.stops.length > 0);
-  assert.equal(provisioned(hurries), 5);
-  assert.equal(hurries.admittedGang, gang.id);
+  const regularPlan = run(false);
+  assert.ok(regularPlan.stops.length > 0);
+  assert.equal(provisioned(regularPlan), 5);
+  assert.equal(regularPlan.admittedGang, gang.id);
 });
 
-test('a whole machine goes to a gang rather than to tasks that can wait', () => {
+test('a whole machine goes to a gang rather than to backfill', () => {
   const need = { cpus: 2, gpus: 0, memoryGb: 4 };
   const steps = job({ tasks: 30, need }, { priority: Priority.High });
   const gang = job({ kind: 'gang', tasks: 1, need: { cpus: 43, gpus: 8, memoryGb: 200 } });
-  const run = (patient: boolean): ReturnType<typeof schedule> =>
+  const run = (backfill: boolean): ReturnType<typeof schedule> =>
     schedule(
       snapshot({
         machines: [
@@ -343,17 +348,17 @@
             tasksByJob: new Map([['x', 8]]),
           }),
         ],
-        jobs: [{ ...steps, isBackfill: patient }, gang],
+        jobs: [{ ...steps, isBackfill: backfill }, gang],
         teams: new Map([['vision', team(0, 0)]]),
       }),
     );
-  assert.equal(started(run(true), gang.id), 1);
-  // Beside the other work, and beside the gang.
-  assert.equal(started(run(true), steps.id), 4 + 2);
-  assert.equal(started(run(false), gang.id), 0);
+  assert.equal(startedTasks(run(true), gang.id), 1);
+  // Four tasks beside the other work on m2, two beside the gang on m1.
+  assert.equal(startedTasks(run(true), steps.id), 4 + 2);
+  assert.equal(startedTasks(run(false), gang.id), 0);
 });
 
-test('what uses nothing of what is guaranteed has no claim to it', () => {
+test('a job that uses none of the guaranteed resources is not within the guarantee', () => {
   const need = { cpus: 8, gpus: 0, memoryGb: 4 };
   const [small, large, steps] = [job({ tasks: 4 }), job({ tasks: 5 }), job({ need })];
   const teams = new Map([['vision', team(0, 8)]]);
@@ -363,9 +368,13 @@
   assert.deepEqual([...both], [small.id, steps.id]);
 });
 
-/** A job of a team without a guarantee that may wait; `atOnce`: what it needs to be in time. */
+/**
+ * A low-priority job of a team without a guarantee.
+ *
+ * @param concurrency number of tasks that must run concurrently for it to be in time
+ */
 const opportunisticJob = (
-  atOnce: number,
+  concurrency: number,
   spec: Partial<JobSpec> = {},
   view: Partial<JobView> = {},
 ): JobView =>
@@ -376,7 +385,7 @@
       need: { cpus: 12, gpus: 0, memoryGb: 4 },
       ...spec,
     },
-    { opportunisticConcurrency: atOnce, ...view },
+    { opportunisticConcurrency: concurrency, ...view },
   );
 
 const withOpportunisticTeam = (overrides: Partial<Snapshot>): Snapshot =>
@@ -389,12 +398,12 @@
     ...overrides,
   });
 
-test('opportunistic work takes what is up, and scales out only for what it needs to be in time', () => {
+test('opportunistic work uses machines that are up, and scales out only as far as it needs to be in time', () => {
   const jobs = [opportunisticJob(0, { tasks: 500 })];
-  const waits = schedule(withOpportunisticTeam({ machines: [machine('m1')], jobs }));
-  assert.equal(started(waits, jobs[0]!.id), 4);
-  assert.deepEqual(waits.scaleOut, []);
-  // Ten at once are four here, and six on two more machines.
+  const waitingPlan = schedule(withOpportunisticTeam({ machines: [machine('m1')], jobs }));
+  assert.equal(startedTasks(waitingPlan, jobs[0]!.id), 4);
+  assert.deepEqual(waitingPlan.scaleOut, []);
+  // Of ten concurrent tasks four fit on this machine, and six need two more machines.
   const inTime = schedule(
     withOpportunisticTeam({
       machines: [machine('m1')],
@@ -402,39 +411,43 @@
     }),
   );
   assert.equal(inTime.scaleOut[0]?.count, 2);
-  // A claim goes first, and what it has set aside is not taken.
+  // A job with a guarantee goes first, and opportunistic work leaves its reservation alone.
   const claim = job({ kind: 'gang', tasks: 2, need: { cpus: 43, gpus: 8, memoryGb: 230 } });
   const both = schedule(
     withOpportunisticTeam({ machines: [machine('m1')], jobs: [...jobs, claim] }),
   );
-  assert.equal(started(both, jobs[0]!.id), 0);
+  assert.equal(startedTasks(both, jobs[0]!.id), 0);
 });
 
-test('a machine that holds only opportunistic work is idle, and drainable if all of it fits elsewhere', () => {
-  // 100 machines were kept for minutes by a few opportunistic tasks on each.
+test('a machine that runs only opportunistic work is idle, and drainable if all of it fits elsewhere', () => {
+  // A few opportunistic tasks on each of 100 machines once kept all of them up for minutes.
   const held = opportunisticJob(0, { tasks: 5 }, { waitingTasks: 0 });
   const replica = job({ kind: 'service', priority: Priority.Production }, { waitingTasks: 0 });
-  const on = (member: string, tasks: number[]): PreemptionCandidate[] =>
-    tasks.map((task) => ({ ...runningTasks(held, 1)[0]!, task, machine: member }));
+  const candidatesOn = (machineId: string, tasks: number[]): PreemptionCandidate[] =>
+    tasks.map((task) => ({ ...runningTasks(held, 1)[0]!, task, machine: machineId }));
   const used = (count: number): Partial<MachineView> => ({
     free: { cpus: 48 - 12 * count, gpus: 8, memoryGb: 288 - 4 * count },
     tasksByJob: new Map([[held.id, count]]),
   });
   const inUse = { free: { cpus: 20, gpus: 1, memoryGb: 9 }, tasksOf: new Map([[replica.id, 3]]) };
-  const run = (few: Partial<PreemptionCandidate>, two: number): ReturnType<typeof schedule> =>
+  const run = (
+    candidateOverrides: Partial<PreemptionCandidate>,
+    tasksOnM2: number,
+  ): ReturnType<typeof schedule> =>
     schedule(
       withOpportunisticTeam({
-        machines: [machine('m1', used(1)), machine('m2', used(two)), machine('m3', inUse)],
+        machines: [machine('m1', used(1)), machine('m2', used(tasksOnM2)), machine('m3', inUse)],
         jobs: [held, replica],
         preemptionCandidates: [
-          ...on('m1', [0]).map((candidate) => ({ ...candidate, ...few })),
-          ...on('m2', [1, 2, 3, 4].slice(0, two)),
+          ...candidatesOn('m1', [0]).map((candidate) => ({ ...candidate, ...candidateOverrides })),
+          ...candidatesOn('m2', [1, 2, 3, 4].slice(0, tasksOnM2)),
         ],
       }),
     );
   assert.deepEqual(run({}, 4).idleMachines, ['m1', 'm2']);
   assert.deepEqual(run({}, 4).drainableMachines, ['m1']);
-  // What was lost once, or has lost more than is left, is not moved: it would never be done.
+  // A task that was already stopped without a checkpoint, or that would lose more work than is left
+  // of it, is not moved: it might never finish.
   assert.deepEqual(run({ stopsWithoutCheckpoint: 1 }, 4).drainableMachines, []);
   assert.deepEqual(run({ lostWorkMs: 40_000 }, 4).drainableMachines, []);
 });
--- a/test/slow-boots.test.ts
+++ b/test/slow-boots.test.ts
@@ -5,13 +5,13 @@
 /** The nominal boot time of the fake cloud's type, in seconds. */
 const BOOT_S = 40;
 
-/** The part of a stored job record that these tests read. */
-interface StoredJob {
+/** The part of a stored run record that these tests read. */
+interface RunRecord {
   gang?: { phase: string };
 }
 
 const gangPhase = (cluster: SimulatedCluster, job: string): string =>
-  (cluster.store.get(`runs/${job}/0`) as StoredJob | undefined)?.gang?.phase ?? 'queued';
+  (cluster.store.get(`runs/${job}/0`) as RunRecord | undefined)?.gang?.phase ?? 'queued';
 
 test('a cloud that takes four boot times does not suspend a feasible gang', async () => {
   const simulatedCluster = new SimulatedCluster([{ yard: 'a' }]);
@@ -69,7 +69,7 @@
     10,
     'one is provisioned',
   );
-  const dead = [...simulatedCluster.cloud.hosts.keys()][1]!;
+  const neverBooted = [...simulatedCluster.cloud.hosts.keys()][1]!;
   simulatedCluster.cloud.bootMs = BOOT_S * 1000;
   await simulatedCluster.until(
     () => simulatedCluster.cloud.hosts.size === 3,
@@ -82,9 +82,9 @@
     'both replicas run',
   );
   await simulatedCluster.until(
-    () => !simulatedCluster.cloud.hosts.has(dead),
+    () => !simulatedCluster.cloud.hosts.has(neverBooted),
     2,
-    'the dead one is released',
+    'the machine that never booted is released',
   );
   await simulatedCluster.close();
 });
@@ -98,7 +98,7 @@
     { yard: 'b' },
   ]);
   await simulatedCluster.start();
-  // One on each machine, so that none of them is idle.
+  // One replica on each machine, so that none of them is idle.
   await simulatedCluster.submit({
     shape: 'service',
     pieces: 5,
--- a/test/task-stopper.test.ts
+++ b/test/task-stopper.test.ts
@@ -7,7 +7,7 @@
 
 const GANG_PEER_MS = settings().workers.gangPeerMs;
 
-/** Grace of a preempted task, for these times of its job; all in milliseconds. */
+/** The grace period of a preempted task for these times of its job, all in milliseconds. */
 function preemptionGraceMs(checkpointMs: number, saveMs: number): number {
   const unused = null as never;
   const stopper = new TaskStopper(unused, unused, unused, settings().workers, unused);
@@ -15,13 +15,13 @@
   return stopper.preemptionGraceMs(job);
 }
 
-test('a preempted task saves only if it loses on average more than saving twice takes', () => {
+test('a preempted task saves a checkpoint only if its average loss exceeds the time of two saves', () => {
   assert.equal(preemptionGraceMs(20_000, 6000), 0);
   assert.equal(preemptionGraceMs(24_000, 6000), 0);
   assert.equal(preemptionGraceMs(24_001, 6000), 6000 + GANG_PEER_MS);
   assert.equal(preemptionGraceMs(30_000, 2000), 2000 + GANG_PEER_MS);
 });
 
-test('a task that never saves gets no grace', () => {
+test('a task without checkpoints gets no grace period', () => {
   assert.equal(preemptionGraceMs(0, 6000), 0);
 });
