--- a/test/job-record-writer.test.ts
+++ b/test/job-record-writer.test.ts
@@ -12,8 +12,12 @@
 import { FakeStore } from './fakes/store.js';
 import { fakeRandom, settings } from './fakes/simulated-cluster.js';
 
-/** A writer above a store whose queue of writes never empties. */
-function busyWriter(): { clock: FakeClock; writer: JobRecordWriter; priorities: number[] } {
+/** A writer on a store whose write queue never empties. */
+function writerWithBusyStore(): {
+  clock: FakeClock;
+  writer: JobRecordWriter;
+  priorities: number[];
+} {
   const clock = new FakeClock();
   const priorities: number[] = [];
   const store = {
@@ -23,7 +27,7 @@
       return Promise.resolve({ ok: true, revision: priorities.length });
     },
   } as unknown as Store;
-  const nothing = (): void => undefined;
+  const noop = (): void => undefined;
   const writer = new JobRecordWriter(
     store,
     { clock } as unknown as Runtime,
@@ -32,24 +36,24 @@
     { rangesReadable: () => false, leftoversKnown: () => false, rangesWanted: () => false },
     2500,
     {
-      jobChanged: nothing,
-      startsRecorded: nothing,
-      exitsRecorded: nothing,
-      inconsistencyDetected: (what) => assert.fail(what),
-      endRecorded: nothing,
-      archived: nothing,
+      jobChanged: noop,
+      startsRecorded: noop,
+      exitsRecorded: noop,
+      inconsistencyDetected: (message) => assert.fail(message),
+      endRecorded: noop,
+      archived: noop,
     },
   );
   return { clock, writer, priorities };
 }
 
-/** Above a store of its own whose limits a test can change. */
-function realWriter(jobs: Job[]) {
+/** A writer on a fake store whose limits a test can change. */
+function writerWithStore(jobs: Job[]) {
   const clock = new FakeClock();
   const fakeStore = new FakeStore(clock);
   fakeStore.keys.set('leader', { value: {}, stamp: 1, hold: null });
-  for (const one of jobs) {
-    fakeStore.keys.set(`jobs/${one.id}`, { value: {}, stamp: 1, hold: null });
+  for (const trackedJob of jobs) {
+    fakeStore.keys.set(`jobs/${trackedJob.id}`, { value: {}, stamp: 1, hold: null });
   }
   const readable = { on: true };
   const layouts = {
@@ -58,7 +62,7 @@
     rangesWanted: () => false,
   };
   const errors: object[] = [];
-  const log = { error: (e: object) => errors.push(e), warn() {}, info() {}, debug() {} };
+  const log = { error: (entry: object) => errors.push(entry), warn() {}, info() {}, debug() {} };
   const runtime = { clock, random: fakeRandom('r'), log, startedAt: 0 } as unknown as Runtime;
   const store = new Store(
     fakeStore.link(() => 'serve'),
@@ -73,18 +77,18 @@
     startsRecorded: (placements) =>
       started.push(...placements.map((placement) => `${placement.job.id}/${placement.task}`)),
     exitsRecorded: () => undefined,
-    inconsistencyDetected: (what) => assert.fail(what),
+    inconsistencyDetected: (message) => assert.fail(message),
     endRecorded: () => undefined,
     archived: () => undefined,
   });
   return { clock, fakeStore, writer, term, errors, started, readable };
 }
 
-function place(one: Job, task: number, machine = 'host-000001'): void {
-  one.placements.set(task, {
-    job: one,
+function place(trackedJob: Job, task: number, machine = 'host-000001'): void {
+  trackedJob.placements.set(task, {
+    job: trackedJob,
     task,
-    attempt: ++one.attempt,
+    attempt: ++trackedJob.attempt,
     machine,
     agentEpoch: 1,
     zone: 'a',
@@ -94,49 +98,49 @@
     runningSince: null,
     stop: null,
   });
-  one.markDirty(task);
+  trackedJob.markDirty(task);
 }
 
-test('a value that the store calls too large stops its own job, and not the term', async () => {
-  // With such a name not even one start fits.
-  const large = new Job('req-1', { ...SPEC, tasks: 100 }, 0, 1, 100);
-  const small = new Job('req-2', SPEC, 0, 1, 100);
-  const { clock, fakeStore, writer, term, errors, started } = realWriter([large, small]);
+test('a value that the store rejects as too large blocks only its own job and does not end the term', async () => {
+  // With such a machine id not even one start fits into a record.
+  const largeJob = new Job('req-1', { ...SPEC, tasks: 100 }, 0, 1, 100);
+  const smallJob = new Job('req-2', SPEC, 0, 1, 100);
+  const { clock, fakeStore, writer, term, errors, started } = writerWithStore([largeJob, smallJob]);
   fakeStore.limits = { valueBytes: 2048, txnOps: 4 };
-  place(large, 0, 'host'.padEnd(3000, 'x'));
-  place(small, 0);
-  writer.flush(large);
-  writer.flush(small);
+  place(largeJob, 0, 'host'.padEnd(3000, 'x'));
+  place(smallJob, 0);
+  writer.flush(largeJob);
+  writer.flush(smallJob);
   await clock.advance(60_000);
   assert.equal(term.signal.aborted, false);
   assert.deepEqual(started, ['req-2/0']);
-  assert.equal(errors.length, 1, 'logged once, not with every try');
+  assert.equal(errors.length, 1, 'logged once, not with every attempt');
   assert.match(JSON.stringify(errors[0]), /"key":"runs\/req-1\/0","bytes":3\d{3}/);
-  assert.ok(fakeStore.rejected <= 20, `${fakeStore.rejected} tries in a minute`);
-  // Once it fits it goes on by itself.
+  assert.ok(fakeStore.rejected <= 20, `${fakeStore.rejected} attempts in a minute`);
+  // The job continues by itself once its record fits.
   fakeStore.limits = { valueBytes: 16_384, txnOps: 4 };
   await clock.advance(20_000);
   assert.deepEqual(started, ['req-2/0', 'req-1/0']);
 });
 
-test('a job whose record became too large for the store goes on in smaller records', async () => {
-  const large = new Job('req-1', { ...SPEC, tasks: 100 }, 0, 1, 100);
-  const { clock, fakeStore, writer, started } = realWriter([large]);
+test('a job whose record became too large for the store continues with smaller records', async () => {
+  const largeJob = new Job('req-1', { ...SPEC, tasks: 100 }, 0, 1, 100);
+  const { clock, fakeStore, writer, started } = writerWithStore([largeJob]);
   fakeStore.limits = { valueBytes: 2048, txnOps: 4 };
-  for (let task = 0; task < 100; task++) place(large, task, `host-${task}`.padEnd(60, 'x'));
-  writer.flush(large);
+  for (let task = 0; task < 100; task++) place(largeJob, task, `host-${task}`.padEnd(60, 'x'));
+  writer.flush(largeJob);
   await clock.advance(60_000);
   assert.equal(new Set(started).size, 100);
   assert.equal(started.length, 100);
 });
 
-test('while some controller reads only the old layout, a record that is too large waits', async () => {
-  const large = new Job('req-1', { ...SPEC, tasks: 100 }, 0, 1, 100);
-  const { clock, fakeStore, writer, started, readable } = realWriter([large]);
+test('a record that is too large waits while some controller reads only the old layout', async () => {
+  const largeJob = new Job('req-1', { ...SPEC, tasks: 100 }, 0, 1, 100);
+  const { clock, fakeStore, writer, started, readable } = writerWithStore([largeJob]);
   readable.on = false;
   fakeStore.limits = { valueBytes: 2048, txnOps: 4 };
-  for (let task = 0; task < 100; task++) place(large, task);
-  writer.flush(large);
+  for (let task = 0; task < 100; task++) place(largeJob, task);
+  writer.flush(largeJob);
   await clock.advance(60_000);
   assert.deepEqual(started, []);
   assert.equal(fakeStore.keys.has('runs/req-1/p0'), false);
@@ -147,34 +151,34 @@
 
 const job = (spec: Partial<JobSpec> = {}): Job => new Job('req-1', { ...SPEC, ...spec }, 0, 1, 100);
 
-test('exits wait while writes queue, but not for ever', async () => {
-  const { clock, writer, priorities } = busyWriter();
-  const array = job();
-  array.markDone(0);
-  writer.flushExits(array);
+test('exits wait while writes are queued, but not indefinitely', async () => {
+  const { clock, writer, priorities } = writerWithBusyStore();
+  const arrayJob = job();
+  arrayJob.markDone(0);
+  writer.flushExits(arrayJob);
   await clock.advance(9900);
   assert.equal(priorities.length, 0);
   await clock.advance(200);
   assert.equal(priorities.length, 1);
 });
 
-test('a start does not wait for the exits before it, and carries them along', async () => {
-  const { clock, writer, priorities } = busyWriter();
-  const array = job();
-  array.markDone(0);
-  writer.flushExits(array);
-  array.markDirty(1);
-  writer.flush(array);
+test('a start does not wait for earlier exits, and is written together with them', async () => {
+  const { clock, writer, priorities } = writerWithBusyStore();
+  const arrayJob = job();
+  arrayJob.markDone(0);
+  writer.flushExits(arrayJob);
+  arrayJob.markDirty(1);
+  writer.flush(arrayJob);
   await clock.advance(20_000);
   assert.equal(priorities.length, 1);
 });
 
-test('starts of arrays go after those of services and gangs', async () => {
-  const { clock, writer, priorities } = busyWriter();
+test('starts of arrays are written after those of services and gangs', async () => {
+  const { clock, writer, priorities } = writerWithBusyStore();
   for (const kind of ['array', 'service', 'gang'] as const) {
-    const one = job({ kind });
-    one.markDirty(0);
-    writer.flush(one);
+    const trackedJob = job({ kind });
+    trackedJob.markDirty(0);
+    writer.flush(trackedJob);
   }
   await clock.advance(1);
   assert.deepEqual(priorities, [2, 1, 1]);
--- a/test/production-samples.test.ts
+++ b/test/production-samples.test.ts
@@ -11,7 +11,7 @@
 
 const PER_RECORD = tasksPerRecord(settings().state.valueBytes);
 
-/** The jobs that the version in production left open, as a new leader restores them. */
+/** The jobs that the version in production left open, restored as by a new leader. */
 function restored(): { jobs: Map<string, Job>; runs: Map<Job, StoredRuns>; wall: number } {
   const { keys, wall } = productionStore();
   const jobs = new Map<string, Job>();
@@ -30,7 +30,7 @@
   return { jobs, runs, wall };
 }
 
-test('every record of the version in production is read', () => {
+test('every record of the version in production is parsed', () => {
   const { keys, jobs } = productionStore();
   for (const [key, { value }] of Object.entries(keys)) {
     if (key.startsWith('jobs/')) assert.ok(parseJob(value), key);
@@ -46,13 +46,13 @@
   assert.equal(restoredJobs.get(jobs.waiting)!.gang!.holdsGate, true);
 });
 
-test('what is written before the upgrade is complete has the very shape of production', () => {
+test('run records written before the upgrade is complete are identical to those of production', () => {
   const { runs, wall } = restored();
   assert.ok(runs.size >= 4);
   for (const [job, { indexed }] of runs) {
     for (const { index, record } of indexed) {
       const section = job.layout.sections[index]!;
-      const written = job.toRecord(section, record.w, (steady) => wall + steady - 5000);
+      const written = job.toRecord(section, record.w, (monotonicMs) => wall + monotonicMs - 5000);
       assert.equal(section.key, `runs/${job.id}/${index}`);
       const { value } = productionStore().keys[section.key]!;
       assert.equal(JSON.stringify(written), JSON.stringify(value));
@@ -60,35 +60,38 @@
   }
 });
 
-test('an accepted job, the leader, rentals and the types have the shape of production', async () => {
+test('the job record, the leader key, provisioning records and machine types have the shape of production', async () => {
   const sample = productionStore();
   const shapeOf = (value: unknown): unknown => {
     if (Array.isArray(value)) return value.slice(0, 1).map(shapeOf);
     if (typeof value !== 'object' || value === null) return value === null ? 'null' : typeof value;
-    return Object.fromEntries(Object.entries(value).map(([k, v]) => [k, shapeOf(v)]));
+    return Object.fromEntries(Object.entries(value).map(([key, field]) => [key, shapeOf(field)]));
   };
   const simulatedCluster = new SimulatedCluster([{ yard: 'a' }]);
   await simulatedCluster.start();
   const gang = await simulatedCluster.submit({ shape: 'gang', pieces: 8, gpus: 8, crew: 'speech' });
-  const rental = (): string | undefined =>
+  const provisioningKey = (): string | undefined =>
     [...simulatedCluster.store.keys.keys()].find((key) => key.startsWith('rent/'));
-  await simulatedCluster.until(() => rental() !== undefined, 20, 'rental');
-  const old = (prefix: string): unknown =>
+  await simulatedCluster.until(() => provisioningKey() !== undefined, 20, 'provisioning record');
+  const productionRecord = (prefix: string): unknown =>
     Object.entries(sample.keys).find(([key]) => key.startsWith(prefix))?.[1].value;
-  for (const [mine, theirs] of [
-    [simulatedCluster.store.get('leader'), old('leader')],
-    [simulatedCluster.store.get('types'), old('types')],
-    [simulatedCluster.store.get(rental()!), old('rent/')],
-    [simulatedCluster.store.get(`jobs/${gang}`), old(`jobs/${sample.jobs.waiting}`)],
-    [simulatedCluster.store.get(`runs/${gang}/0`), old(`runs/${sample.jobs.waiting}/`)],
+  for (const [written, expected] of [
+    [simulatedCluster.store.get('leader'), productionRecord('leader')],
+    [simulatedCluster.store.get('types'), productionRecord('types')],
+    [simulatedCluster.store.get(provisioningKey()!), productionRecord('rent/')],
+    [simulatedCluster.store.get(`jobs/${gang}`), productionRecord(`jobs/${sample.jobs.waiting}`)],
+    [
+      simulatedCluster.store.get(`runs/${gang}/0`),
+      productionRecord(`runs/${sample.jobs.waiting}/`),
+    ],
   ]) {
-    assert.ok(mine && theirs);
-    assert.equal(JSON.stringify(shapeOf(mine)), JSON.stringify(shapeOf(theirs)));
+    assert.ok(written && expected);
+    assert.equal(JSON.stringify(shapeOf(written)), JSON.stringify(shapeOf(expected)));
   }
   await simulatedCluster.close();
 });
 
-test('frames of production are understood, and ours have the very same bytes', () => {
+test('frames of production are decoded, and encoded to the same bytes', () => {
   for (const { message, hex } of productionFrames()) {
     const expected = inCurrentNames(message);
     assert.deepEqual(new Decoder().push(Buffer.from(hex, 'hex')), [expected]);
@@ -96,8 +99,8 @@
   }
 });
 
-test('production takes the keys of ranged records for numbers out of any range', () => {
-  // It reads what follows the last slash as a number, finds no such record, and leaves the job alone.
+test('production ignores ranged records, whose keys it cannot parse', () => {
+  // It parses what follows the last slash as a number, finds no such record, and ignores the job.
   const key = 'runs/req-000001/p0';
   assert.ok(Number.isNaN(Number(key.slice(key.lastIndexOf('/') + 1))));
   assert.deepEqual(parseRunKey(key), { job: 'req-000001', kind: 'ranged', number: 0 });
--- a/test/released-samples.test.ts
+++ b/test/released-samples.test.ts
@@ -30,16 +30,16 @@
 const PER_RECORD = tasksPerRecord(settings().state.valueBytes);
 const PER_RANGE = 115;
 
-/** Items below a prefix, as a reader of the store gets them. */
-const below = (keys: ReleasedSample['keys'], prefix: string) =>
+/** The entries with a key prefix, in the form in which the store returns them. */
+const itemsWithPrefix = (keys: ReleasedSample['keys'], prefix: string) =>
   Object.entries(keys)
     .filter(([key]) => key.startsWith(prefix))
     .map(([key, { value, stamp }]) => ({ key, value, version: stamp }));
 
-/** The open jobs of a sample, as a new leader restores them. */
+/** The run records of a sample by open job; the jobs are restored as by a new leader. */
 function restored(sample: ReleasedSample): Map<Job, StoredRuns> {
   const jobs = new Map<string, Job>();
-  for (const { key, value, version } of below(sample.keys, 'jobs/')) {
+  for (const { key, value, version } of itemsWithPrefix(sample.keys, 'jobs/')) {
     const record = parseJob(value);
     assert.ok(record, key);
     if (!record.spec) continue;
@@ -47,7 +47,7 @@
     jobs.set(id, new Job(id, record.spec, record.at!, version, PER_RECORD));
   }
   const { runs, unreadable } = groupRunRecords(
-    below(sample.keys, 'runs/'),
+    itemsWithPrefix(sample.keys, 'runs/'),
     (id) => jobs.get(id) ?? null,
   );
   assert.deepEqual(unreadable, []);
@@ -56,7 +56,7 @@
 }
 
 for (const [when, sample] of Object.entries(releasedStores())) {
-  test(`every record that 104c759 leaves is read (${when} it knew that all know members)`, async () => {
+  test(`every record that 104c759 leaves is parsed (${when} all controllers had member records)`, async () => {
     const { keys, jobs, beforehand } = sample;
     const byId = new Map([...restored(sample).keys()].map((job) => [job.id, job]));
     const array = byId.get(jobs.array)!;
@@ -64,19 +64,19 @@
     assert.equal(byId.get(jobs.service)!.placements.size, 3);
     assert.equal(byId.get(jobs.gang)!.gang!.phase, 'started');
     assert.equal(byId.get(jobs.waiting)!.gang!.holdsGate, true);
-    assert.ok(below(keys, 'rent/').every(({ value }) => parseProvisioning(value)));
-    assert.ok(below(keys, 'needs/').every(({ value }) => parseDependencyChunk(value)));
+    assert.ok(itemsWithPrefix(keys, 'rent/').every(({ value }) => parseProvisioning(value)));
+    assert.ok(itemsWithPrefix(keys, 'needs/').every(({ value }) => parseDependencyChunk(value)));
     const store = {
-      range: async (prefix: string) => ({ items: below(keys, prefix), revision: 0 }),
+      range: async (prefix: string) => ({ items: itemsWithPrefix(keys, prefix), revision: 0 }),
     };
     const needsOf = (job: string): Promise<string[] | null> => {
       const { needs } = parseJob(keys[`jobs/${job}`]!.value)!;
       return readDependencies(store as unknown as Store, job, needs);
     };
     assert.deepEqual(await needsOf(jobs.after), [jobs.done, jobs.array, jobs.gang]);
-    const many = (await needsOf(jobs.fanIn))!;
-    assert.equal(many.length, beforehand.count + 1);
-    assert.equal(many.at(-1), jobs.first);
+    const fanInDependencies = (await needsOf(jobs.fanIn))!;
+    assert.equal(fanInDependencies.length, beforehand.count + 1);
+    assert.equal(fanInDependencies.at(-1), jobs.first);
   });
 
   test(`run records are written byte for byte as by 104c759 (${when})`, () => {
@@ -85,18 +85,22 @@
         const stored = sample.keys[section.key];
         assert.ok(stored, section.key);
         const { w: writeId } = stored.value as { w: string };
-        const written = job.toRecord(section, writeId, (steady) => sample.wall + steady - 5000);
+        const written = job.toRecord(
+          section,
+          writeId,
+          (monotonicMs) => sample.wall + monotonicMs - 5000,
+        );
         assert.equal(JSON.stringify(written), JSON.stringify(stored.value));
       }
     }
   });
 
-  test(`what 104c759 left running is taken over, and nothing of it starts again (${when})`, async () => {
+  test(`tasks that 104c759 left running are taken over and not started again (${when})`, async () => {
     const simulatedCluster = new SimulatedCluster(machines('abababab'), 2, 0, { next: NEXT });
     fillFromReleased(simulatedCluster.store, sample);
     const { keys, jobs } = sample;
     for (const [job, placements] of placementsOf(sample)) {
-      const { spec } = keys[`jobs/${job}`]!.value as { spec: Spec };
+      const { spec } = keys[`jobs/${job}`]!.value as { spec: StoredSpec };
       simulatedCluster.facts.set(job, factsOf(spec));
       for (const [task, attempt, machine] of placements) {
         const piece = { job, task, attempt, phase: 'running', cause: null, since: 0 } as const;
@@ -106,7 +110,7 @@
         ]);
       }
     }
-    // Asked past the checker of rules, which has not seen these jobs submitted.
+    // Queried without the rule checker, which has not seen the submissions of these jobs.
     const phaseAt = async (job: string, node: number): Promise<unknown> => {
       const answer = await simulatedCluster.ask(
         simulatedCluster.nodes[node]!.controller!.jobApi.query(job),
@@ -135,9 +139,9 @@
   });
 }
 
-type Spec = { kind: string; tasks: number; need: Resources };
+type StoredSpec = { kind: string; tasks: number; need: Resources };
 
-const factsOf = ({ kind, tasks, need }: Spec) => ({
+const factsOf = ({ kind, tasks, need }: StoredSpec) => ({
   shape: kind,
   pieces: tasks,
   runMs: kind === 'service' ? 0 : LONG_MS,
@@ -150,9 +154,9 @@
 
 /** Task, attempt and machine of each start that a sample records, by job. */
 function placementsOf(sample: ReleasedSample): Map<string, [number, number, string][]> {
-  const found = new Map<string, [number, number, string][]>();
+  const byJob = new Map<string, [number, number, string][]>();
   for (const [job] of restored(sample)) {
-    found.set(
+    byJob.set(
       job.id,
       [...job.placements.values()].map((placement) => [
         placement.task,
@@ -161,10 +165,10 @@
       ]),
     );
   }
-  return found;
+  return byJob;
 }
 
-test('frames of 104c759 are understood, and ours have the very same bytes', () => {
+test('frames of 104c759 are decoded, and encoded to the same bytes', () => {
   for (const { message, hex } of releasedFrames()) {
     const expected = inCurrentNames(message, KINDS_OF_104C759);
     assert.deepEqual(new Decoder().push(Buffer.from(hex, 'hex')), [expected]);
@@ -172,7 +176,7 @@
   }
 });
 
-test('104c759 reads every frame of this tree, 78ff1b1 all but those of version 4', () => {
+test('104c759 decodes every frame of this version, 78ff1b1 all but those of frame version 4', () => {
   for (const { message, hex } of releasedFrames()) {
     const bytes = encode(inCurrentNames(message, KINDS_OF_104C759));
     assert.equal(bytes.toString('hex'), hex);
@@ -186,7 +190,7 @@
 for (const complete of [false, true]) {
   const layout = complete ? 'ranged' : 'indexed';
 
-  test(`104c759 reads whatever this tree writes, with ${layout} records`, async () => {
+  test(`104c759 reads all records that this version writes, with ${layout} run records`, async () => {
     const simulatedCluster = new SimulatedCluster(machines('abababab'), 2, 0, { next: NEXT });
     install(simulatedCluster, complete ? ['current', '104c759'] : ['current', '78ff1b1']);
     await simulatedCluster.start();
@@ -194,9 +198,9 @@
     const first = await simulatedCluster.accept({ pieces: 1, runMs: LONG_MS });
     const cancelled = await simulatedCluster.accept({ pieces: 1, runMs: LONG_MS });
     await simulatedCluster.cancel(cancelled);
-    const more = Array.from({ length: 220 }, (_, i) => `req-${900_000 + i}`);
-    for (const ref of more) simulatedCluster.doneBefore(ref);
-    if (complete) await simulatedCluster.accept({ waitsOn: [...more, first] });
+    const doneJobs = Array.from({ length: 220 }, (_, i) => `req-${900_000 + i}`);
+    for (const ref of doneJobs) simulatedCluster.doneBefore(ref);
+    if (complete) await simulatedCluster.accept({ waitsOn: [...doneJobs, first] });
     await simulatedCluster.accept({
       shape: 'gang',
       pieces: 8,
@@ -204,9 +208,9 @@
       crew: 'speech',
       runMs: LONG_MS,
     });
-    const has = (prefix: string): boolean =>
-      [...simulatedCluster.store.keys.keys()].some((k) => k.startsWith(prefix));
-    await simulatedCluster.until(() => has('rent/'), 30, 'a rental');
+    const hasKey = (prefix: string): boolean =>
+      [...simulatedCluster.store.keys.keys()].some((key) => key.startsWith(prefix));
+    await simulatedCluster.until(() => hasKey('rent/'), 30, 'a provisioning record');
     if (complete)
       await simulatedCluster.until(
         () => runKeys(simulatedCluster).every(ranged),
@@ -215,27 +219,32 @@
       );
 
     const { parseJob, parseRental, readRuns, Job: OldJob } = BUNDLES['104c759'];
-    const all = [...simulatedCluster.store.keys].map(([key, { value, stamp }]) => ({
+    const entries = [...simulatedCluster.store.keys].map(([key, { value, stamp }]) => ({
       key,
       value,
       version: stamp,
     }));
-    const of = (prefix: string) => all.filter(({ key }) => key.startsWith(prefix));
+    const entriesWithPrefix = (prefix: string) =>
+      entries.filter(({ key }) => key.startsWith(prefix));
     const jobs = new Map<string, object>();
-    for (const { key, value, version } of of('jobs/')) {
+    for (const { key, value, version } of entriesWithPrefix('jobs/')) {
       const record = parseJob(value);
-      // Whatever it does not know it drops: nothing may be written that it does not know.
+      // 104c759 drops unknown fields, so this version must not write any.
       assert.deepEqual(record, value);
       if (!record?.spec) continue;
       const job = new OldJob(jobIdFromKey(key), record.spec, record.at, version, PER_RECORD);
       jobs.set(jobIdFromKey(key), job);
     }
-    for (const { value } of of('rent/')) assert.deepEqual(parseRental(value), value);
-    const { runs, unreadable } = readRuns(of('runs/'), (id) => jobs.get(id) ?? null);
+    for (const { value } of entriesWithPrefix('rent/')) assert.deepEqual(parseRental(value), value);
+    const { runs, unreadable } = readRuns(entriesWithPrefix('runs/'), (id) => jobs.get(id) ?? null);
     assert.deepEqual(unreadable, []);
     for (const [job, stored] of runs) job.restore(stored, PER_RANGE, 0, 0);
-    const live = (id: string): number => (jobs.get(id) as { live: Map<number, unknown> }).live.size;
-    assert.deepEqual([live(work.array), live(work.service), live(work.gang)], [90, 3, 4]);
+    const placedCount = (id: string): number =>
+      (jobs.get(id) as { live: Map<number, unknown> }).live.size;
+    assert.deepEqual(
+      [placedCount(work.array), placedCount(work.service), placedCount(work.gang)],
+      [90, 3, 4],
+    );
     await simulatedCluster.close();
   });
 }
--- a/test/run-layout.test.ts
+++ b/test/run-layout.test.ts
@@ -15,12 +15,12 @@
 import { FakeStore, type Fate } from './fakes/store.js';
 import { fakeRandom, settings } from './fakes/simulated-cluster.js';
 
-const LARGE = 16 * 1024;
-const SMALL = 2048;
-const ID = 'req-1';
+const LARGE_VALUE_BYTES = 16 * 1024;
+const SMALL_VALUE_BYTES = 2048;
+const JOB_ID = 'req-1';
 
-/** One job under a leader, above a store whose limits fall in the middle. */
-class Leadership {
+/** A leader's record writer with one job, on a store whose limits a test lowers. */
+class LeaderScenario {
   readonly clock = new FakeClock();
   readonly fakeStore = new FakeStore(this.clock);
   readonly job: Job;
@@ -29,26 +29,26 @@
   readonly random: () => number;
   readonly limits: StoreLimits;
   fate: Fate = 'serve';
-  ranged = false;
-  readable = true;
+  rangesWanted = false;
+  rangesReadable = true;
   private readonly term = new Term('t', 1, 0, Infinity);
 
   constructor(spec: Partial<JobSpec>, seed: number) {
     let state = seed;
     this.random = () => (state = (state * 1_103_515_245 + 12_345) % 2_147_483_648) / 2_147_483_648;
-    const full = { ...SPEC, ...spec };
-    this.job = new Job(ID, full, 0, 2, tasksPerRecord(LARGE));
-    this.fakeStore.limits = { valueBytes: LARGE, txnOps: 20 };
+    const fullSpec = { ...SPEC, ...spec };
+    this.job = new Job(JOB_ID, fullSpec, 0, 2, tasksPerRecord(LARGE_VALUE_BYTES));
+    this.fakeStore.limits = { valueBytes: LARGE_VALUE_BYTES, txnOps: 20 };
     this.fakeStore.write('leader', {});
-    this.fakeStore.write(`jobs/${ID}`, { w: 'a', phase: 'open', tasks: full.tasks });
+    this.fakeStore.write(`jobs/${JOB_ID}`, { w: 'a', phase: 'open', tasks: fullSpec.tasks });
     const log = { error() {}, warn() {}, info() {}, debug() {} };
     const runtime = { clock: this.clock, random: fakeRandom('r'), log, startedAt: 0 };
     const base = settings();
-    const next = { valueBytes: SMALL, txnOps: 4 };
+    const announcedLimits = { valueBytes: SMALL_VALUE_BYTES, txnOps: 4 };
     const store = new Store(
       this.fakeStore.link(() => this.fate),
       runtime as unknown as Runtime,
-      { ...base, state: { ...base.state, writeRps: 1e6, rps: 1e6, next } },
+      { ...base, state: { ...base.state, writeRps: 1e6, rps: 1e6, next: announcedLimits } },
       1000,
     );
     this.limits = store.limits;
@@ -58,28 +58,28 @@
       this.term,
       store.limits,
       {
-        rangesReadable: () => this.readable,
-        leftoversKnown: () => this.readable,
-        rangesWanted: () => this.ranged,
+        rangesReadable: () => this.rangesReadable,
+        leftoversKnown: () => this.rangesReadable,
+        rangesWanted: () => this.rangesWanted,
       },
       10_000,
       {
         jobChanged: () => undefined,
-        startsRecorded: (list) => {
-          for (const placement of list) {
+        startsRecorded: (placements) => {
+          for (const placement of placements) {
             markRecorded(placement);
             this.recorded.set(placement.task, placement);
           }
         },
         exitsRecorded: () => undefined,
-        inconsistencyDetected: (what) => assert.fail(what),
+        inconsistencyDetected: (message) => assert.fail(message),
         archived: () => undefined,
         endRecorded: () => undefined,
       },
     );
   }
 
-  place(task: number): void {
+  placeTask(task: number): void {
     const { job } = this;
     if (job.isDone(task) || job.placements.has(task)) return;
     job.placements.set(task, {
@@ -98,7 +98,7 @@
     job.markDirty(task);
   }
 
-  exit(task: number): void {
+  exitTask(task: number): void {
     const placement = this.job.placements.get(task);
     if (!placement || !this.recorded.has(task)) return;
     this.job.placements.delete(task);
@@ -107,26 +107,26 @@
     this.job.markDone(task);
   }
 
-  /** What a successor would believe now. */
-  successor(): Job {
-    const job = new Job(ID, this.job.spec, 0, 2, tasksPerRecord(LARGE));
+  /** The job as a successor would restore it from the store now. */
+  restoreSuccessor(): Job {
+    const job = new Job(JOB_ID, this.job.spec, 0, 2, tasksPerRecord(LARGE_VALUE_BYTES));
     const entries = [...this.fakeStore.keys]
       .filter(([key]) => key.startsWith('runs/'))
       .map(([key, stored]) => ({ key, value: stored.value, version: stored.stamp }));
     const { runs, unreadable } = groupRunRecords(entries, () => job);
     assert.deepEqual(unreadable, []);
-    for (const stored of runs.values()) job.restore(stored, tasksPerRange(SMALL), 0, 0);
+    for (const stored of runs.values()) job.restore(stored, tasksPerRange(SMALL_VALUE_BYTES), 0, 0);
     return job;
   }
 
-  /** No start that may have been sent is unknown to a successor, unless it is known as done. */
-  check(): void {
-    const job = this.successor();
+  /** Checks that a successor knows every recorded start and takes no unfinished task for done. */
+  checkNothingLost(): void {
+    const job = this.restoreSuccessor();
     for (const [task, placement] of this.recorded) {
-      const known = job.placements.get(task);
-      assert.ok(known, `task ${task} is lost`);
+      const restored = job.placements.get(task);
+      assert.ok(restored, `task ${task} is lost`);
       assert.deepEqual(
-        [known.machine, known.attempt],
+        [restored.machine, restored.attempt],
         [placement.machine, placement.attempt],
         `task ${task}`,
       );
@@ -140,9 +140,9 @@
     );
   }
 
-  /** Once all is written a successor knows all of it. */
-  checkAll(): void {
-    const job = this.successor();
+  /** Checks that a successor knows the exact state of the job, as it does once all is written. */
+  checkAllRecorded(): void {
+    const job = this.restoreSuccessor();
     assert.deepEqual([...job.placements.keys()].sort(), [...this.job.placements.keys()].sort());
     assert.equal(job.doneCount, this.job.doneCount);
     assert.equal(job.attempt, this.job.attempt);
@@ -150,129 +150,133 @@
 }
 
 for (const seed of [1, 2, 3, 4, 5, 6, 7, 8]) {
-  test(`no start is lost or invented while records shrink, seed ${seed}`, async () => {
-    const leadership = new Leadership({ tasks: 40 + seed * 60 }, seed);
-    const { random, job } = leadership;
+  test(`no start is lost or invented while records become smaller, seed ${seed}`, async () => {
+    const scenario = new LeaderScenario({ tasks: 40 + seed * 60 }, seed);
+    const { random, job } = scenario;
     for (let step = 0; step < 160; step++) {
       if (step === 50) {
-        leadership.ranged = true;
-        // As when an upgrade is complete; without it the first rejection shows it.
-        if (seed % 2 === 0) leadership.limits.applyAnnounced();
+        scenario.rangesWanted = true;
+        // As after a complete upgrade; otherwise the first rejected write reveals the limits.
+        if (seed % 2 === 0) scenario.limits.applyAnnounced();
       }
-      if (step === 90) leadership.fakeStore.limits = { valueBytes: SMALL, txnOps: 4 };
-      leadership.fate = random() < 0.15 ? 'lose answer' : 'serve';
+      if (step === 90) scenario.fakeStore.limits = { valueBytes: SMALL_VALUE_BYTES, txnOps: 4 };
+      scenario.fate = random() < 0.15 ? 'lose answer' : 'serve';
       const from = Math.floor(random() * job.spec.tasks);
       for (let i = 0; i < 1 + random() * 30; i++) {
         const task = (from + i) % job.spec.tasks;
-        if (random() < 0.6) leadership.place(task);
-        else leadership.exit(task);
+        if (random() < 0.6) scenario.placeTask(task);
+        else scenario.exitTask(task);
       }
-      leadership.writer.flush(job);
-      if (leadership.ranged && random() < 0.2) leadership.writer.rewriteSuperseded(job);
-      // Looked at between any two transactions.
+      scenario.writer.flush(job);
+      if (scenario.rangesWanted && random() < 0.2) scenario.writer.rewriteSuperseded(job);
+      // Checked between any two transactions.
       for (let ms = random() * 40; ms > 0; ms -= 4) {
-        await leadership.clock.advance(4);
-        leadership.check();
+        await scenario.clock.advance(4);
+        scenario.checkNothingLost();
       }
     }
-    leadership.fate = 'serve';
-    leadership.writer.flush(job);
-    await leadership.clock.advance(20_000);
-    leadership.checkAll();
-    leadership.writer.rewriteSuperseded(job);
-    await leadership.clock.advance(20_000);
-    leadership.checkAll();
-    const left = [...leadership.fakeStore.keys].filter(([key]) => key.startsWith('runs/'));
-    assert.ok(left.every(([key, stored]) => /\/p\d+$/.test(key) && size(stored.value) <= SMALL));
+    scenario.fate = 'serve';
+    scenario.writer.flush(job);
+    await scenario.clock.advance(20_000);
+    scenario.checkAllRecorded();
+    scenario.writer.rewriteSuperseded(job);
+    await scenario.clock.advance(20_000);
+    scenario.checkAllRecorded();
+    const remaining = [...scenario.fakeStore.keys].filter(([key]) => key.startsWith('runs/'));
+    assert.ok(
+      remaining.every(
+        ([key, stored]) => /\/p\d+$/.test(key) && jsonBytes(stored.value) <= SMALL_VALUE_BYTES,
+      ),
+    );
   });
 }
 
-test('limits that fall unannounced, before anything is ranged, lose nothing either', async () => {
-  const leadership = new Leadership({ tasks: 150 }, 3);
-  for (let task = 0; task < 150; task++) leadership.place(task);
-  leadership.writer.flush(leadership.job);
-  await leadership.clock.advance(100);
-  leadership.fakeStore.limits = { valueBytes: SMALL, txnOps: 4 };
-  for (let task = 0; task < 150; task += 2) leadership.exit(task);
-  leadership.writer.flush(leadership.job);
-  await leadership.clock.advance(100);
-  leadership.check();
-  await leadership.clock.advance(20_000);
-  leadership.checkAll();
+test('no start is lost when limits fall unannounced before any record is ranged', async () => {
+  const scenario = new LeaderScenario({ tasks: 150 }, 3);
+  for (let task = 0; task < 150; task++) scenario.placeTask(task);
+  scenario.writer.flush(scenario.job);
+  await scenario.clock.advance(100);
+  scenario.fakeStore.limits = { valueBytes: SMALL_VALUE_BYTES, txnOps: 4 };
+  for (let task = 0; task < 150; task += 2) scenario.exitTask(task);
+  scenario.writer.flush(scenario.job);
+  await scenario.clock.advance(100);
+  scenario.checkNothingLost();
+  await scenario.clock.advance(20_000);
+  scenario.checkAllRecorded();
 });
 
-test('a gang keeps its phase over the change of layout, and forgets one that is over', async () => {
-  const leadership = new Leadership({ tasks: 4, kind: 'gang' }, 1);
-  const gang = leadership.job.gang!;
-  for (let task = 0; task < 4; task++) leadership.place(task);
+test('a gang keeps its phase through the change of layout, and a later phase replaces it', async () => {
+  const scenario = new LeaderScenario({ tasks: 4, kind: 'gang' }, 1);
+  const gang = scenario.job.gang!;
+  for (let task = 0; task < 4; task++) scenario.placeTask(task);
   gang.phase = 'placed';
-  leadership.writer.flush(leadership.job);
-  await leadership.clock.advance(100);
-  leadership.ranged = true;
-  leadership.writer.rewriteSuperseded(leadership.job);
-  await leadership.clock.advance(1000);
-  assert.equal(leadership.successor().gang!.phase, 'placed');
+  scenario.writer.flush(scenario.job);
+  await scenario.clock.advance(100);
+  scenario.rangesWanted = true;
+  scenario.writer.rewriteSuperseded(scenario.job);
+  await scenario.clock.advance(1000);
+  assert.equal(scenario.restoreSuccessor().gang!.phase, 'placed');
   assert.deepEqual(
-    [...leadership.fakeStore.keys.keys()].filter((k) => k.startsWith('runs/')),
-    [`runs/${ID}/p0`],
+    [...scenario.fakeStore.keys.keys()].filter((key) => key.startsWith('runs/')),
+    [`runs/${JOB_ID}/p0`],
   );
   gang.phase = 'queued';
-  leadership.job.markDirty(0);
-  leadership.writer.flush(leadership.job);
-  await leadership.clock.advance(1000);
-  assert.equal(leadership.successor().gang!.phase, 'queued');
+  scenario.job.markDirty(0);
+  scenario.writer.flush(scenario.job);
+  await scenario.clock.advance(1000);
+  assert.equal(scenario.restoreSuccessor().gang!.phase, 'queued');
 });
 
-test('a job over with more records than one transaction may delete closes without a gap', async () => {
-  const leadership = new Leadership({ tasks: 900 }, 5);
-  leadership.ranged = true;
-  leadership.fakeStore.limits = { valueBytes: SMALL, txnOps: 4 };
-  for (let task = 0; task < 900; task++) leadership.place(task);
-  leadership.writer.flush(leadership.job);
-  await leadership.clock.advance(5000);
-  assert.equal(leadership.recorded.size, 900);
-  for (let task = 0; task < 900; task++) leadership.exit(task);
-  leadership.job.phase = 'done';
-  leadership.job.isPhaseStored = false;
-  leadership.writer.flush(leadership.job);
-  const runs = (): number =>
-    [...leadership.fakeStore.keys.keys()].filter((k) => k.startsWith('runs/')).length;
-  const all = runs();
-  assert.ok(all > 6, `${all} records`);
-  // While some of its records are gone and others not, its own says that it is over.
-  let between = 0;
-  for (let i = 0; i < 400 && runs() > 0; i++) {
-    leadership.fate = i % 7 === 3 ? 'lose answer' : 'serve';
-    const { phase } = leadership.fakeStore.get(`jobs/${ID}`) as { phase: string };
-    if (runs() < all) {
-      between++;
+test('a job with more run records than one transaction may delete is stored as done before any is deleted', async () => {
+  const scenario = new LeaderScenario({ tasks: 900 }, 5);
+  scenario.rangesWanted = true;
+  scenario.fakeStore.limits = { valueBytes: SMALL_VALUE_BYTES, txnOps: 4 };
+  for (let task = 0; task < 900; task++) scenario.placeTask(task);
+  scenario.writer.flush(scenario.job);
+  await scenario.clock.advance(5000);
+  assert.equal(scenario.recorded.size, 900);
+  for (let task = 0; task < 900; task++) scenario.exitTask(task);
+  scenario.job.phase = 'done';
+  scenario.job.isPhaseStored = false;
+  scenario.writer.flush(scenario.job);
+  const runCount = (): number =>
+    [...scenario.fakeStore.keys.keys()].filter((key) => key.startsWith('runs/')).length;
+  const initialRunCount = runCount();
+  assert.ok(initialRunCount > 6, `${initialRunCount} records`);
+  // While only some run records are deleted, the job record says that the job is done.
+  let partialDeletions = 0;
+  for (let i = 0; i < 400 && runCount() > 0; i++) {
+    scenario.fate = i % 7 === 3 ? 'lose answer' : 'serve';
+    const { phase } = scenario.fakeStore.get(`jobs/${JOB_ID}`) as { phase: string };
+    if (runCount() < initialRunCount) {
+      partialDeletions++;
       assert.equal(phase, 'done');
     }
-    await leadership.clock.advance(20);
+    await scenario.clock.advance(20);
   }
-  assert.ok(between > 0);
-  await leadership.clock.advance(5000);
-  assert.equal(runs(), 0);
-  assert.equal(leadership.job.isArchived, true);
-  const last = leadership.fakeStore.get(`jobs/${ID}`) as object;
-  assert.ok(!('spec' in last));
+  assert.ok(partialDeletions > 0);
+  await scenario.clock.advance(5000);
+  assert.equal(runCount(), 0);
+  assert.equal(scenario.job.isArchived, true);
+  const finalRecord = scenario.fakeStore.get(`jobs/${JOB_ID}`) as object;
+  assert.ok(!('spec' in finalRecord));
 });
 
-test('the final state of a job whose description is larger than the store takes by now is stored', async () => {
+test('the final state of a job is stored although its spec exceeds the lowered limit of the store', async () => {
   const types = Array.from({ length: 400 }, (_, i) => `type-${i}`);
-  const leadership = new Leadership({ tasks: 900, types }, 5);
-  leadership.ranged = true;
-  leadership.fakeStore.limits = { valueBytes: SMALL, txnOps: 4 };
-  for (let task = 0; task < 900; task++) leadership.place(task);
-  leadership.writer.flush(leadership.job);
-  await leadership.clock.advance(5000);
-  for (let task = 0; task < 900; task++) leadership.exit(task);
-  leadership.job.phase = 'done';
-  leadership.job.isPhaseStored = false;
-  leadership.writer.flush(leadership.job);
-  await leadership.clock.advance(5000);
-  assert.equal(leadership.job.isArchived, true);
-  assert.equal(leadership.fakeStore.rejected, 1, 'only the one that showed the limits');
+  const scenario = new LeaderScenario({ tasks: 900, types }, 5);
+  scenario.rangesWanted = true;
+  scenario.fakeStore.limits = { valueBytes: SMALL_VALUE_BYTES, txnOps: 4 };
+  for (let task = 0; task < 900; task++) scenario.placeTask(task);
+  scenario.writer.flush(scenario.job);
+  await scenario.clock.advance(5000);
+  for (let task = 0; task < 900; task++) scenario.exitTask(task);
+  scenario.job.phase = 'done';
+  scenario.job.isPhaseStored = false;
+  scenario.writer.flush(scenario.job);
+  await scenario.clock.advance(5000);
+  assert.equal(scenario.job.isArchived, true);
+  assert.equal(scenario.fakeStore.rejected, 1, 'only the write that revealed the limits');
 });
 
-const size = (value: unknown): number => Buffer.byteLength(JSON.stringify(value));
+const jsonBytes = (value: unknown): number => Buffer.byteLength(JSON.stringify(value));
--- a/test/stored-formats.test.ts
+++ b/test/stored-formats.test.ts
@@ -21,20 +21,21 @@
 import { SimulatedCluster } from './fakes/simulated-cluster.js';
 
 /**
- * Samples of every kind of stored record and of every frame, taken from 6ff30a8 by playing the seeded
- * search: one of each shape and phase. The bytes that this tree writes are compared by the behavior
- * trace and by `released-samples.test.ts`; here nothing may be lost that 6ff30a8 wrote.
+ * Reads samples of every kind of stored record and of every frame that 6ff30a8 wrote during the
+ * seeded fault search, one of each shape and phase. These tests check that no field of them is lost
+ * in parsing; the bytes that this version writes are compared by the behavior trace and by
+ * `released-samples.test.ts`.
  */
-const read = (name: string): unknown =>
+const readFixture = (name: string): unknown =>
   JSON.parse(
     readFileSync(new URL(`../../../test/fixtures/6ff30a8-${name}.json`, import.meta.url), 'utf8'),
   ) as unknown;
 
 type Samples = Record<string, { key: string; value: object }[]>;
 
-const samples = read('records') as Samples;
+const samples = readFixture('records') as Samples;
 
-/** What reads each kind of record, into the form in which it is written again. */
+/** The parser of each kind of record; its result has the form in which the record is written. */
 const READERS: Record<string, (value: unknown) => unknown> = {
   jobs: parseJob,
   'runs/': parseRun,
@@ -50,7 +51,7 @@
 };
 
 for (const [kind, readRecord] of Object.entries(READERS)) {
-  test(`records ${kind} of 6ff30a8 are read without a loss`, () => {
+  test(`records ${kind} of 6ff30a8 are parsed without loss`, () => {
     assert.ok(samples[kind]!.length > 0);
     for (const { key, value } of samples[kind]!) {
       assert.deepEqual(readRecord(value), value, key);
@@ -61,7 +62,9 @@
 const shapeOf = (value: unknown): unknown => {
   if (Array.isArray(value)) return value.slice(0, 1).map(shapeOf);
   if (typeof value !== 'object' || value === null) return value === null ? 'null' : typeof value;
-  return Object.fromEntries(Object.entries(value).map(([name, of]) => [name, shapeOf(of)]));
+  return Object.fromEntries(
+    Object.entries(value).map(([name, fieldValue]) => [name, shapeOf(fieldValue)]),
+  );
 };
 
 test('the leader key, member records and machine types have the form of 6ff30a8', async () => {
@@ -79,8 +82,8 @@
   await simulatedCluster.close();
 });
 
-test('frames of 6ff30a8 are understood, and ours have the very same bytes', () => {
-  for (const { message, hex } of read('frames') as FrameSample[]) {
+test('frames of 6ff30a8 are decoded, and encoded to the same bytes', () => {
+  for (const { message, hex } of readFixture('frames') as FrameSample[]) {
     const expected = inCurrentNames(message);
     assert.deepEqual(new Decoder().push(Buffer.from(hex, 'hex')), [expected]);
     assert.equal(encode(expected).toString('hex'), hex);
