--- a/test/scale.test.ts
+++ b/test/scale.test.ts
@@ -2,14 +2,14 @@
 import { test } from 'node:test';
 import { SimulatedCluster } from './fakes/simulated-cluster.js';
 
-/** The size at which operators run the service. */
+/** The fleet size at which operators run the service. */
 const MACHINES = 4000;
 
-/** Jobs of a hundred replicas each, two on a machine. */
+/** Services of a hundred replicas each, two of which fit on a machine. */
 const JOBS = 80;
 const REPLICAS = 100;
 
-test(`${MACHINES} machines: all work is placed, and a next leader adopts all of it`, async () => {
+test(`${MACHINES} machines: all replicas are placed, and the next leader takes over all of them`, async () => {
   const machines = Array.from({ length: MACHINES }, (_, i) => ({ yard: i % 2 ? 'a' : 'b' }));
   const simulatedCluster = new SimulatedCluster(machines, 2, 0, { rps: 2000, writeRps: 500 });
   simulatedCluster.cloud.capacity = MACHINES;
@@ -35,8 +35,8 @@
   const starts = simulatedCluster.starts.length;
   simulatedCluster.crash(simulatedCluster.leader);
   await simulatedCluster.pass(20);
-  assert.equal(running(), JOBS * REPLICAS, 'nothing that ran was lost');
-  assert.equal(simulatedCluster.starts.length, starts, 'and nothing was started again');
+  assert.equal(running(), JOBS * REPLICAS, 'no running replica was lost');
+  assert.equal(simulatedCluster.starts.length, starts, 'no replica was started again');
   assert.equal(await simulatedCluster.phase(jobs[0]!, simulatedCluster.leader), 'running');
   await simulatedCluster.close();
 });
--- a/test/three-zones-saves.test.ts
+++ b/test/three-zones-saves.test.ts
@@ -4,7 +4,8 @@
 import { machines } from './fakes/fault-scenario.js';
 import { SimulatedCluster } from './fakes/simulated-cluster.js';
 
-// Five controllers in three zones; 24 machines of 8 GPUs, all taken by one sweep, and none to be rented.
+// Five controllers in three zones; 24 machines with 8 GPUs, all used by one sweep, and no others to
+// provision.
 
 const MACHINES = machines('aaaaaaaabbbbbbbbcccccccc');
 const GPUS = MACHINES.length * 8;
@@ -12,7 +13,7 @@
 const SAVE_S = 6;
 const FETCH_S = 2;
 
-/** A sweep whose tasks lose 10 s of work on average when they are not saved. */
+/** A sweep whose tasks lose 10 s of work on average when they stop without a checkpoint. */
 const SWEEP = {
   pieces: GPUS,
   runMs: 600_000,
@@ -22,17 +23,28 @@
 };
 
 async function replicasRunSoon(cluster: SimulatedCluster): Promise<void> {
-  const wish = { shape: 'service', pieces: REPLICAS, gpus: 2, runMs: 0, crew: 'speech' } as const;
-  const service = await cluster.accept({ ...wish, fetchMs: FETCH_S * 1000, urgency: 'production' });
+  const template = {
+    shape: 'service',
+    pieces: REPLICAS,
+    gpus: 2,
+    runMs: 0,
+    crew: 'speech',
+  } as const;
+  const service = await cluster.accept({
+    ...template,
+    fetchMs: FETCH_S * 1000,
+    urgency: 'production',
+  });
   const askedAt = cluster.clock.now();
   await cluster.until(() => cluster.running(service) === REPLICAS, 30, 'the replicas run');
   const tookS = (cluster.clock.now() - askedAt) / 1000;
   assert.ok(tookS < FETCH_S + SAVE_S, `took ${tookS} s`);
 }
 
-// Guards that a save is weighed against the work that is lost on average, not at most: replicas with
-// seconds to begin waited for saves of tasks that had hardly more to lose.
-test(`replicas on ${MACHINES.length} full machines do not wait for a sweep to save, whoever leads`, async () => {
+// Guards that the time of a save is compared with the average loss of work, not with the maximum:
+// replicas that should start within seconds once waited for saves of tasks that had little more to
+// lose than the save took.
+test(`replicas on ${MACHINES.length} full machines do not wait for a sweep to save, also after a change of leader`, async () => {
   const simulatedCluster = new SimulatedCluster(MACHINES, THREE_ZONES, 1, {}, 24);
   simulatedCluster.cloud.capacity = MACHINES.length;
   await simulatedCluster.start();
@@ -40,14 +52,14 @@
   await simulatedCluster.until(
     () => simulatedCluster.running(sweep) === GPUS,
     60,
-    'the sweep has every machine',
+    'the sweep uses every machine',
   );
   await simulatedCluster.pass(25);
   await replicasRunSoon(simulatedCluster);
-  const former = simulatedCluster.leader;
-  simulatedCluster.crash(former);
+  const formerLeader = simulatedCluster.leader;
+  simulatedCluster.crash(formerLeader);
   await simulatedCluster.pass(10);
-  simulatedCluster.restart(former);
+  simulatedCluster.restart(formerLeader);
   await simulatedCluster.pass(10);
   await replicasRunSoon(simulatedCluster);
   void simulatedCluster.cancelling(sweep);
--- a/test/three-zones-scale.test.ts
+++ b/test/three-zones-scale.test.ts
@@ -7,7 +7,7 @@
   zoneAndLeaderAreLost,
 } from './fakes/three-zones.js';
 
-// The shape of `three-zones` at the size at which its operators run it.
+// The deployment of `three-zones.test.ts` at the size at which operators run it.
 
 const SIZE: StorySize = {
   machinesPerZone: 59,
@@ -19,12 +19,12 @@
 };
 const MACHINES = SIZE.machinesPerZone * 3;
 
-test(`${MACHINES} machines: a zone is lost with its controllers, the leader ends, and all goes on`, async () => {
+test(`${MACHINES} machines: all work continues when a zone fails with its controllers and the leader crashes`, async () => {
   const { w: cluster, work } = await beginInThreeZones(1, SIZE);
   await zoneAndLeaderAreLost(cluster, work, 'a');
 });
 
-test(`${MACHINES} machines: all controllers end at once and come back, and no replica starts again`, async () => {
+test(`${MACHINES} machines: no replica starts again when all controllers crash and restart at once`, async () => {
   const { w: cluster, work } = await beginInThreeZones(2, SIZE);
   await cluster.until(() => allReplicasRun(cluster, work), 40, 'all replicas run');
   const replicaStarts = (): number =>
--- a/test/three-zones.test.ts
+++ b/test/three-zones.test.ts
@@ -8,9 +8,9 @@
   zoneAndLeaderAreLost,
 } from './fakes/three-zones.js';
 
-// Five controllers in three zones, reports every 2 s, leases of 16 s, a store of 30 changes a second and
-// values of 32 KiB; 24 machines of 8 GPUs, and 16 more that can be rented. Nearly all of the fleet is
-// within a guarantee, and no limit is smaller than it.
+// Five controllers in three zones, heartbeats every 2 s, leases of 16 s, a store with 30 writes a
+// second and values of 32 KiB; 24 machines with 8 GPUs, and 16 more that can be provisioned.
+// Guarantees cover nearly all of the fleet, and no limit is smaller than the fleet.
 
 const SIZE: StorySize = {
   machinesPerZone: 8,
@@ -22,13 +22,13 @@
 };
 
 for (const zone of ['a', 'c']) {
-  test(`zone ${zone} is lost with its controllers, and the leader ends: all goes on in the others`, async () => {
+  test(`work continues in the other zones when zone ${zone} fails with its controllers and the leader crashes`, async () => {
     const { w: cluster, work } = await beginInThreeZones(1, SIZE);
     await zoneAndLeaderAreLost(cluster, work, zone);
   });
 }
 
-test('zones that are cut off from each other for longer than a lease keep their work, also when the leader ends', async () => {
+test('tasks keep running when zones are partitioned for longer than a lease and the leader crashes', async () => {
   const { w: cluster, work } = await beginInThreeZones(2, SIZE);
   const starts = cluster.starts.length;
   cluster.split(true);
@@ -39,12 +39,12 @@
   cluster.restartAll();
   await cluster.pass(10);
   assert.ok(allReplicasRun(cluster, work));
-  assert.equal(cluster.starts.length, starts, 'nothing had to start again');
+  assert.equal(cluster.starts.length, starts, 'no task was started again');
   await cluster.settle(150);
   await cluster.close();
 });
 
-test('all five controllers end in an outage of the store', async () => {
+test('all five controllers crash during an outage of the store', async () => {
   const { w: cluster } = await beginInThreeZones(3, SIZE);
   cluster.faults.outage();
   await cluster.pass(17);
@@ -57,7 +57,7 @@
   await cluster.close();
 });
 
-test('all controllers are restarted one after the other while the cloud is out', async () => {
+test('all controllers are restarted one after another during an outage of the cloud', async () => {
   const { w: cluster, work } = await beginInThreeZones(4, SIZE);
   cluster.cloud.down = true;
   for (const i of cluster.nodes.keys()) {
