--- a/test/failing-jobs.test.ts
+++ b/test/failing-jobs.test.ts
@@ -25,14 +25,14 @@
   return job;
 }
 
-async function cancelAll(cluster: SimulatedCluster, jobs: string[]): Promise<void> {
+async function cancelJobs(cluster: SimulatedCluster, jobs: string[]): Promise<void> {
   for (const job of jobs) await cluster.cancel(job);
 }
 
 const SCENARIOS: FaultScenario[] = [
   {
-    // Failures of two jobs once marked a machine as faulty, so that jobs that fail on every machine
-    // caused the whole fleet to be released.
+    // Failures of two jobs on a machine once marked it as faulty, so that jobs that fail on every
+    // machine caused the whole fleet to be released.
     name: 'jobs that fail on every machine cause few starts and no release of machines, also when leaders crash',
     play: async (cluster, seed) => {
       const baseJob = await keepBusy(cluster);
@@ -75,7 +75,7 @@
       // healthy job is no longer needed and may be released.
       assert.ok([...cluster.cloud.hosts.keys()].every((id) => machinesBefore.has(id)));
       assert.ok(cluster.cloud.hosts.size >= machinesBefore.size - 1);
-      await cancelAll(cluster, failing);
+      await cancelJobs(cluster, failing);
     },
   },
   {
@@ -93,7 +93,7 @@
       await cluster.until(() => faultyWorker.dead, 60, 'the faulty machine is released');
       assert.ok(busy.every((worker) => !worker.dead));
       assert.equal(cluster.running(baseJob), 4);
-      await cancelAll(cluster, failing);
+      await cancelJobs(cluster, failing);
     },
   },
   {
--- a/test/fleet.test.ts
+++ b/test/fleet.test.ts
@@ -10,7 +10,10 @@
 const MAX_HEARTBEAT_AGE_MS = LEASE_MS / 3;
 const TOKEN = 7;
 
-/** A new leader's fleet with one machine; collects the tasks that are running, exited or lost. */
+/**
+ * A new leader's fleet with one machine. Collects the tasks that heartbeats prove to be running,
+ * exited or lost.
+ */
 class FleetScenario {
   readonly running: number[] = [];
   readonly exited: number[] = [];
@@ -157,7 +160,7 @@
   const scenario = new FleetScenario();
   scenario.place(0, 'recovered');
   scenario.place(1, 'recovered');
-  // Copies from before its term: one from when the first start had not been executed yet.
+  // Copies from before its term; the first was sent before the start of task 0 was executed.
   assert.deepEqual(scenario.heartbeat(0, { sequence: 3, fencingToken: 4 }), []);
   assert.deepEqual(
     scenario.heartbeat(10, { sequence: 2, fencingToken: 4, tasks: [statusOf(1, 'exited')] }),
--- a/test/gang-gate.test.ts
+++ b/test/gang-gate.test.ts
@@ -51,7 +51,7 @@
     await simulatedCluster.pass(1);
     assert.ok(simulatedCluster.clock.now() < 100_000);
   }
-  // Both waited for machines, and these booted at the same time.
+  // The machines of both gangs booted at the same time, so that they waited for one boot in all.
   await simulatedCluster.until(
     () => simulatedCluster.running(second) === 2,
     20,
--- a/test/idle-machines.test.ts
+++ b/test/idle-machines.test.ts
@@ -6,7 +6,7 @@
   const idle = new IdleMachines(0, true);
   const counts = [6, 4, 9, 7, 5, 8];
   const surplus = counts.map((count, i) => idle.surplus('g8', count, i * 10_000, 30_000));
-  // A new leader counts half of the idle timeout as past; later the minimum of 30 s counts.
+  // A new leader counts half of the idle timeout as past; later the minimum over 30 s counts.
   assert.deepEqual(surplus, [0, 0, 4, 4, 4, 5]);
 });
 
--- a/test/scheduling-cycle.test.ts
+++ b/test/scheduling-cycle.test.ts
@@ -143,12 +143,12 @@
 });
 
 test('a one-zone job stays in the zone where one of its tasks may still run', () => {
-  const held = job(
+  const placedJob = job(
     { oneZone: true, tasks: 3 },
     { waitingTasks: 2, tasksByZone: new Map([['b', 1]]) },
   );
-  const only = schedule(snapshot({ machines: [machine('m1')], jobs: [held] }));
-  assert.equal(startedTasks(only, held.id), 0);
+  const plan = schedule(snapshot({ machines: [machine('m1')], jobs: [placedJob] }));
+  assert.equal(startedTasks(plan, placedJob.id), 0);
 });
 
 test('only jobs that allow spot instances get one, and nothing is provisioned beside a booting machine', () => {
@@ -322,7 +322,7 @@
   assert.deepEqual([waitingPlan.stops, waitingPlan.admittedGang], [[], null]);
   // 24 tasks of the array and 2 of the gang found no capacity, and a machine holds 6.
   assert.equal(provisioned(waitingPlan), 5);
-  // Running backfill frees capacity for as many tasks.
+  // Capacity that running tasks free soon counts for the tasks that fit on it.
   assert.equal(provisioned(run(true, { cpusFreedSoon: 13 * 8 })), 3);
   assert.equal(provisioned(run(true, { cpusFreedSoon: 26 * 8 })), 0);
   // Jobs that still wait for dependencies count too, and none of their tasks starts.
@@ -412,22 +412,26 @@
   );
   assert.equal(inTime.scaleOut[0]?.count, 2);
   // A job with a guarantee goes first, and opportunistic work leaves its reservation alone.
-  const claim = job({ kind: 'gang', tasks: 2, need: { cpus: 43, gpus: 8, memoryGb: 230 } });
+  const guaranteedGang = job({
+    kind: 'gang',
+    tasks: 2,
+    need: { cpus: 43, gpus: 8, memoryGb: 230 },
+  });
   const both = schedule(
-    withOpportunisticTeam({ machines: [machine('m1')], jobs: [...jobs, claim] }),
+    withOpportunisticTeam({ machines: [machine('m1')], jobs: [...jobs, guaranteedGang] }),
   );
   assert.equal(startedTasks(both, jobs[0]!.id), 0);
 });
 
 test('a machine that runs only opportunistic work is idle, and drainable if all of it fits elsewhere', () => {
   // A few opportunistic tasks on each of 100 machines once kept all of them up for minutes.
-  const held = opportunisticJob(0, { tasks: 5 }, { waitingTasks: 0 });
+  const placedJob = opportunisticJob(0, { tasks: 5 }, { waitingTasks: 0 });
   const replica = job({ kind: 'service', priority: Priority.Production }, { waitingTasks: 0 });
   const candidatesOn = (machineId: string, tasks: number[]): PreemptionCandidate[] =>
-    tasks.map((task) => ({ ...runningTasks(held, 1)[0]!, task, machine: machineId }));
+    tasks.map((task) => ({ ...runningTasks(placedJob, 1)[0]!, task, machine: machineId }));
   const used = (count: number): Partial<MachineView> => ({
     free: { cpus: 48 - 12 * count, gpus: 8, memoryGb: 288 - 4 * count },
-    tasksByJob: new Map([[held.id, count]]),
+    tasksByJob: new Map([[placedJob.id, count]]),
   });
   const inUse = { free: { cpus: 20, gpus: 1, memoryGb: 9 }, tasksOf: new Map([[replica.id, 3]]) };
   const run = (
@@ -437,7 +441,7 @@
     schedule(
       withOpportunisticTeam({
         machines: [machine('m1', used(1)), machine('m2', used(tasksOnM2)), machine('m3', inUse)],
-        jobs: [held, replica],
+        jobs: [placedJob, replica],
         preemptionCandidates: [
           ...candidatesOn('m1', [0]).map((candidate) => ({ ...candidate, ...candidateOverrides })),
           ...candidatesOn('m2', [1, 2, 3, 4].slice(0, tasksOnM2)),
--- a/test/settings.test.ts
+++ b/test/settings.test.ts
@@ -144,8 +144,8 @@
   assert.ok(former!.listener.allowed.allows('10.1.1.1'));
   assert.ok(!former!.listener.allowed.allows('127.0.0.1'));
   const probe = '<rollout><probe>http://{host}:9100/{job}/{task}/{attempt}</probe></rollout>';
-  const beside = await load(`<shares><listen>a:1</listen></shares>${probe}`);
-  assert.deepEqual([beside!.create.length, beside!.listener.address], [2, 'a:1']);
+  const withRollout = await load(`<shares><listen>a:1</listen></shares>${probe}`);
+  assert.deepEqual([withRollout!.create.length, withRollout!.listener.address], [2, 'a:1']);
   const listener = '<operators><listen>b:2</listen><allow>10.0.0.0/8</allow></operators>';
   const both = await load(`${listener}<shares><enabled>yes</enabled></shares>${probe}`);
   assert.deepEqual([both!.create.length, both!.listener.address], [2, 'b:2']);
