--- a/packages/rollout/src/api.ts
+++ b/packages/rollout/src/api.ts
@@ -1,6 +1,6 @@
 /**
- * The operators' interface for rollouts at any controller, leading or not: it rests on the store alone.
- * Commands are stored here; only the leader carries them out.
+ * The operators' API for rollouts. Any controller serves it, leading or not, since it reads and writes only
+ * the store. It stores commands; only the leader executes them.
  */
 import {
   answering,
@@ -9,7 +9,7 @@
   retryingConflicts,
   type ApiAnswer,
 } from '@leverhatch/operators/api-answer';
-import { historyOf, losingJob } from './history.js';
+import { historyOf, retiredJob } from './history.js';
 import { ROLLOUT_KEYS, WRITE_ID } from './keys.js';
 import type { RolloutPorts } from './ports.js';
 import { RolloutAdmission } from './rollout-admission.js';
@@ -21,14 +21,14 @@
   type Rollout,
 } from './rollout-repository.js';
 import { isSameRequest, newSpec, parseRequest, type RolloutRequest } from './request.js';
-import { batchesOf, shownRollout, type LeadingRollouts } from './rollout-view.js';
+import { batchesOf, rolloutView, type LeadingRollouts } from './rollout-view.js';
 import type { SpecRecord } from './spec.js';
 import type { ManifestRecord } from './status.js';
 
-/** Requests of operators have the priority of users' other writes. */
+/** Store priority of operators' requests, the same as that of users' other writes. */
 const REQUEST_PRIORITY = 1;
 
-/** A command to an open rollout. */
+/** A command for an open rollout. */
 export type RolloutCommand = 'pause' | 'resume' | 'rollback';
 
 /** Answers operators' requests. */
@@ -38,16 +38,16 @@
 
   constructor(
     private readonly ports: RolloutPorts,
-    /** Identifies this process in its write ids. */
+    /** Unique id of this process; part of its write ids. */
     processId: string,
-    /** The view of this controller while it leads; null: it does not. */
+    /** The leader's live view of rollouts; null while this controller does not lead. */
     private readonly leading: () => LeadingRollouts | null,
   ) {
     this.writeIds = new WriteIds(processId, 'o');
     this.admission = new RolloutAdmission(ports);
   }
 
-  /** Stores a request; the same one again gets the state of the first. */
+  /** Stores a request. Repeating it returns the state of the rollout that it started. */
   start(body: unknown): Promise<ApiAnswer> {
     return this.answering(() => {
       const request = parseRequest(body);
@@ -55,11 +55,11 @@
     });
   }
 
-  /** The answer; null: the records have changed since they were read. */
+  /** The answer; null if the records have changed since they were read. */
   private async tryToStart(request: RolloutRequest): Promise<ApiAnswer | null> {
     const repository = await this.read();
     const known = repository.rollout(request.id);
-    if (known) return this.repeated(known, request);
+    if (known) return this.answerRepeated(known, request);
     const refusal = await this.admission.refusalOf(request, repository);
     if (refusal) return refusal;
     const spec = newSpec(request, this.writeIds.next(), this.ports.clock.wall());
@@ -67,10 +67,10 @@
     const { id, from, to } = spec;
     this.ports.log.info({ rollout: id, from, to }, 'rollout accepted');
     const rollout = { id, spec: { record: spec, version: 0 }, status: null };
-    return { status: 201, body: this.shown(rollout) };
+    return { status: 201, body: this.view(rollout) };
   }
 
-  /** Answers what a rollout would do, without starting it. */
+  /** Returns what a rollout would do, without starting it. */
   plan(body: unknown): Promise<ApiAnswer> {
     return this.answering(async () => {
       const request = parseRequest(body);
@@ -83,7 +83,10 @@
     });
   }
 
-  /** Changes the manifest too, so that starts planned without knowledge of this rollout are refused. */
+  /**
+   * Commits the spec together with a new manifest, so that the store rejects starts that were planned before
+   * the leader knew of this rollout.
+   */
   private async store(spec: SpecRecord, repository: RolloutRepository): Promise<boolean> {
     const key = ROLLOUT_KEYS.spec(spec.id);
     const manifest: ManifestRecord = {
@@ -104,20 +107,20 @@
     return ok;
   }
 
-  private repeated(known: Rollout, request: RolloutRequest): ApiAnswer {
+  private answerRepeated(known: Rollout, request: RolloutRequest): ApiAnswer {
     const { id } = known;
     if (!isReadable(known)) return errorAnswer(409, `id: the record of ${id} cannot be read`);
     if (!isSameRequest(request, known.spec.record))
       return errorAnswer(409, `id: ${id} names another rollout`);
-    return { status: 200, body: this.shown(known) };
+    return { status: 200, body: this.view(known) };
   }
 
-  /** Stores a command; a repeated one gets the state of the rollout. */
+  /** Stores a command. Repeating it returns the state of the rollout and writes nothing. */
   order(id: string, command: RolloutCommand): Promise<ApiAnswer> {
     return this.answering(() => retryingConflicts(() => this.tryToCommand(id, command)));
   }
 
-  /** The answer; null: the record has changed since it was read. */
+  /** The answer; null if the record has changed since it was read. */
   private async tryToCommand(id: string, command: RolloutCommand): Promise<ApiAnswer | null> {
     const rollout = (await this.read()).rollout(id);
     if (!rollout) return errorAnswer(404, `id: no rollout ${id}`);
@@ -125,9 +128,9 @@
     const refusal = commandRefusal(command, rollout);
     if (refusal !== null) return errorAnswer(409, `id: rollout ${id} ${refusal}`);
     const { record, version } = rollout.spec;
-    const next = { ...record, ...CHANGES[command] };
+    const next = { ...record, ...COMMAND_CHANGES[command] };
     if (next.paused === record.paused && next.rollback === record.rollback) {
-      return { status: 200, body: this.shown(rollout) };
+      return { status: 200, body: this.view(rollout) };
     }
     const spec = { ...next, [WRITE_ID]: this.writeIds.next() };
     const key = ROLLOUT_KEYS.spec(id);
@@ -135,41 +138,43 @@
     const outcome = await this.ports.store.tryCommit([{ key, version }], put, REQUEST_PRIORITY);
     if (!outcome.ok) return null;
     this.ports.log.info({ rollout: id, command }, 'rollout command accepted');
-    return { status: 200, body: this.shown({ ...rollout, spec: { record: spec, version } }) };
+    return { status: 200, body: this.view({ ...rollout, spec: { record: spec, version } }) };
   }
 
-  /** Open rollouts, and finished ones whose losing job its user has not cancelled. */
+  /** Open rollouts, and finished ones whose retired job has not been cancelled by its user. */
   status(): Promise<ApiAnswer> {
     return this.answering(async () => {
       const repository = await this.read();
       const open = repository.rollouts.filter(isOpen).filter(isReadable);
-      const held = await this.heldRollouts(repository);
-      const rollouts = [...open, ...held].map((rollout) => this.shown(rollout));
+      const finished = await this.rolloutsWithOpenRetiredJob(repository);
+      const rollouts = [...open, ...finished].map((rollout) => this.view(rollout));
       const leading = this.leading() !== null;
       return { status: 200, body: { leading, rollouts, unreadable: repository.unreadableKeys() } };
     });
   }
 
-  private async heldRollouts(repository: RolloutRepository): Promise<ReadableRollout[]> {
-    const held: ReadableRollout[] = [];
+  private async rolloutsWithOpenRetiredJob(
+    repository: RolloutRepository,
+  ): Promise<ReadableRollout[]> {
+    const matching: ReadableRollout[] = [];
     for (const rollout of historyOf(repository)) {
-      const loser = losingJob(rollout);
-      const job = loser === null ? null : await this.ports.readJob(loser);
-      if (job?.state === 'open') held.push(rollout);
+      const retired = retiredJob(rollout);
+      const job = retired === null ? null : await this.ports.readJob(retired);
+      if (job?.state === 'open') matching.push(rollout);
     }
-    return held;
+    return matching;
   }
 
-  /** Finished rollouts, the newest first. */
+  /** Finished rollouts, newest first. */
   history(): Promise<ApiAnswer> {
     return this.answering(async () => {
       const history = historyOf(await this.read()).reverse();
-      return { status: 200, body: { rollouts: history.map((rollout) => this.shown(rollout)) } };
+      return { status: 200, body: { rollouts: history.map((rollout) => this.view(rollout)) } };
     });
   }
 
-  private shown(rollout: ReadableRollout): object {
-    return shownRollout(rollout, isOpen(rollout) ? this.leading() : null);
+  private view(rollout: ReadableRollout): object {
+    return rolloutView(rollout, isOpen(rollout) ? this.leading() : null);
   }
 
   private async read(): Promise<RolloutRepository> {
@@ -182,14 +187,14 @@
   }
 }
 
-/** What each command changes in the spec. */
-const CHANGES: Record<RolloutCommand, Partial<SpecRecord>> = {
+/** The spec fields that each command sets. */
+const COMMAND_CHANGES: Record<RolloutCommand, Partial<SpecRecord>> = {
   pause: { paused: true },
   resume: { paused: false },
   rollback: { rollback: true },
 };
 
-/** Why a command cannot be carried out; null: it can. */
+/** Why a command is refused; null if it is accepted. */
 function commandRefusal(command: RolloutCommand, { spec, status }: ReadableRollout): string | null {
   const phase = status?.record.phase;
   if (phase && !isOpen({ id: '', spec, status })) return `is over (${phase})`;
--- a/packages/rollout/src/ceiling-tracker.ts
+++ b/packages/rollout/src/ceiling-tracker.ts
@@ -1,41 +1,41 @@
-/** The ceilings that the leader holds the scheduler to, also while a change of them is being written. */
+/** Tracks the ceilings that the leader enforces in the scheduler, also while a change of them is written. */
 import { ceilingsOf, lowerCeilings, type Ceilings } from './ceilings.js';
 import type { SchedulerPort } from './ports.js';
 import { isOpen, jobsOf, type Rollout } from './rollout-repository.js';
 import type { StatusRecord } from './status.js';
 
-/** Ceilings of one term, recomputed whenever the records change. */
+/** The ceilings of one term, recomputed whenever the records change. */
 export class CeilingTracker {
-  /** How many replicas of each job may be placed now. */
+  /** Maximum number of placed replicas per job, as enforced now. */
   private ceilings: Ceilings = new Map();
-  /** Jobs that open rollouts name. */
-  private rolling: ReadonlySet<string> = new Set();
-  /** The ceilings that the write in flight brings; null: none is in flight. */
+  /** Jobs named by open rollouts. */
+  private openRolloutJobs: ReadonlySet<string> = new Set();
+  /** The ceilings after the write in flight; null if there is none. */
   private pending: Ceilings | null = null;
-  /** What was placed of the jobs of unreadable rollouts, when they were found to be so. */
-  private readonly placedBefore = new Map<string, number>();
+  /** Placed replicas per job of a rollout with an unreadable status, counted when that was first seen. */
+  private readonly placedWhenUnreadable = new Map<string, number>();
 
   constructor(
     private readonly scheduler: Pick<SchedulerPort, 'job' | 'withdrawStarts'>,
     private readonly rollouts: () => readonly Rollout[],
   ) {}
 
-  /** How many replicas of a job may be placed; while a change is being written, the lower number. */
+  /** Maximum number of placed replicas of a job; the lower value while a change is being written. */
   placementLimit(job: string): number {
     return this.ceilings.get(job) ?? Infinity;
   }
 
   /** Whether an open rollout names a job. */
   isRolling(job: string): boolean {
-    return this.rolling.has(job);
+    return this.openRolloutJobs.has(job);
   }
 
-  /** Follows a change of the records. */
+  /** Recomputes the ceilings after the records changed. */
   recompute(): void {
     const rollouts = this.rollouts();
-    const current = ceilingsOf(rollouts, (job) => this.placedWhenFound(job));
+    const current = ceilingsOf(rollouts, (job) => this.placedOnFirstRead(job));
     this.ceilings = lowerCeilings(current, this.pending ?? current);
-    this.rolling = new Set(rollouts.filter(isOpen).flatMap(jobsOf));
+    this.openRolloutJobs = new Set(rollouts.filter(isOpen).flatMap(jobsOf));
     this.withdrawStarts();
   }
 
@@ -45,28 +45,29 @@
   }
 
   /**
-   * Holds the lower ceilings from before a status is written, and withdraws unsent starts beyond them: a
-   * start that was planned under the former ceilings must not be recorded under the next.
+   * Call before a status is written. Enforces the lower of the old and new ceilings until `endWrite`, and
+   * withdraws unsent starts above them, so that no start planned under the old ceilings is recorded under the
+   * new ones.
    */
   beginWrite(after: StatusRecord): void {
     const next = this.rollouts().map((rollout) =>
       rollout.id === after.id ? { ...rollout, status: { record: after, version: 0 } } : rollout,
     );
-    this.pending = ceilingsOf(next, (job) => this.placedWhenFound(job));
+    this.pending = ceilingsOf(next, (job) => this.placedOnFirstRead(job));
     this.recompute();
   }
 
-  /** The outcome of the write is known; the next `recompute` follows the records alone. */
+  /** Call when the outcome of the write is known. From the next `recompute` on, only the records count. */
   endWrite(): void {
     this.pending = null;
   }
 
-  private placedWhenFound(job: string): number {
-    const known = this.placedBefore.get(job);
+  private placedOnFirstRead(job: string): number {
+    const known = this.placedWhenUnreadable.get(job);
     if (known !== undefined) return known;
     const placed = this.scheduler.job(job)?.placed;
     if (placed === undefined) return 0;
-    this.placedBefore.set(job, placed);
+    this.placedWhenUnreadable.set(job, placed);
     return placed;
   }
 }
--- a/packages/rollout/src/ceilings.ts
+++ b/packages/rollout/src/ceilings.ts
@@ -1,24 +1,27 @@
-/** How many replicas of each job may be placed, as it follows from the records of all rollouts. */
+/** Derives the maximum number of placed replicas per job from the records of all rollouts. */
 import { isOpen, jobsOf, type Rollout } from './rollout-repository.js';
 
-/** How many replicas may be placed, by job; one that is absent has no limit. */
+/** Maximum number of placed replicas by job; a job without an entry is not limited. */
 export type Ceilings = ReadonlyMap<string, number>;
 
-/** A limit, with null for none, as a number. */
-const asNumber = (ceiling: number | null): number => ceiling ?? Infinity;
+/** Converts a recorded ceiling to a number; null means no limit. */
+const toLimit = (ceiling: number | null): number => ceiling ?? Infinity;
 
-/** Replicas placed of a job when the status of its rollout was found to be unreadable. */
-export type PlacedBefore = (job: string) => number;
+/** Replicas of a job that were placed when the status of its rollout was first found unreadable. */
+export type PlacedWhenUnreadable = (job: string) => number;
 
 /**
- * The ceilings of all jobs that rollouts name. From the accepted request on, no replica of the new version
- * may start before the leader has written a status. The losing job of a finished rollout stays without
- * replicas until a later rollout names it. Where a status cannot be read, both jobs keep what is placed.
+ * The ceilings of all jobs that rollouts name. Between the accepted request and the leader's first status,
+ * no replica of the new version may start. The retired job of a finished rollout gets no replicas until a
+ * later rollout names it. If a status cannot be read, both jobs keep the replicas that they have.
  */
-export function ceilingsOf(rollouts: readonly Rollout[], placedBefore: PlacedBefore): Ceilings {
+export function ceilingsOf(
+  rollouts: readonly Rollout[],
+  placedWhenUnreadable: PlacedWhenUnreadable,
+): Ceilings {
   const ceilings = new Map<string, number>();
   for (const rollout of rollouts) {
-    for (const [job, ceiling] of limitsOf(rollout, placedBefore)) {
+    for (const [job, ceiling] of limitsOf(rollout, placedWhenUnreadable)) {
       if (!isOpen(rollout) && isNamedLater(job, rollout, rollouts)) continue;
       ceilings.set(job, Math.min(ceiling, ceilings.get(job) ?? Infinity));
     }
@@ -26,7 +29,7 @@
   return ceilings;
 }
 
-/** Whether a later rollout names the job, so that the later one decides its ceiling. */
+/** Whether a later rollout names the job and therefore determines its ceiling. */
 function isNamedLater(job: string, finished: Rollout, rollouts: readonly Rollout[]): boolean {
   return rollouts.some((rollout) => {
     const phase = rollout.status?.record?.phase;
@@ -35,22 +38,25 @@
   });
 }
 
-function limitsOf(rollout: Rollout, placedBefore: PlacedBefore): [string, number][] {
+function limitsOf(
+  rollout: Rollout,
+  placedWhenUnreadable: PlacedWhenUnreadable,
+): [string, number][] {
   const { spec, status } = rollout;
   if (status?.record) {
     const { from, to, ceilings } = status.record;
     const limits: [string, number][] = [
-      [from, asNumber(ceilings.from)],
-      [to, asNumber(ceilings.to)],
+      [from, toLimit(ceilings.from)],
+      [to, toLimit(ceilings.to)],
     ];
     return limits.filter(([, limit]) => limit !== Infinity);
   }
   if (!spec.record) return [];
   if (status === null) return [[spec.record.to, 0]];
-  return jobsOf(rollout).map((job) => [job, placedBefore(job)]);
+  return jobsOf(rollout).map((job) => [job, placedWhenUnreadable(job)]);
 }
 
-/** The lower of both ceilings for each job. */
+/** The lower of the two ceilings of each job. */
 export function lowerCeilings(a: Ceilings, b: Ceilings): Ceilings {
   const lower = new Map(a);
   for (const [job, ceiling] of b) {
--- a/packages/rollout/src/command.ts
+++ b/packages/rollout/src/command.ts
@@ -1,4 +1,4 @@
-/** The operators' command for rollouts: its verbs, their options and what they print. */
+/** The `leverhatch rollout` command line: verbs, options and output. */
 import { randomUUID } from 'node:crypto';
 import {
   ask,
@@ -41,7 +41,7 @@
 const PERCENT = 100;
 
 /** Parses percentages such as `10,50,100` into fractions of 1. */
-function steps(text: string): number[] {
+function parseSteps(text: string): number[] {
   const fractions = text.split(',').map((word) => Number(word.trim()) / PERCENT);
   if (text.trim() === '' || fractions.some((fraction) => !Number.isFinite(fraction))) {
     throw new InvalidArgumentError('must be percentages such as 10,50,100.');
@@ -49,18 +49,18 @@
   return fractions;
 }
 
-function notNegative(text: string): number {
+function parseNonNegative(text: string): number {
   const value = Number(text);
   if (text.trim() !== '' && Number.isFinite(value) && value >= 0) return value;
   throw new InvalidArgumentError('must not be negative.');
 }
 
 /**
- * The body of a request.
+ * Builds the body of a start request.
  *
- * @throws InvalidInputError for what is wrong whatever controllers know
+ * @throws InvalidInputError for input that is invalid regardless of the state of the cluster
  */
-function startBody(options: StartOptions): object {
+function startRequestBody(options: StartOptions): object {
   const { from, to } = options;
   if (from === to) throw new InvalidInputError('to: must be another job than from');
   return {
@@ -72,7 +72,7 @@
   };
 }
 
-// ---- what is printed
+// ---- output
 
 interface ShownVersion {
   placed: number;
@@ -143,32 +143,32 @@
   ].join('\n');
 }
 
-// ---- the verbs
+// ---- verbs
 
 function addVerbs(add: AddVerb, report: Report): void {
   addStart(add, report);
   add('status', 'rollouts under way, and jobs that one left without replicas')
     .argument('[id]')
     .action(async (id: string | undefined, options: CommonOptions) => {
-      const answered = await askLeader(options.at, '/rollouts');
-      report(options, onlyNamed(answered, id), statusText);
+      const response = await askLeader(options.at, '/rollouts');
+      report(options, filterById(response, id), statusText);
     });
   add('history', 'rollouts that are over').action(async (options: CommonOptions) => {
-    const answered = await ask(options.at, 'GET', '/rollouts/history');
-    report(options, answered, (body) => rolloutsText(body.rollouts as ShownRollout[]));
+    const response = await ask(options.at, 'GET', '/rollouts/history');
+    report(options, response, (body) => rolloutsText(body.rollouts as ShownRollout[]));
   });
   addCommand(add, report, 'pause', 'holds a rollout where it is');
   addCommand(add, report, 'resume', 'lets a paused rollout go on');
   addCommand(add, report, 'rollback', 'brings the old version back; cannot be undone');
 }
 
-/** Narrows the answer to one rollout, where one is named. */
-function onlyNamed(
-  answered: Awaited<ReturnType<typeof ask>>,
+/** Reduces the response to one rollout if an id is given. */
+function filterById(
+  response: Awaited<ReturnType<typeof ask>>,
   id: string | undefined,
 ): Awaited<ReturnType<typeof ask>> {
-  const { status, body } = answered;
-  if (id === undefined || status >= 400) return answered;
+  const { status, body } = response;
+  if (id === undefined || status >= 400) return response;
   const rollouts = (body.rollouts as ShownRollout[]).filter((rollout) => rollout.id === id);
   if (rollouts.length > 0) return { status, body: { ...body, rollouts } };
   return { status: 404, body: { error: `id: no rollout ${id} is under way` } };
@@ -178,20 +178,20 @@
   add('start', 'starts a rollout; the new job may be submitted before or afterwards')
     .requiredOption('--from <job>', 'the service that runs')
     .requiredOption('--to <job>', 'the service that takes its place')
-    .option('--steps <percentages>', 'replicas of the new version after each step', steps)
+    .option('--steps <percentages>', 'replicas of the new version after each step', parseSteps)
     .option('--surge <replicas>', 'how many replicas may be placed beyond those of a job', positive)
     .option('--ready <seconds>', 'how long a new replica may run without being proven', positive)
     .option('--judge <seconds>', 'how long both versions are compared in each step', positive)
     .option('--samples <requests>', 'requests of each version that a verdict needs', positive)
     .option('--percentile <percentile>', 'which percentile of latency is compared', positive)
     .option('--ratio <ratio>', 'worse if that is above so many times the old one', positive)
-    .option('--errors <share>', 'worse if the error rate is higher by more', notNegative)
+    .option('--errors <share>', 'worse if the error rate is higher by more', parseNonNegative)
     .option('--id <id>', 'names the rollout: the same one again changes nothing')
     .option('--dry-run', 'says what it would do, without doing it')
     .action(async (options: StartOptions) => {
       const path = options.dryRun ? '/rollouts/plan' : '/rollouts';
-      const answered = await ask(options.at, 'POST', path, startBody(options));
-      report(options, answered, options.dryRun ? planText : phaseText);
+      const response = await ask(options.at, 'POST', path, startRequestBody(options));
+      report(options, response, options.dryRun ? planText : phaseText);
     });
 }
 
@@ -200,7 +200,7 @@
     .argument('<id>')
     .action(async (id: string, options: CommonOptions) => {
       const path = `/rollouts/${encodeURIComponent(id)}/${command}`;
-      const answered = await ask(options.at, 'POST', path, {});
-      report(options, answered, () => `${id}: ${command} ordered`);
+      const response = await ask(options.at, 'POST', path, {});
+      report(options, response, () => `${id}: ${command} ordered`);
     });
 }
--- a/packages/rollout/src/eligibility.ts
+++ b/packages/rollout/src/eligibility.ts
@@ -1,14 +1,14 @@
-/** Whether two jobs can be the old and the new version of one service. */
+/** Checks whether two jobs can be the old and the new version of one service. */
 import type { ScheduledJob, ServiceJob } from './ports.js';
 import type { SpecRecord } from './spec.js';
 
-/** The two jobs as the leader knows them; null: it knows none of that id. */
+/** The two jobs as the leader knows them; null if it knows no job of that id. */
 export interface ObservedJobs {
   from: ScheduledJob | null;
   to: ScheduledJob | null;
 }
 
-/** Why two jobs cannot be versions of one service, and which of them is to blame. */
+/** Why two jobs cannot be versions of one service, and which request field is invalid. */
 export interface VersionMismatch {
   field: 'from' | 'to';
   message: string;
@@ -22,11 +22,11 @@
 ): VersionMismatch | null {
   if (!from.isService) return { field: 'from', message: `job ${spec.from} is not a service` };
   if (to === null) return null;
-  const mismatch = successorMismatch(from, to);
+  const mismatch = newVersionMismatch(from, to);
   return mismatch === null ? null : { field: 'to', message: `job ${spec.to} ${mismatch}` };
 }
 
-function successorMismatch(from: ServiceJob, to: ServiceJob): string | null {
+function newVersionMismatch(from: ServiceJob, to: ServiceJob): string | null {
   if (!to.isService) return 'is not a service';
   if (to.state !== 'open') return 'is not open';
   if (to.team !== from.team) return `is of team ${to.team}, not ${from.team}`;
@@ -35,8 +35,11 @@
   return null;
 }
 
-/** The same as one line, by what the leader knows; nothing may be placed of the new version yet. */
-export function unfitReason(
+/**
+ * The reason for the leader to refuse a rollout as one line; null if there is none. Besides the checks of
+ * `versionMismatchReason`, the new version must have no placed replicas.
+ */
+export function ineligibilityReason(
   spec: Pick<SpecRecord, 'from' | 'to'>,
   { from, to }: ObservedJobs,
 ): string | null {
--- a/packages/rollout/src/history.ts
+++ b/packages/rollout/src/history.ts
@@ -1,4 +1,4 @@
-/** The history: finished rollouts are kept for a while, and as long as they keep a job from starting. */
+/** Finished rollouts. They are kept for reference, and as long as their record keeps a job at zero replicas. */
 import type { Change, Condition } from '@leverhatch/core/store';
 import { ROLLOUT_KEYS } from './keys.js';
 import {
@@ -10,34 +10,35 @@
 } from './rollout-repository.js';
 import type { ManifestRecord } from './status.js';
 
-/** How many finished rollouts are kept. */
+/** Number of finished rollouts above which the oldest is deleted. */
 export const MAX_HISTORY = 100;
 
-/** A rollout that is over; it has a final status. */
+/** A rollout with a final status. */
 export type FinishedRollout = ReadableRollout & { status: NonNullable<ReadableRollout['status']> };
 
 const isFinished = (rollout: Rollout): rollout is FinishedRollout =>
   isReadable(rollout) && !isOpen(rollout);
 
-/** Finished rollouts, the oldest first. */
+/** Finished rollouts, oldest first. */
 export function historyOf(repository: RolloutRepository): FinishedRollout[] {
   const finished = repository.rollouts.filter(isFinished);
   return finished.sort((a, b) => a.status.record.changedAt - b.status.record.changedAt);
 }
 
-/** The job that a finished rollout leaves without replicas; null: it leaves none. */
-export function losingJob({ status }: ReadableRollout): string | null {
+/** The job that a finished rollout keeps at zero replicas; null if there is none. */
+export function retiredJob({ status }: ReadableRollout): string | null {
   if (status?.record.phase === 'done') return status.record.from;
   if (status?.record.phase === 'rolled-back') return status.record.to;
   return null;
 }
 
 /**
- * The transaction that drops the oldest rollout beyond `MAX_HISTORY`; null if there is none.
+ * The transaction that deletes the oldest finished rollout beyond `MAX_HISTORY`; null if there is none.
  *
- * @param isJobOpen whether a job is open: its ceiling rests on the record as long as it is
+ * @param isJobOpen whether a job is open; the ceiling of an open retired job depends on the rollout's record,
+ *   so that record is kept
  */
-export function retire(
+export function historyPruning(
   repository: RolloutRepository,
   manifest: ManifestRecord,
   isJobOpen: (job: string) => boolean,
@@ -45,8 +46,8 @@
   const history = historyOf(repository);
   if (history.length <= MAX_HISTORY) return null;
   const oldest = history.find((rollout) => {
-    const loser = losingJob(rollout);
-    return loser === null || !isJobOpen(loser);
+    const retired = retiredJob(rollout);
+    return retired === null || !isJobOpen(retired);
   });
   if (!oldest) return null;
   const { id, spec, status } = oldest;
--- a/packages/rollout/src/http-probe.ts
+++ b/packages/rollout/src/http-probe.ts
@@ -1,7 +1,7 @@
-/** Probes replicas over HTTP, at addresses that operators describe by a template. */
+/** Probes replicas over HTTP at addresses built from a configured template. */
 import type { Replica, ReplicaProbe } from './ports.js';
 
-/** Opens a client, which keeps its connections, to an address `HOST:PORT`; timeouts in milliseconds. */
+/** Creates a keep-alive HTTP client for an address `HOST:PORT`; timeouts are in milliseconds. */
 export type ProbeTransport = (address: string) => {
   request(
     method: 'GET',
@@ -12,7 +12,7 @@
   ): Promise<{ status: number; body: unknown }>;
 };
 
-/** An address template is wrong. */
+/** The configured address template is invalid. */
 export class InvalidTemplateError extends Error {
   constructor(
     readonly template: string,
@@ -22,7 +22,7 @@
   }
 }
 
-/** A replica cannot be asked, or did not answer 200. */
+/** A replica has no known address, or its response status was not 200. */
 export class ProbeFailedError extends Error {
   constructor(
     readonly replica: string,
@@ -35,7 +35,7 @@
 const VARIABLE = /\{([a-z]+)\}/g;
 const OK = 200;
 
-/** Where a replica is probed, as operators describe it. */
+/** The template of the URL at which a replica is probed. */
 export class AddressTemplate {
   /** @param text such as `http://{host}:9100/replicas/{job}/{task}/{attempt}` */
   constructor(private readonly text: string) {
@@ -46,7 +46,7 @@
     if (new URL(sample).port === '') throw new InvalidTemplateError(this.text, 'must name a port');
   }
 
-  /** The address of a replica whose worker takes commands at `address`. */
+  /** The probe URL of a replica whose worker receives commands at `address`. */
   of(replica: Replica & { address: string }): URL {
     return new URL(this.fill(replica));
   }
@@ -83,11 +83,13 @@
 
   async ask(replica: Replica, timeoutMs: number, signal: AbortSignal): Promise<unknown> {
     const { address } = replica;
-    if (address === null) throw new ProbeFailedError(replica.key, 'its worker has no address');
+    if (address === null)
+      throw new ProbeFailedError(replica.key, 'the address of its worker is unknown');
     const url = this.template.of({ ...replica, address });
     const path = `${url.pathname}${url.search}`;
     const reply = await this.transport(url.host).request('GET', path, null, timeoutMs, signal);
-    if (reply.status !== OK) throw new ProbeFailedError(replica.key, `answered ${reply.status}`);
+    if (reply.status !== OK)
+      throw new ProbeFailedError(replica.key, `unexpected response status ${reply.status}`);
     return reply.body;
   }
 }
--- a/packages/rollout/src/index.ts
+++ b/packages/rollout/src/index.ts
@@ -1,4 +1,4 @@
-/** Replaces the replicas of one service by those of another in steps, without a gap in capacity. */
+/** Replaces the replicas of one service with those of another in steps, without losing capacity. */
 export { RolloutApi } from './api.js';
 export type { LeadingRollouts } from './rollout-view.js';
 export { ROLLOUT_KEYS } from './keys.js';
--- a/packages/rollout/src/keys.ts
+++ b/packages/rollout/src/keys.ts
@@ -1,6 +1,6 @@
-/** Names in the store; a contract between versions. */
+/** Key and field names in the store. Controllers of different versions share them, so they must not change. */
 
-/** The field of each stored record that holds the id of the write it came with. */
+/** The field of each stored record that holds the id of the write that produced it. */
 export const WRITE_ID = 'w';
 
 /** Keys of the rollout records. */
--- a/packages/rollout/src/latencies.ts
+++ b/packages/rollout/src/latencies.ts
@@ -1,18 +1,18 @@
-/** Reads histograms that replicas send, without letting them take more memory than a histogram needs. */
+/** Decodes histograms sent by replicas, with a bound on the memory that decoding may take. */
 import { inflateSync } from 'node:zlib';
 import { decodeFromCompressedBase64, type Histogram } from 'hdr-histogram-js';
 
-/** Bound of an uncompressed histogram. */
+/** Maximum size of an uncompressed histogram in bytes. */
 const MAX_BYTES = 512 * 1024;
 
-/** Offset of the compressed bytes, after a cookie and a length. */
-const COMPRESSED_AT = 8;
+/** Offset of the compressed payload, after the cookie and the length field. */
+const COMPRESSED_OFFSET = 8;
 
-/** Offset of the precision in decimal digits, from which the number of counters follows. */
-const DIGITS_AT = 12;
+/** Offset of the precision in significant decimal digits, which determines the number of counters. */
+const PRECISION_OFFSET = 12;
 const MAX_DIGITS = 3;
 
-/** What a replica sent is no histogram, or one that is too large; the cause says more. */
+/** The data is not a valid histogram, or the histogram is too large; see `cause` for details. */
 export class InvalidHistogramError extends Error {}
 
 /**
@@ -23,10 +23,11 @@
  */
 export function readLatencies(text: string): Histogram {
   try {
-    const compressed = Buffer.from(text, 'base64').subarray(COMPRESSED_AT);
+    const compressed = Buffer.from(text, 'base64').subarray(COMPRESSED_OFFSET);
     const histogram = inflateSync(compressed, { maxOutputLength: MAX_BYTES });
-    const digits = histogram.readInt32BE(DIGITS_AT);
-    if (digits < 1 || digits > MAX_DIGITS) throw new InvalidHistogramError(`${digits} digits`);
+    const digits = histogram.readInt32BE(PRECISION_OFFSET);
+    if (digits < 1 || digits > MAX_DIGITS)
+      throw new InvalidHistogramError(`unsupported precision: ${digits} significant digits`);
     return decodeFromCompressedBase64(text);
   } catch (error) {
     if (error instanceof InvalidHistogramError) throw error;
--- a/packages/rollout/src/leader-rollouts.ts
+++ b/packages/rollout/src/leader-rollouts.ts
@@ -1,10 +1,10 @@
-/** The leader's side, for one term: reads the records and carries each rollout on by transitions. */
+/** The leader's rollout controller for one term: reads the records and advances each rollout. */
 import { supervise } from '@leverhatch/core/duty';
 import { FeatureWatch, FencedRecords } from '@leverhatch/core/fenced-records';
 import type { Change, Condition } from '@leverhatch/core/store';
 import type { TermPort } from '@leverhatch/core/term';
 import { CeilingTracker } from './ceiling-tracker.js';
-import { retire } from './history.js';
+import { historyPruning } from './history.js';
 import { ROLLOUT_KEYS, WRITE_ID } from './keys.js';
 import { conflictOf, RolloutObserver } from './observer.js';
 import type { RolloutPorts, SchedulerPort } from './ports.js';
@@ -19,17 +19,17 @@
 import { nextStatus } from './transitions.js';
 import { waitReason } from './wait-reason.js';
 
-/** Writes of starts and ends of work go first. */
+/** Lower store priority than that of writes that start or end tasks. */
 const REQUEST_PRIORITY = 2;
 const HISTORY_REQUEST_PRIORITY = 3;
 
-/** Steps between two reads of awaited jobs from the store. */
+/** Steps between two checks of the store for new jobs that the leader does not know. */
 const STEPS_PER_JOB_READ = 8;
 
-/** Step intervals without a step after which this controller counts as stalled. */
+/** A gap of this many step intervals between two steps means that this controller was stalled. */
 const STALL_STEPS = 4;
 
-/** A transition that is about to be written. */
+/** A transition to be written. */
 interface Transition {
   rollout: ReadableRollout;
   before: StatusRecord | null;
@@ -43,13 +43,13 @@
   private readonly observer: RolloutObserver;
   private readonly ceilings: CeilingTracker;
   private readonly withdrawals: ReplicaWithdrawals;
-  /** Whether every controller had rollouts enabled when that was last read. */
+  /** Whether every controller had rollouts enabled at the last check. */
   private isEnabledEverywhere = false;
-  /** When the last step began, in monotonic milliseconds like all times here. */
+  /** Start of the last step, in monotonic milliseconds like all times here. */
   private steppedAt: number;
-  /** When awaited jobs were last read from the store. */
-  private awaitedReadAt = -Infinity;
-  /** Rotates the rollout that is tried first, so that each gets its turn. */
+  /** When unknown new jobs were last looked up in the store. */
+  private newJobsReadAt = -Infinity;
+  /** Round-robin index of the rollout that is tried first, so that none is starved. */
   private nextRolloutIndex = 0;
 
   constructor(
@@ -63,7 +63,7 @@
       prefix: ROLLOUT_KEYS.all,
       manifestKey: ROLLOUT_KEYS.manifest,
       read: (entries) => RolloutRepository.fromEntries(entries),
-      unreadableMessage: 'rollout record cannot be read, its rollout stands still',
+      unreadableMessage: 'rollout record is unreadable, its rollout does not advance',
       onChange: () => this.ceilings.recompute(),
     });
     this.controllers = new FeatureWatch('rollout', ports.log, (signal) =>
@@ -74,23 +74,23 @@
     this.steppedAt = ports.clock.now();
   }
 
-  /** Reads all records. Nothing may be scheduled before this has resolved once in the term. */
+  /** Reads all records. Nothing may be scheduled in the term before this has resolved. */
   load(signal: AbortSignal): Promise<void> {
     return this.records.load(signal);
   }
 
-  /** What every transaction that starts work is conditioned on. */
+  /** The condition of every transaction that starts tasks. */
   condition(): Condition {
     return this.records.condition();
   }
 
-  /** Such a transaction was refused; resolves once the ceilings in the store are known. */
+  /** Call when such a transaction was refused; resolves once the ceilings in the store are known. */
   async conditionFailed(failed: Condition): Promise<void> {
     await this.records.conditionFailed(failed);
     this.ceilings.withdrawStarts();
   }
 
-  /** How many replicas of a job may be placed; while a change is being written, the lower number. */
+  /** Maximum number of placed replicas of a job; the lower value while a change is being written. */
   placementLimit(job: string): number {
     return this.ceilings.placementLimit(job);
   }
@@ -100,10 +100,10 @@
     return this.ceilings.isRolling(job);
   }
 
-  /** Carries rollouts on and probes replicas, until the term ends. */
+  /** Advances rollouts and probes replicas until the term ends. */
   async run(signal: AbortSignal): Promise<void> {
     const { ports } = this;
-    // Placements were not known when the records were read.
+    // Placements were not yet known when the records were read.
     this.ceilings.recompute();
     await Promise.all([
       this.records.run(signal, (signal) => this.step(signal)),
@@ -113,9 +113,9 @@
     ]);
   }
 
-  /** Withdraws what may go now without a gap in capacity; called after each scheduling cycle. */
+  /** Withdraws replicas that are no longer needed for capacity; called after each scheduling cycle. */
   withdraw(): void {
-    if (this.withdrawals.isEarly()) return;
+    if (this.withdrawals.isThrottled()) return;
     if (this.isEnabledEverywhere && this.term.holdsLease()) this.withdrawals.withdraw(this.open);
   }
 
@@ -124,7 +124,7 @@
     return this.records.repository;
   }
 
-  /** What an open rollout waits for, as this leader observes it; null: nothing. */
+  /** What an open rollout waits for, as observed by this leader; null if nothing. */
   waitsFor(rollout: ReadableRollout): string | null {
     if (!this.isEnabledEverywhere) return 'every controller to have rollouts switched on';
     return waitReason(rollout.spec.record, rollout.status?.record ?? null, this.observe(rollout));
@@ -135,40 +135,40 @@
     return this.observer.counts(spec.record);
   }
 
-  /** Open rollouts of which everything can be read. */
+  /** Open rollouts whose records can all be read. */
   private get open(): ReadableRollout[] {
     return this.repository.rollouts.filter(isOpen).filter(isReadable);
   }
 
   // ---- steps
 
-  /** Carries one rollout on by one transaction; false if none is due. */
+  /** Advances one rollout by one transaction; false if none is due. */
   private async step(signal: AbortSignal): Promise<boolean> {
     if (!this.term.holdsLease()) return false;
     const { open } = this;
     this.detectStall();
     this.isEnabledEverywhere =
       open.length > 0 && (await this.controllers.isEnabledEverywhere(signal));
-    await this.readAwaitedJobs(open);
+    await this.findFinishedNewJobs(open);
     if (this.isEnabledEverywhere) {
       this.nextRolloutIndex++;
       const first = this.nextRolloutIndex % open.length;
       for (const { id } of [...open.slice(first), ...open.slice(0, first)]) {
-        const transition = this.transition(id);
+        const transition = this.dueTransition(id);
         if (transition) return this.write(transition, signal);
       }
     }
-    return this.retireOldest(signal);
+    return this.pruneHistory(signal);
   }
 
   /**
-   * A new job that the leader does not know has not been submitted, or is over and forgotten; its record in
-   * the store tells which.
+   * If the leader does not know the new job of a rollout, the job either has not been submitted yet or has
+   * finished and been dropped from memory; its record in the store tells which.
    */
-  private async readAwaitedJobs(open: readonly ReadableRollout[]): Promise<void> {
+  private async findFinishedNewJobs(open: readonly ReadableRollout[]): Promise<void> {
     const now = this.ports.clock.now();
-    if (now - this.awaitedReadAt < this.ports.stepIntervalMs * STEPS_PER_JOB_READ) return;
-    this.awaitedReadAt = now;
+    if (now - this.newJobsReadAt < this.ports.stepIntervalMs * STEPS_PER_JOB_READ) return;
+    this.newJobsReadAt = now;
     for (const { spec } of open) {
       const { to } = spec.record;
       if (this.scheduler.job(to) !== null || this.observer.isFinished(to)) continue;
@@ -177,7 +177,7 @@
     }
   }
 
-  /** What was measured while this controller was stalled cannot be compared. */
+  /** Discards load measurements after a stall of this controller, since they are not comparable. */
   private detectStall(): void {
     const now = this.ports.clock.now();
     if (now - this.steppedAt > this.ports.stepIntervalMs * STALL_STEPS)
@@ -185,8 +185,8 @@
     this.steppedAt = now;
   }
 
-  /** The transition that is due; the records may have changed since the rollout was listed. */
-  private transition(id: string): Transition | null {
+  /** The transition that is due; rereads the rollout, since its records may have changed meanwhile. */
+  private dueTransition(id: string): Transition | null {
     const rollout = this.repository.rollout(id);
     if (!rollout || !isReadable(rollout) || !isOpen(rollout)) return null;
     const before = rollout.status?.record ?? null;
@@ -207,7 +207,7 @@
       before?.ceilings.from !== after.ceilings.from || before.ceilings.to !== after.ceilings.to;
     if (changesCeilings) this.ceilings.beginWrite(after);
     const conditions: Condition[] = [
-      // A command accepted meanwhile has to be decided on first.
+      // Fails the write if a command was accepted meanwhile; the command must be considered first.
       { key: ROLLOUT_KEYS.spec(id), version: rollout.spec.version },
       { key: ROLLOUT_KEYS.status(id), version: rollout.status?.version ?? 0 },
     ];
@@ -222,7 +222,7 @@
       signal,
       onOutcome,
     );
-    // Also where an earlier attempt of the write, whose result was ambiguous, was applied.
+    // Also true if an earlier attempt with an ambiguous result was applied.
     if (this.repository.rollout(id)?.status?.record?.[WRITE_ID] === after[WRITE_ID])
       this.logTransition(transition);
     this.scheduler.onCeilingsChanged();
@@ -236,23 +236,20 @@
   private logTransition({ before, after }: Transition): void {
     const { id, from, to, phase, step, ceilings, replicas, reason, evidence } = after;
     const fields = { rollout: id, from, to, was: before?.phase ?? 'requested', phase, step };
-    this.ports.log.info(
-      { ...fields, ceilings, level: replicas, reason, evidence },
-      'rollout transition',
-    );
+    this.ports.log.info({ ...fields, ceilings, replicas, reason, evidence }, 'rollout transition');
   }
 
-  /** Drops the oldest finished rollout beyond the history's bound. */
-  private async retireOldest(signal: AbortSignal): Promise<boolean> {
+  /** Deletes the oldest finished rollout if the history exceeds its bound. */
+  private async pruneHistory(signal: AbortSignal): Promise<boolean> {
     const manifest = this.nextManifest(this.records.nextWriteId());
-    const retirement = retire(
+    const pruning = historyPruning(
       this.repository,
       manifest,
       (job) => this.scheduler.job(job)?.state === 'open',
     );
-    if (retirement === null) return false;
+    if (pruning === null) return false;
     await this.records.write(
-      { ...retirement, priority: HISTORY_REQUEST_PRIORITY },
+      { ...pruning, priority: HISTORY_REQUEST_PRIORITY },
       signal,
       () => undefined,
     );
--- a/packages/rollout/src/observer.ts
+++ b/packages/rollout/src/observer.ts
@@ -1,4 +1,4 @@
-/** What the leader observes of open rollouts: proofs of replicas, and load while a version is judged. */
+/** What the leader observes of open rollouts: readiness of replicas, and load while versions are compared. */
 import type { ProbeAnswer } from './probe.js';
 import { Prober } from './prober.js';
 import { ReadinessProofs } from './readiness-proofs.js';
@@ -6,10 +6,10 @@
 import { isOpen, jobsOf, type ReadableRollout, type Rollout } from './rollout-repository.js';
 import type { SpecRecord } from './spec.js';
 import type { Observation, ObservedVersion } from './transitions.js';
-import { LoadWindow } from './verdict.js';
-import type { JudgedReplica } from './withdrawal.js';
+import { ComparisonWindow } from './verdict.js';
+import type { ReplicaReadiness } from './withdrawal.js';
 
-/** Another open rollout of one of the jobs that has begun or came first; null: there is none. */
+/** Another open rollout of one of the jobs that has precedence; null if there is none. */
 export function conflictOf(
   rollout: ReadableRollout,
   rollouts: readonly Rollout[],
@@ -18,7 +18,7 @@
   const jobs = jobsOf(rollout);
   for (const other of rollouts) {
     if (other.id === id || !isOpen(other)) continue;
-    // None is refused because of a later request that has not begun.
+    // A rollout must not be refused because of a later request that has not begun.
     const hasPrecedence = other.status !== null || isBefore(other, spec);
     const job = jobsOf(other).find((name) => jobs.includes(name));
     if (job && hasPrecedence) return { job, rollout: other.id };
@@ -26,23 +26,23 @@
   return null;
 }
 
-/** Of two requests that no command has changed since, the version of the spec tells the earlier one. */
+/** Compares spec versions, which give the order of requests that no command has changed since. */
 const isBefore = (other: Rollout, spec: ReadableRollout['spec']): boolean =>
   other.spec.version < spec.version;
 
-/** The window of a step that is judged; it is dropped in every other phase, paused too. */
-interface JudgedStep {
+/** The comparison window of a step in phase `judging`; discarded in every other phase, including `paused`. */
+interface ComparedStep {
   from: string;
   to: string;
-  window: LoadWindow;
+  window: ComparisonWindow;
 }
 
-/** What one leader has observed in its term. */
+/** The observations of one leader in its term. */
 export class RolloutObserver {
   private readonly proofs: ReadinessProofs;
   private readonly prober: Prober;
-  private readonly windows = new Map<string, JudgedStep>();
-  /** Finished jobs that the leader does not know any more. */
+  private readonly windows = new Map<string, ComparedStep>();
+  /** Finished jobs that the leader has dropped from memory. */
   private readonly finishedJobs = new Set<string>();
 
   constructor(
@@ -75,10 +75,10 @@
       .filter(({ running, stopping }) => running && !stopping);
   }
 
-  // ---- proofs
+  // ---- readiness
 
-  /** The replicas of a job, with what has been shown of each. */
-  judged(job: string, { readySeconds }: SpecRecord): JudgedReplica[] {
+  /** The replicas of a job with the readiness of each. */
+  readiness(job: string, { readySeconds }: SpecRecord): ReplicaReadiness[] {
     const now = this.ports.clock.now();
     return this.scheduler.replicas(job).map((replica) => ({
       replica,
@@ -87,63 +87,63 @@
     }));
   }
 
-  /** Whether it has been probed for `readySeconds` without being proven once. */
+  /** Whether it has been probed for more than `readySeconds` without ever being proven. */
   private isOverdue(replica: Replica, readySeconds: number): boolean {
     if (replica.stopping || !replica.running) return false;
-    const vainMs = this.proofs.probedInVainMs(replica, this.ports.clock.now());
-    return vainMs > readySeconds * 1000;
+    const unprovenMs = this.proofs.probedWithoutProofMs(replica, this.ports.clock.now());
+    return unprovenMs > readySeconds * 1000;
   }
 
   /** How many replicas of each job are placed and proven. */
   counts(spec: SpecRecord): { from: ObservedVersion; to: ObservedVersion } {
-    return this.countsAmong(spec, this.judged(spec.from, spec), this.judged(spec.to, spec));
+    return this.countsAmong(spec, this.readiness(spec.from, spec), this.readiness(spec.to, spec));
   }
 
   private countsAmong(
     spec: SpecRecord,
-    old: readonly JudgedReplica[],
-    successors: readonly JudgedReplica[],
+    oldReplicas: readonly ReplicaReadiness[],
+    newReplicas: readonly ReplicaReadiness[],
   ): { from: ObservedVersion; to: ObservedVersion } {
-    return { from: this.countsOf(spec.from, old), to: this.countsOf(spec.to, successors) };
+    return { from: this.countsOf(spec.from, oldReplicas), to: this.countsOf(spec.to, newReplicas) };
   }
 
-  private countsOf(job: string, judged: readonly JudgedReplica[]): ObservedVersion {
+  private countsOf(job: string, replicas: readonly ReplicaReadiness[]): ObservedVersion {
     return {
       placed: this.scheduler.job(job)?.placed ?? 0,
-      proven: judged.filter(({ proven }) => proven).length,
-      unserved: judged.filter(({ neverServed }) => neverServed).length,
+      proven: replicas.filter(({ proven }) => proven).length,
+      neverServed: replicas.filter(({ neverServed }) => neverServed).length,
     };
   }
 
-  /** Why the new version will not become ready; null: it still may. */
-  private whyNeverReady(spec: SpecRecord, judged: readonly JudgedReplica[]): string | null {
+  /** Why the new version will not become ready; null if it still may. */
+  private neverReadyReason(spec: SpecRecord, replicas: readonly ReplicaReadiness[]): string | null {
     if (this.scheduler.job(spec.to)?.failing) {
       return `replicas of ${spec.to} fail on every machine`;
     }
-    const overdue = judged.find(({ replica }) => this.isOverdue(replica, spec.readySeconds));
+    const overdue = replicas.find(({ replica }) => this.isOverdue(replica, spec.readySeconds));
     if (!overdue) return null;
     const { job, task } = overdue.replica;
     return `${job}/${task} was probed for ${spec.readySeconds} s without being proven`;
   }
 
-  /** What the next transition of a rollout is decided from. */
+  /** The input for the next transition of a rollout. */
   observe(rollout: ReadableRollout, conflict: Observation['conflict']): Observation {
     const spec = rollout.spec.record;
-    const old = this.judged(spec.from, spec);
-    const successors = this.judged(spec.to, spec);
-    const counts = this.countsAmong(spec, old, successors);
+    const oldReplicas = this.readiness(spec.from, spec);
+    const newReplicas = this.readiness(spec.to, spec);
+    const counts = this.countsAmong(spec, oldReplicas, newReplicas);
     return {
       wall: this.ports.clock.wall(),
       jobs: { from: this.scheduler.job(spec.from), to: this.scheduler.job(spec.to) },
       isNewJobOver: this.isFinished(spec.to),
       ...counts,
-      neverReady: this.whyNeverReady(spec, successors),
+      neverReady: this.neverReadyReason(spec, newReplicas),
       evidence: this.evidence(rollout, counts.to.proven),
       conflict,
     };
   }
 
-  /** Remembers a job that is over by its record in the store, and unknown to the leader. */
+  /** Records that a job unknown to the leader has finished according to the store. */
   markFinished(job: string): void {
     this.finishedJobs.add(job);
   }
@@ -158,11 +158,11 @@
   private evidence(rollout: ReadableRollout, proven: number): Observation['evidence'] {
     const window = this.windowOf(rollout);
     const isComplete = proven >= (rollout.status?.record.ceilings.to ?? 0);
-    return window?.judge(rollout.spec.record, this.ports.clock.now(), isComplete) ?? null;
+    return window?.evaluate(rollout.spec.record, this.ports.clock.now(), isComplete) ?? null;
   }
 
-  /** The window of a step that is judged; it begins when this leader first asks. */
-  private windowOf({ id, status }: ReadableRollout): LoadWindow | null {
+  /** The window of a step in phase `judging`; it starts when this leader first asks for it. */
+  private windowOf({ id, status }: ReadableRollout): ComparisonWindow | null {
     if (status?.record.phase !== 'judging') {
       this.windows.delete(id);
       return null;
@@ -170,12 +170,12 @@
     const { from, to } = status.record;
     const known = this.windows.get(id);
     if (known) return known.window;
-    const window = new LoadWindow(this.ports.clock.now());
+    const window = new ComparisonWindow(this.ports.clock.now());
     this.windows.set(id, { from, to, window });
     return window;
   }
 
-  /** Starts all windows anew. */
+  /** Restarts all comparison windows. */
   restartWindows(): void {
     this.windows.clear();
   }
--- a/packages/rollout/src/ports.ts
+++ b/packages/rollout/src/ports.ts
@@ -1,7 +1,7 @@
-/** What rollouts need from outside this package, passed in by the service. */
+/** Interfaces that this package needs from the service. */
 import type { RecordPorts } from '@leverhatch/core/fenced-records';
 
-/** A job as rollouts see it. */
+/** The fields of a job that rollouts use. */
 export interface ServiceJob {
   id: string;
   state: 'open' | 'cancelled' | 'done';
@@ -9,74 +9,74 @@
   team: string;
   replicas: number;
   image: string;
-  /** Request of one replica. */
+  /** Resource request of one replica. */
   resources: { cpus: number; gpus: number };
 }
 
-/** A job that the leader knows. */
+/** A job known to the leader. */
 export interface ScheduledJob extends ServiceJob {
-  /** How many replicas are or may be on machines, until they are proven gone. */
+  /** Replicas that are or may be on machines; each counts until it is confirmed to be gone. */
   placed: number;
-  /** It has failed on every machine that was tried. */
+  /** Whether it failed on every machine that was tried. */
   failing: boolean;
 }
 
-/** One start of one replica. */
+/** One start attempt of one replica. */
 export interface Replica {
-  /** Identifies this start in its agent epoch. */
+  /** Identifies this start attempt and its agent epoch. */
   key: string;
   job: string;
   task: number;
   attempt: number;
   machine: string;
-  /** The agent epoch in which it was started. */
+  /** Agent epoch in which it was started. */
   agentEpoch: number;
-  /** `HOST:PORT` at which its worker takes commands; null: not known. */
+  /** `HOST:PORT` at which its worker receives commands; null if unknown. */
   address: string | null;
   image: string;
-  /** Its worker has reported lately, to this leader, that it runs, and nothing has told it to stop. */
+  /** Its worker recently reported to this leader that it runs, and accepts no stops of former leaders. */
   running: boolean;
-  /** It has not run yet, as this leader knows for certain. */
+  /** This leader knows for certain that it has not run yet. */
   starting: boolean;
   /** It was told to stop. */
   stopping: boolean;
 }
 
-/** What the leader's scheduler does for rollouts. */
+/** The leader's scheduler as used by rollouts. */
 export interface SchedulerPort {
-  /** Null: no such job, nothing of it is left, or the leader has not read all records yet. */
+  /** Null if the job is unknown, has been dropped, or the leader has not read all records yet. */
   job(id: string): ScheduledJob | null;
   replicas(job: string): Replica[];
-  /** Stops a replica, by an operator's command; this is no preemption. */
+  /** Stops a replica on behalf of an operator; it does not count as a preemption. */
   withdraw(replica: Replica): void;
-  /** Withdraws planned, unsent starts until a job is within its limit. */
+  /** Withdraws planned starts that were not sent yet until the job is within its limit. */
   withdrawStarts(job: string, limit: number): void;
-  /** Ceilings have changed, so a scheduling cycle is due. */
+  /** Requests a scheduling cycle after the ceilings changed. */
   onCeilingsChanged(): void;
 }
 
 /** Sends probes to replicas. */
 export interface ReplicaProbe {
-  /** The replica's answer, not validated; rejects if nothing comes within `timeoutMs`. */
+  /** The replica's unvalidated answer; rejects if none arrives within `timeoutMs`. */
   ask(replica: Replica, timeoutMs: number, signal: AbortSignal): Promise<unknown>;
 }
 
 /** How replicas are probed. */
 export interface ProbeSettings {
-  /** Interval between probes of one replica, in milliseconds. */
+  /** Interval between two probes of one replica, in milliseconds. */
   intervalMs: number;
-  /** Most probes of all replicas together in a second. */
+  /** Maximum number of probes per second over all replicas. */
   perSecond: number;
 }
 
-/** What every controller has, leading or not. */
+/** Dependencies available in every controller, leading or not. */
 export interface RolloutPorts extends RecordPorts {
   probe: ReplicaProbe;
   probing: ProbeSettings;
-  /** A job by its record in the store; null: it was never accepted. */
+  /** Reads a job from its record in the store; null if it was never accepted. */
   readJob(id: string): Promise<ServiceJob | null>;
-  /** The limit of a team after all accepted quota transfers; null: there is no such team. */
+  /** The resource limit of a team after all accepted quota transfers; null if the team does not exist. */
   teamLimit(team: string): Promise<{ cpus: number; gpus: number } | null>;
-  /** Whether every controller has rollouts enabled, by the member records in the store. */
+  /** Whether every controller has rollouts enabled according to the member records in the store. */
   isEnabledOnAllControllers(signal: AbortSignal): Promise<boolean>;
 }
--- a/packages/rollout/src/probe.ts
+++ b/packages/rollout/src/probe.ts
@@ -1,8 +1,8 @@
-/** What a replica answers to a probe: that it serves, and how since its last answer. */
+/** The answer of a replica to a probe: its identity, and its load since the previous answer. */
 import { z } from 'zod/mini';
 import type { Replica } from './ports.js';
 
-/** Bound of a compressed histogram, as text. */
+/** Maximum length of an encoded histogram in characters. */
 const MAX_HISTOGRAM_LENGTH = 16 * 1024;
 
 const count = z.int().check(z.nonnegative());
@@ -14,18 +14,18 @@
   session: count,
   /** The image that it serves. */
   version: z.string(),
-  /** Requests since its last answer, and how many of them failed. */
+  /** Requests since its previous answer, and how many of them failed. */
   requests: count,
   errors: count,
-  /** Latencies in microseconds since its last answer: an HDR histogram, compressed, as base64. */
+  /** Latencies in microseconds since its previous answer: a compressed HDR histogram in base64. */
   latencies: z.nullable(z.string().check(z.maxLength(MAX_HISTOGRAM_LENGTH))),
 });
 
-/** A valid answer. */
+/** A probe answer of valid format. */
 export type ProbeAnswer = z.infer<typeof probeAnswer>;
 
-/** Validates an answer; null for anything but an answer of this very replica. */
-export function answerOf(replica: Replica, value: unknown): ProbeAnswer | null {
+/** Validates a probe answer; null if it is malformed or does not come from exactly this replica. */
+export function parseProbeAnswer(replica: Replica, value: unknown): ProbeAnswer | null {
   const result = z.safeParse(probeAnswer, value);
   if (!result.success) return null;
   const answer = result.data;
--- a/packages/rollout/src/prober.ts
+++ b/packages/rollout/src/prober.ts
@@ -1,21 +1,21 @@
-/** Probes replicas: spread over the interval, bounded in number and rate. */
+/** Probes replicas at random offsets within the interval, with bounded rate and concurrency. */
 import type { Clock } from '@leverhatch/core/clock';
 import type { Random } from '@leverhatch/core/random';
 import { TokenBucket } from '@leverhatch/core/token-bucket';
-import { answerOf, type ProbeAnswer } from './probe.js';
+import { parseProbeAnswer, type ProbeAnswer } from './probe.js';
 import type { ProbeSettings, Replica, ReplicaProbe } from './ports.js';
 import type { ReadinessProofs } from './readiness-proofs.js';
 
-/** Timeout of a probe, relative to the probe interval. */
+/** Timeout of a probe as a share of the probe interval. */
 const TIMEOUT_RATIO = 1 / 2;
 
-/** How often in a probe interval replicas that are due are sought. */
+/** Polls of the queue for due probes per probe interval. */
 const POLLS_PER_INTERVAL = 20;
 
-/** How often in a probe interval the list of replicas is read anew. */
+/** Refreshes of the list of replicas per probe interval. */
 const REFRESHES_PER_INTERVAL = 4;
 
-/** Most probes that are sent at once, and that are in flight, in seconds of the rate. */
+/** Maximum burst, and maximum number of probes in flight, as seconds at the configured rate. */
 const BURST_SECONDS = 0.5;
 
 /** Dependencies and callbacks of a prober. */
@@ -25,25 +25,25 @@
   probe: ReplicaProbe;
   settings: ProbeSettings;
   proofs: ReadinessProofs;
-  /** The replicas to probe now. */
+  /** Returns the replicas to probe now. */
   replicas(): Replica[];
-  /** Called with each valid answer in time. */
+  /** Called with each valid answer that arrived in time. */
   answered(replica: Replica, answer: ProbeAnswer): void;
 }
 
-/** A replica and when it is to be probed next. */
+/** A replica and the time of its next probe. */
 interface ScheduledProbe {
   replica: Replica;
   at: number;
 }
 
-/** The probes of one term. */
+/** Sends the probes of one term. */
 export class Prober {
-  /** All replicas, the one that is due first in front. */
+  /** All replicas, ordered by the time of their next probe. */
   private queue: ScheduledProbe[] = [];
   private refreshedAt = -Infinity;
   private readonly inFlight = new Set<string>();
-  /** Without a burst at first: a new leader's probes are spread like all others. */
+  /** Starts without burst tokens, so that the first probes of a new leader are spread too. */
   private readonly rate: TokenBucket;
 
   constructor(private readonly options: ProberOptions) {
@@ -52,7 +52,7 @@
     this.rate = new TokenBucket(clock, settings.perSecond, burst, 0);
   }
 
-  /** Interval between probes of one replica, stretched where there are too many for the rate. */
+  /** Interval between probes of one replica, extended if the rate does not suffice for all replicas. */
   private get intervalMs(): number {
     const { intervalMs, perSecond } = this.options.settings;
     return Math.max(intervalMs, (this.queue.length / perSecond) * 1000);
@@ -75,7 +75,7 @@
     let due = this.queue[0];
     while (due && due.at <= now && this.rate.tokens >= 1 && this.inFlight.size < this.rate.burst) {
       this.queue.shift();
-      // All have the same interval, so appending keeps the queue sorted.
+      // All replicas have the same interval, so appending keeps the queue sorted.
       this.queue.push({ replica: due.replica, at: now + this.intervalMs });
       if (!this.inFlight.has(due.replica.key)) {
         this.rate.spend(1);
@@ -85,7 +85,7 @@
     }
   }
 
-  /** Reads the list of replicas anew. New ones start at random times, so that probes are spread. */
+  /** Refreshes the list of replicas. New ones get a random first probe time, which spreads the load. */
   private refresh(now: number): void {
     this.refreshedAt = now;
     const { random, proofs } = this.options;
@@ -113,15 +113,15 @@
     const sentAt = clock.now();
     this.inFlight.add(replica.key);
     try {
-      const answer = answerOf(replica, await probe.ask(replica, timeoutMs, signal));
-      // An answer in time may still have waited here while this controller was stalled.
+      const answer = parseProbeAnswer(replica, await probe.ask(replica, timeoutMs, signal));
+      // The timeout does not detect an answer that waited here while this controller was stalled.
       const isLate = clock.now() - sentAt > timeoutMs;
       if (answer && !isLate) {
         proofs.answered(replica, sentAt);
         this.options.answered(replica, answer);
       } else proofs.failed(replica, sentAt);
     } catch {
-      // Whatever keeps a replica from answering, it is a failed probe.
+      // Any error counts as a failed probe.
       proofs.failed(replica, sentAt);
     } finally {
       this.inFlight.delete(replica.key);
--- a/packages/rollout/src/readiness-proofs.ts
+++ b/packages/rollout/src/readiness-proofs.ts
@@ -1,31 +1,31 @@
-/** Which replicas are proven to serve, by the probes that they answered. */
+/** Tracks which replicas are proven to serve, based on the probes that they answered. */
 import type { Replica } from './ports.js';
 
-/** Consecutive valid answers that make a replica proven. */
+/** Number of consecutive valid answers after which a replica is proven. */
 const CONSECUTIVE_ANSWERS = 3;
 
-/** How many probe intervals a proof lasts, from when its probe was sent. */
-export const FRESH_INTERVALS = 2.5;
+/** Validity of a proof in probe intervals, from when its last probe was sent. */
+export const PROOF_LIFETIME_INTERVALS = 2.5;
 
 interface Proof {
   consecutiveAnswers: number;
-  /** When the last answered probe was sent; monotonic, like all times here. */
+  /** When the last answered probe was sent, in monotonic milliseconds like all times here. */
   sentAt: number;
   /** When its first probe was sent. */
   probedSince: number;
   wasProven: boolean;
 }
 
-/** What this leader's probes have shown. */
+/** The readiness of replicas according to this leader's probes. */
 export class ReadinessProofs {
   private readonly proofs = new Map<string, Proof>();
 
   constructor(
-    /** Interval between probes of one replica, in milliseconds. */
+    /** Interval between two probes of one replica, in milliseconds. */
     private readonly intervalMs: number,
   ) {}
 
-  /** A probe sent at `sentAt` got the answer of that very replica in time. */
+  /** Records that a probe sent at `sentAt` got a valid answer of exactly this replica in time. */
   answered(replica: Replica, sentAt: number): void {
     const proof = this.proofOf(replica, sentAt);
     if (!this.isFresh(proof, sentAt)) proof.consecutiveAnswers = 0;
@@ -43,7 +43,7 @@
     return proof;
   }
 
-  /** A probe got no answer, a late one, or that of another replica. */
+  /** Records that a probe got no answer, a late or invalid one, or that of another replica. */
   failed(replica: Replica, sentAt: number): void {
     this.proofOf(replica, sentAt).consecutiveAnswers = 0;
   }
@@ -55,17 +55,17 @@
     return proof.consecutiveAnswers >= CONSECUTIVE_ANSWERS && this.isFresh(proof, now);
   }
 
-  /** Milliseconds since its first probe without being proven once; 0: it was proven, or not probed yet. */
-  probedInVainMs(replica: Replica, now: number): number {
+  /** Milliseconds since its first probe if it was never proven; 0 if it was, or was not probed yet. */
+  probedWithoutProofMs(replica: Replica, now: number): number {
     const proof = this.proofs.get(replica.key);
     return !proof || proof.wasProven ? 0 : now - proof.probedSince;
   }
 
   private isFresh({ sentAt }: Proof, now: number): boolean {
-    return now - sentAt <= this.intervalMs * FRESH_INTERVALS;
+    return now - sentAt <= this.intervalMs * PROOF_LIFETIME_INTERVALS;
   }
 
-  /** Forgets all but these replicas. */
+  /** Discards the data of all replicas but these. */
   keep(keys: { has(key: string): boolean }): void {
     for (const key of this.proofs.keys()) if (!keys.has(key)) this.proofs.delete(key);
   }
--- a/packages/rollout/src/request.ts
+++ b/packages/rollout/src/request.ts
@@ -1,17 +1,17 @@
-/** The request that starts a rollout, validated field by field. */
+/** Parses and validates the request that starts a rollout. */
 import { InvalidRequestError, parseBody, requestId } from '@leverhatch/operators/request';
 import { z } from 'zod/mini';
 import { WRITE_ID } from './keys.js';
 import { MAX_STEPS, type SpecRecord } from './spec.js';
 
-/** Least samples above the compared percentile. */
+/** Minimum number of samples above the compared percentile. */
 const MIN_SAMPLES_ABOVE = 5;
 
 const JOB = /^\S{1,100}$/;
 const jobId = z.string().check(z.regex(JOB, 'must be the id of a job'));
 const positive = z.number().check(z.positive('must be positive'));
 
-const body = z.strictObject({
+const startRequest = z.strictObject({
   id: requestId,
   from: jobId,
   to: jobId,
@@ -30,23 +30,23 @@
   maxErrorIncrease: z._default(z.number().check(z.nonnegative(), z.lt(1)), 0.01),
 });
 
-/** A valid request, with defaults filled in. */
-export type RolloutRequest = z.infer<typeof body>;
+/** A valid request with defaults applied. */
+export type RolloutRequest = z.infer<typeof startRequest>;
 
 /**
- * Validates a request, whatever its jobs are.
+ * Validates a request without looking up its jobs.
  *
  * @throws InvalidRequestError
  */
 export function parseRequest(value: unknown): RolloutRequest {
-  const request = parseBody(body, value);
+  const request = parseBody(startRequest, value);
   const { from, to, steps, percentile, minSamples } = request;
   if (from === to) throw new InvalidRequestError(400, 'to', 'must be another job than from');
   const isRising = steps.every((share, i) => share > (steps[i - 1] ?? 0));
   if (!isRising || steps.at(-1) !== 1)
     throw new InvalidRequestError(400, 'steps', 'must rise to 1');
-  const above = minSamples * (1 - percentile / 100);
-  if (above < MIN_SAMPLES_ABOVE - 1e-9) {
+  const samplesAbove = minSamples * (1 - percentile / 100);
+  if (samplesAbove < MIN_SAMPLES_ABOVE - 1e-9) {
     const least = Math.ceil(MIN_SAMPLES_ABOVE / (1 - percentile / 100) - 1e-9);
     throw new InvalidRequestError(
       400,
@@ -57,7 +57,7 @@
   return request;
 }
 
-/** The record of a new request; `wall` is the time of day in milliseconds. */
+/** The spec record of a new request; `wall` is the wall-clock time in milliseconds. */
 export const newSpec = (request: RolloutRequest, writeId: string, wall: number): SpecRecord => ({
   ...request,
   [WRITE_ID]: writeId,
@@ -66,7 +66,7 @@
   requestedAt: Math.round(wall),
 });
 
-/** Whether a request repeats an accepted one. */
+/** Whether a request is identical to an accepted one. */
 export function isSameRequest(request: RolloutRequest, spec: SpecRecord): boolean {
   const { from, to, steps, ...numbers } = request;
   if (from !== spec.from || to !== spec.to || steps.join() !== spec.steps.join()) return false;
--- a/packages/rollout/src/rollout-admission.ts
+++ b/packages/rollout/src/rollout-admission.ts
@@ -1,28 +1,28 @@
-/** Decides whether a requested rollout is admitted, by the records of rollouts and of its jobs. */
+/** Decides whether a requested rollout is admitted, based on the records of rollouts and jobs. */
 import { errorAnswer, type ApiAnswer } from '@leverhatch/operators/api-answer';
 import { InvalidRequestError } from '@leverhatch/operators/request';
 import { versionMismatchReason } from './eligibility.js';
 import type { RolloutPorts, ServiceJob } from './ports.js';
-import { FRESH_INTERVALS } from './readiness-proofs.js';
+import { PROOF_LIFETIME_INTERVALS } from './readiness-proofs.js';
 import type { RolloutRequest } from './request.js';
 import { isOpen, jobsOf, type RolloutRepository } from './rollout-repository.js';
 
-/** Most rollouts that may be open at once. */
+/** Maximum number of open rollouts. */
 const MAX_OPEN_ROLLOUTS = 50;
 
-/** How far the probe interval may be stretched, well within the time for which a proof lasts. */
-const MAX_STRETCH = FRESH_INTERVALS / 2;
+/** Maximum factor by which the probe interval may be extended: half the validity of a proof, as a margin. */
+const MAX_INTERVAL_STRETCH = PROOF_LIFETIME_INTERVALS / 2;
 
 /** Tolerance for sums of fractional resources. */
-const ROUNDING = 1e-6;
+const RESOURCE_TOLERANCE = 1e-6;
 
-/** Admission of requests at one controller. */
+/** Admission control of rollout requests in one controller. */
 export class RolloutAdmission {
   constructor(private readonly ports: Pick<RolloutPorts, 'probing' | 'readJob' | 'teamLimit'>) {}
 
-  /** The refusal of a request; null: it is admitted.
+  /** The error answer for a request; null if it is admitted.
    *
-   * @throws InvalidRequestError if the jobs do not fit
+   * @throws InvalidRequestError if the jobs are not eligible, or a limit does not allow the rollout
    */
   async refusalOf(
     request: RolloutRequest,
@@ -42,9 +42,9 @@
   }
 
   /**
-   * The job of a request's `from`.
+   * Reads the job named by a request's `from`.
    *
-   * @throws InvalidRequestError if there is no such job
+   * @throws InvalidRequestError if the job does not exist
    */
   async serviceJob(id: string): Promise<ServiceJob> {
     const job = await this.ports.readJob(id);
@@ -58,22 +58,25 @@
       throw new InvalidRequestError(422, 'from', `job ${from.id} is ${from.state}`);
     const mismatch = versionMismatchReason(request, from, await this.ports.readJob(request.to));
     if (mismatch !== null) throw new InvalidRequestError(422, mismatch.field, mismatch.message);
-    this.checkProbes(from);
+    this.checkProbeRate(from);
     const limit = await this.ports.teamLimit(from.team);
     for (const resource of ['cpus', 'gpus'] as const) {
-      const least = from.resources[resource] * (from.replicas + 1);
-      if (limit === null || least <= limit[resource] + ROUNDING) continue;
-      const message = `team ${from.team} may use ${limit[resource]} ${resource}, ${least} are needed`;
+      const required = from.resources[resource] * (from.replicas + 1);
+      if (limit === null || required <= limit[resource] + RESOURCE_TOLERANCE) continue;
+      const message = `team ${from.team} may use ${limit[resource]} ${resource}, ${required} are needed`;
       throw new InvalidRequestError(422, 'maxSurge', message);
     }
   }
 
-  /** Replicas that cannot be probed in time would never be proven; both versions are probed. */
-  private checkProbes({ replicas }: ServiceJob): void {
+  /**
+   * Refuses a service with more replicas than can be probed while a proof is valid, since these would never
+   * all be proven. Both versions are probed, hence the factor 2.
+   */
+  private checkProbeRate({ replicas }: ServiceJob): void {
     const { intervalMs, perSecond } = this.ports.probing;
-    const most = Math.floor((perSecond * intervalMs * MAX_STRETCH) / 1000);
-    if (replicas * 2 <= most) return;
-    const message = `${replicas * 2} replicas cannot be probed in time, ${most} can (probesPerSecond)`;
+    const maxReplicas = Math.floor((perSecond * intervalMs * MAX_INTERVAL_STRETCH) / 1000);
+    if (replicas * 2 <= maxReplicas) return;
+    const message = `${replicas * 2} replicas cannot be probed in time, ${maxReplicas} can (probesPerSecond)`;
     throw new InvalidRequestError(422, 'from', message);
   }
 }
--- a/packages/rollout/src/rollout-repository.ts
+++ b/packages/rollout/src/rollout-repository.ts
@@ -1,63 +1,63 @@
-/** The rollout records in the store, as they were last read or written. */
+/** In-memory copy of the rollout records, as last read from or written to the store. */
 import type { RecordRepository } from '@leverhatch/core/fenced-records';
 import type { Entry } from '@leverhatch/core/store';
 import { ROLLOUT_KEYS } from './keys.js';
 import { parseSpec, type SpecRecord } from './spec.js';
 import { isFinal, parseManifest, parseStatus, type StatusRecord } from './status.js';
 
-/** A record and the version of its key; `record` null: it cannot be read. */
+/** A record and the version of its key; `record` is null if the stored value is invalid. */
 export interface Versioned<T> {
   record: T | null;
   version: number;
 }
 
-/** All that is stored of one rollout. */
+/** All stored records of one rollout. */
 export interface Rollout {
   id: string;
   spec: Versioned<SpecRecord>;
-  /** Null: the leader has not looked at it yet. */
+  /** Null if the leader has not written a status yet. */
   status: Versioned<StatusRecord> | null;
 }
 
-/** A rollout of which everything can be read. */
+/** A rollout whose records are all readable. */
 export interface ReadableRollout {
   id: string;
   spec: { record: SpecRecord; version: number };
   status: { record: StatusRecord; version: number } | null;
 }
 
-/** Whether all records of a rollout can be read. */
+/** Whether all records of a rollout are readable. */
 export function isReadable(rollout: Rollout): rollout is ReadableRollout {
   return rollout.spec.record !== null && rollout.status?.record !== null;
 }
 
-/** Whether a rollout is under way; one whose status cannot be read counts as such. */
+/** Whether a rollout is in progress; one with an unreadable status counts as open. */
 export const isOpen = ({ status }: Rollout): boolean =>
   !status?.record || !isFinal(status.record.phase);
 
-/** The jobs that a rollout names, as far as that can be read. */
+/** The jobs that a rollout names; empty if neither record is readable. */
 export function jobsOf({ spec, status }: Rollout): string[] {
   const names = spec.record ?? status?.record;
   return names ? [names.from, names.to] : [];
 }
 
-/** All rollout records; the one place that knows which key holds what. */
+/** All rollout records; the only module that maps store keys to records. */
 export class RolloutRepository implements RecordRepository {
-  /** Version of the manifest's key and the revision in it; both 0 before it is first written. */
+  /** Version of the manifest's key and the revision stored in it; both are 0 before the first write. */
   manifestVersion = 0;
   revision = 0;
   private isManifestReadable = true;
   private readonly specs = new Map<string, Versioned<SpecRecord>>();
   private readonly statuses = new Map<string, Versioned<StatusRecord>>();
 
-  /** The repository of all entries below `ROLLOUT_KEYS.all`. */
+  /** Creates a repository from all entries under the prefix `ROLLOUT_KEYS.all`. */
   static fromEntries(entries: readonly Entry[]): RolloutRepository {
     const repository = new RolloutRepository();
     for (const entry of entries) repository.apply(entry);
     return repository;
   }
 
-  /** Applies one entry, unless a newer one of its key is known. */
+  /** Applies one entry unless a newer version of its key is known. */
   apply({ key, value, version }: Entry): void {
     if (key === ROLLOUT_KEYS.manifest) this.applyManifest(value, version);
     else if (key.startsWith(ROLLOUT_KEYS.specs)) {
@@ -72,7 +72,7 @@
     }
   }
 
-  /** Forgets the record of a deleted key. */
+  /** Removes the record of a deleted key. */
   remove(key: string): void {
     if (key.startsWith(ROLLOUT_KEYS.specs)) this.specs.delete(key.slice(ROLLOUT_KEYS.specs.length));
     if (key.startsWith(ROLLOUT_KEYS.statuses)) {
@@ -80,7 +80,7 @@
     }
   }
 
-  /** Of an unreadable manifest only the version counts: it still fences starts. */
+  /** Of an unreadable manifest only the version is used, which still fences starts. */
   private applyManifest(value: unknown, version: number): void {
     if (version <= this.manifestVersion) return;
     this.manifestVersion = version;
@@ -98,16 +98,16 @@
       .sort((a, b) => requestTime(a) - requestTime(b) || (a.id < b.id ? -1 : 1));
   }
 
-  /** One rollout; null if no record of it is stored. */
+  /** One rollout; null if it has no records. */
   rollout(id: string): Rollout | null {
     const spec = this.specs.get(id);
     const status = this.statuses.get(id) ?? null;
     if (!spec && !status) return null;
-    // A status whose spec somebody deleted; it stays unreadable.
+    // A status without a spec, which was deleted externally: such a rollout counts as unreadable.
     return { id, spec: spec ?? { record: null, version: 0 }, status };
   }
 
-  /** Keys whose records cannot be read. */
+  /** Keys whose records are unreadable. */
   unreadableKeys(): string[] {
     const keys: string[] = this.isManifestReadable ? [] : [ROLLOUT_KEYS.manifest];
     for (const { id, spec, status } of this.rollouts) {
@@ -118,7 +118,7 @@
   }
 }
 
-/** The version of a spec would not do: a pause writes it again. */
+/** Sort key of rollouts. The version of the spec is not usable, since a pause rewrites the spec. */
 const requestTime = ({ spec }: Rollout): number => spec.record?.requestedAt ?? 0;
 
 function applyNewer<T extends { id: string }>(
--- a/packages/rollout/src/rollout-view.ts
+++ b/packages/rollout/src/rollout-view.ts
@@ -1,20 +1,20 @@
-/** Rollouts as operators are shown them, and what a request would do. */
-import { losingJob } from './history.js';
+/** Builds the representations of rollouts and plans in API answers. */
+import { retiredJob } from './history.js';
 import type { LeaderRollouts } from './leader-rollouts.js';
 import { newSpec, type RolloutRequest } from './request.js';
 import { isOpen, type ReadableRollout } from './rollout-repository.js';
 import { stepTarget } from './spec.js';
 import type { StatusRecord } from './status.js';
 
-/** What a controller knows of rollouts while it leads. */
+/** The part of the leader's rollouts that API answers use. */
 export type LeadingRollouts = Pick<LeaderRollouts, 'waitsFor' | 'counts'>;
 
 /**
- * One rollout in answers.
+ * The representation of one rollout in API answers.
  *
- * @param leading the view of this controller while it leads and the rollout is open; null otherwise
+ * @param leading the leader's live view, if this controller leads and the rollout is open; null otherwise
  */
-export function shownRollout(rollout: ReadableRollout, leading: LeadingRollouts | null): object {
+export function rolloutView(rollout: ReadableRollout, leading: LeadingRollouts | null): object {
   const { id, from, to, steps, maxSurge, paused, rollback, requestedAt } = rollout.spec.record;
   return {
     id,
@@ -25,25 +25,25 @@
     paused,
     rollback,
     requestedAt,
-    ...shownStatus(rollout.status?.record ?? null),
+    ...statusView(rollout.status?.record ?? null),
     seen: leading?.counts(rollout) ?? null,
-    waitsFor: leading?.waitsFor(rollout) ?? heldText(rollout),
+    waitsFor: leading?.waitsFor(rollout) ?? retiredJobText(rollout),
   };
 }
 
-function shownStatus(status: StatusRecord | null): object {
+function statusView(status: StatusRecord | null): object {
   if (status === null) return { phase: 'requested' };
   const { phase, resumes, replicas, step, ceilings, reason, evidence, changedAt } = status;
   return { phase, resumes, replicas, step, ceilings, reason, evidence, changedAt };
 }
 
-/** Which job the user may cancel after a finished rollout; null: none. */
-function heldText(rollout: ReadableRollout): string | null {
-  const loser = isOpen(rollout) ? null : losingJob(rollout);
-  return loser && `job ${loser} stays open without replicas until its user cancels it`;
+/** Names the job that its user should cancel after a finished rollout; null if there is none. */
+function retiredJobText(rollout: ReadableRollout): string | null {
+  const retired = isOpen(rollout) ? null : retiredJob(rollout);
+  return retired && `job ${retired} stays open without replicas until its user cancels it`;
 }
 
-/** Replicas that each batch of a rollout adds, and those of both versions after it. */
+/** The batches of a rollout: replicas that each adds, and replicas of both versions after it. */
 export function batchesOf(request: RolloutRequest, replicas: number): object[] {
   const spec = newSpec(request, '', 0);
   const batches: object[] = [];
--- a/packages/rollout/src/routes.ts
+++ b/packages/rollout/src/routes.ts
@@ -1,11 +1,11 @@
-/** The HTTP routes of the operators' interface for rollouts. */
+/** The HTTP routes of the operators' API for rollouts. */
 import { send, type OperatorRoutes } from '@leverhatch/operators/listener';
 import { Router } from 'express';
 import type { RolloutCommand, RolloutApi } from './api.js';
 
 const COMMANDS: readonly RolloutCommand[] = ['pause', 'resume', 'rollback'];
 
-/** The routes below `/rollouts`. */
+/** Creates the routes under `/rollouts`. */
 export function rolloutRoutes(api: RolloutApi): OperatorRoutes {
   const router = Router();
   router.get('/', async (_request, response) => send(response, await api.status()));
--- a/packages/rollout/src/spec.ts
+++ b/packages/rollout/src/spec.ts
@@ -1,8 +1,8 @@
-/** What operators request: one record for each rollout, written by whichever controller they ask. */
+/** The spec of a rollout as requested by operators; written by the controller that receives the request. */
 import { z } from 'zod/mini';
 import { WRITE_ID } from './keys.js';
 
-/** Most steps of a rollout. */
+/** Maximum number of steps of a rollout. */
 export const MAX_STEPS = 20;
 
 const count = z.int().check(z.nonnegative());
@@ -12,44 +12,44 @@
   /** Id of the write. */
   [WRITE_ID]: z.string(),
   id: z.string(),
-  /** The job whose replicas go, and the one whose replicas come. */
+  /** The job whose replicas are replaced, and the job that replaces them. */
   from: z.string(),
   to: z.string(),
-  /** Shares of the replicas that are of the new version after each step; the last is 1. */
+  /** Share of replicas that run the new version after each step, ascending; the last is 1. */
   steps: z.array(z.number()).check(z.minLength(1), z.maxLength(MAX_STEPS)),
-  /** How many replicas may be placed beyond the number of each job. */
+  /** Maximum number of replicas placed in addition to the replica count of one job. */
   maxSurge: count,
-  /** For how long a new replica may be probed in vain, in seconds. */
+  /** Seconds for which a new replica may be probed without becoming proven. */
   readySeconds: z.number(),
-  /** Length of the window in which both versions are compared, in seconds. */
+  /** Length of the window in which both versions are compared under load, in seconds. */
   judgeSeconds: z.number(),
-  /** Requests of each version that a verdict rests on at least. */
+  /** Minimum number of requests per version for a verdict. */
   minSamples: count,
-  /** Which percentile of latency is compared, 50 to 100. */
+  /** The latency percentile that is compared, at least 50 and below 100. */
   percentile: z.number(),
-  /** Worse: the new version's percentile is above so many times the old one's. */
+  /** The new version is worse if its percentile exceeds that of the old one by more than this factor. */
   maxLatencyRatio: z.number(),
-  /** Worse: the new version's error rate is above the old one's by more than this. */
+  /** The new version is worse if its error rate exceeds that of the old one by more than this. */
   maxErrorIncrease: z.number(),
   paused: z.boolean(),
-  /** A rollback was commanded; it is never revoked. */
+  /** Whether a rollback was requested; it cannot be revoked. */
   rollback: z.boolean(),
-  /** Time of day in milliseconds. */
+  /** Wall-clock time in milliseconds. */
   requestedAt: wallTime,
 });
 
-/** A rollout as operators requested it. */
+/** The spec of a rollout. */
 export type SpecRecord = z.infer<typeof specRecord>;
 
-/** Null if the record cannot be read. */
+/** Parses a spec record; null if it is invalid. */
 export function parseSpec(value: unknown): SpecRecord | null {
   const result = z.safeParse(specRecord, value);
   return result.success ? result.data : null;
 }
 
-/** How many replicas are of the new version after a step; `step` counts from 0. */
+/** Number of replicas that run the new version after a step; `step` counts from 0. */
 export function stepTarget({ steps }: SpecRecord, step: number, replicas: number): number {
-  // Whatever lies beyond the last step is a share of 1.
+  // Steps beyond the last one have a share of 1.
   const share = steps[Math.min(step, steps.length - 1)] ?? 1;
   return Math.min(replicas, Math.max(1, Math.ceil(share * replicas - 1e-9)));
 }
--- a/packages/rollout/src/status.ts
+++ b/packages/rollout/src/status.ts
@@ -1,12 +1,21 @@
-/** How far a rollout is: one record for each, written by the leader alone. */
+/** The status of a rollout: one record per rollout, written only by the leader. */
 import { z } from 'zod/mini';
 import { WRITE_ID } from './keys.js';
 
 /**
- * `preparing`: until all old replicas are proven. `surging`: new replicas come. `judging`: both versions
- * are compared under load. `withdrawing`: old replicas go. `rolling-back`: old replicas come, then new ones
- * go. The others are final, but for `paused`: `done`, `rolled-back`; `failed` ended at neither end;
- * `refused` never began.
+ * The phases of a rollout. Non-final:
+ * - `preparing`: waits until all old replicas are proven.
+ * - `surging`: new replicas are started.
+ * - `judging`: both versions are compared under load.
+ * - `withdrawing`: old replicas are stopped.
+ * - `paused`: stopped by an operator until it is resumed or rolled back.
+ * - `rolling-back`: old replicas are started, then new ones are stopped.
+ *
+ * Final:
+ * - `done`: all replicas run the new version.
+ * - `rolled-back`: all replicas run the old version.
+ * - `failed`: ended without reaching either.
+ * - `refused`: was never started.
  */
 export const ROLLOUT_PHASES = [
   'preparing',
@@ -21,59 +30,59 @@
   'refused',
 ] as const;
 
-/** One phase of a rollout. */
+/** A phase of a rollout. */
 export type RolloutPhase = (typeof ROLLOUT_PHASES)[number];
 
 const FINAL: ReadonlySet<RolloutPhase> = new Set(['done', 'rolled-back', 'failed', 'refused']);
 
-/** Whether no transition leads out of a phase. */
+/** Whether a phase has no outgoing transitions. */
 export const isFinal = (phase: RolloutPhase): boolean => FINAL.has(phase);
 
 const count = z.int().check(z.nonnegative());
-/** Null: no limit. */
+/** Null means no limit. */
 const ceiling = z.nullable(count);
 
 const evidence = z.object({
   verdict: z.enum(['better-or-same', 'worse', 'undecided']),
   oldRequests: count,
   newRequests: count,
-  /** Null: one side has no samples. */
+  /** Null if one version has no samples. */
   latencyRatio: z.nullable(z.number()),
   errorIncrease: z.nullable(z.number()),
 });
 
-/** What a verdict rests on. */
+/** A verdict with the measurements that it is based on. */
 export type Evidence = z.infer<typeof evidence>;
 
 const statusRecord = z.object({
-  /** Id of the write, by which a leader recognizes its own after an ambiguous result. */
+  /** Id of the write; identifies the leader's own write after an ambiguous result. */
   [WRITE_ID]: z.string(),
   id: z.string(),
   from: z.string(),
   to: z.string(),
   phase: z.enum(ROLLOUT_PHASES),
-  /** Of a paused one: the phase it goes on with. */
+  /** The phase to return to when a paused rollout is resumed. */
   resumes: z.nullable(z.enum(ROLLOUT_PHASES)),
-  /** How many replicas each of the two jobs has; the level that is held. */
+  /** Replica count of each of the two jobs; this many proven replicas are maintained. */
   replicas: count,
-  /** The step under way, from 0. */
+  /** Index of the current step, from 0. */
   step: count,
-  /** How many replicas of each job may be placed. */
+  /** Maximum number of placed replicas of each job. */
   ceilings: z.object({ from: ceiling, to: ceiling }),
-  /** Why it is in this phase, where that is not what was planned. */
+  /** Why it is in this phase, if that deviates from the plan. */
   reason: z.nullable(z.string()),
-  /** What the last verdict rested on. */
+  /** The last verdict and its measurements. */
   evidence: z.nullable(evidence),
-  /** Time of day of the last transition, in milliseconds. */
+  /** Wall-clock time of the last transition, in milliseconds. */
   changedAt: z.number().check(z.nonnegative()),
 });
 
-/** How far a rollout is. */
+/** The status of a rollout. */
 export type StatusRecord = z.infer<typeof statusRecord>;
 
 /**
- * Ceilings of a phase that limits both jobs, as every phase does that is not final; only there null means
- * no limit.
+ * The ceilings of a non-final phase. Such a phase limits both jobs; null, meaning no limit, occurs only in
+ * final phases.
  */
 export const boundedCeilings = ({
   ceilings: { from, to },
@@ -82,7 +91,7 @@
   to: to ?? 0,
 });
 
-/** Null if the record cannot be read. */
+/** Parses a status record; null if it is invalid. */
 export function parseStatus(value: unknown): StatusRecord | null {
   const result = z.safeParse(statusRecord, value);
   return result.success ? result.data : null;
@@ -90,10 +99,10 @@
 
 const manifestRecord = z.object({ [WRITE_ID]: z.string(), revision: count });
 
-/** Changes with every change of a ceiling; transactions that start work are conditioned on it. */
+/** Rewritten with every change of a ceiling; transactions that start tasks are conditioned on its version. */
 export type ManifestRecord = z.infer<typeof manifestRecord>;
 
-/** Null if the record cannot be read. */
+/** Parses the manifest record; null if it is invalid. */
 export function parseManifest(value: unknown): ManifestRecord | null {
   const result = z.safeParse(manifestRecord, value);
   return result.success ? result.data : null;
--- a/packages/rollout/src/verdict.ts
+++ b/packages/rollout/src/verdict.ts
@@ -1,26 +1,26 @@
-/** Compares both versions under load, over one and the same window. */
+/** Compares both versions under load over the same time window. */
 import { build, type Histogram } from 'hdr-histogram-js';
 import { readLatencies } from './latencies.js';
 import type { ProbeAnswer } from './probe.js';
 import type { SpecRecord } from './spec.js';
 import type { Evidence } from './status.js';
 
-/** Windows of counted time without enough samples before the verdict stays `undecided`. */
+/** The verdict is `undecided` if samples do not suffice after this many windows of complete time. */
 const MAX_WINDOWS = 3;
 
-/** The same of all time, counted or not. */
+/** Bound of the total time in windows, including time in which new replicas were missing. */
 const MAX_TOTAL_WINDOWS = 10;
 
-/** Precision of the merged histograms. */
+/** Precision of the merged histograms in significant decimal digits. */
 const SIGNIFICANT_DIGITS = 2;
 
-/** What a verdict is judged by; see `SpecRecord` for units. */
+/** The thresholds of a verdict; see `SpecRecord` for units. */
 export type Thresholds = Pick<
   SpecRecord,
   'judgeSeconds' | 'minSamples' | 'percentile' | 'maxLatencyRatio' | 'maxErrorIncrease'
 >;
 
-/** Requests and latencies of one version in one window. */
+/** Requests, errors and latencies of one version in one window. */
 class VersionLoad {
   readonly latencies: Histogram = build({ numberOfSignificantValueDigits: SIGNIFICANT_DIGITS });
   requests = 0;
@@ -36,24 +36,24 @@
     return this.requests === 0 ? 0 : this.errors / this.requests;
   }
 
-  /** Requests that both the error rate and the percentile rest on. */
+  /** Number of requests covered by both the error rate and the latency percentile. */
   get samples(): number {
     return Math.min(this.requests, this.latencies.totalCount + this.errors);
   }
 }
 
-/** The window in which one step is judged; it lives in the memory of one leader. */
-export class LoadWindow {
+/** The comparison window of one step; kept only in the memory of one leader. */
+export class ComparisonWindow {
   private readonly old = new VersionLoad();
   private readonly new = new VersionLoad();
-  private judgedAt: number;
+  private evaluatedAt: number;
   private wasComplete = false;
-  /** Time in which all new replicas were proven, in milliseconds. */
-  private countedMs = 0;
+  /** Total time in which all new replicas of the step were proven, in milliseconds. */
+  private completeMs = 0;
 
   /** @param startedAt monotonic time in milliseconds */
   constructor(private readonly startedAt: number) {
-    this.judgedAt = startedAt;
+    this.evaluatedAt = startedAt;
   }
 
   /** Adds an answer; false if its histogram cannot be read. */
@@ -62,29 +62,29 @@
       this[version].add(answer);
       return true;
     } catch {
-      // A replica that sends no histogram does not answer properly: the caller counts a failed probe.
+      // An undecodable histogram makes the answer invalid; the caller counts a failed probe.
       return false;
     }
   }
 
   /**
-   * The verdict; null: the window has not ended. Time in which new replicas are missing does not count,
-   * since a version is not to blame for a machine.
+   * The verdict; null if the window has not ended. Time in which new replicas are missing does not count, since
+   * the loss of a machine says nothing about the version.
    *
    * @param now monotonic time in milliseconds
    * @param isComplete whether all new replicas of the step are proven now
    */
-  judge(thresholds: Thresholds, now: number, isComplete: boolean): Evidence | null {
-    if (isComplete && this.wasComplete) this.countedMs += now - this.judgedAt;
-    this.judgedAt = now;
+  evaluate(thresholds: Thresholds, now: number, isComplete: boolean): Evidence | null {
+    if (isComplete && this.wasComplete) this.completeMs += now - this.evaluatedAt;
+    this.evaluatedAt = now;
     this.wasComplete = isComplete;
     const windowMs = thresholds.judgeSeconds * 1000;
     if (now - this.startedAt >= windowMs * MAX_TOTAL_WINDOWS) {
       return this.evidence(thresholds, this.verdict(thresholds));
     }
-    if (this.countedMs < windowMs) return null;
+    if (this.completeMs < windowMs) return null;
     const verdict = this.verdict(thresholds);
-    if (verdict === 'undecided' && this.countedMs < windowMs * MAX_WINDOWS) return null;
+    if (verdict === 'undecided' && this.completeMs < windowMs * MAX_WINDOWS) return null;
     return this.evidence(thresholds, verdict);
   }
 
--- a/packages/rollout/src/wait-reason.ts
+++ b/packages/rollout/src/wait-reason.ts
@@ -1,9 +1,9 @@
-/** What an open rollout waits for, in words for operators. */
+/** Describes to operators what an open rollout waits for. */
 import type { SpecRecord } from './spec.js';
 import { boundedCeilings, type StatusRecord } from './status.js';
 import type { Observation, ObservedVersion } from './transitions.js';
 
-/** One line, as in "waits for ..."; null: the rollout waits for nothing. */
+/** One line that continues "waits for ..."; null if the rollout waits for nothing. */
 export function waitReason(
   spec: SpecRecord,
   status: StatusRecord | null,
@@ -62,10 +62,10 @@
   return leaving > 0 ? `${leaving} replicas of ${from} to be gone` : null;
 }
 
-/** What replicas of a job are waited for; null: all of them are proven. */
-function missingReplicas(job: string, wanted: number, observed: ObservedVersion): string | null {
-  const unplaced = wanted - observed.placed;
+/** Which replicas of a job are still missing; null if all required ones are proven. */
+function missingReplicas(job: string, required: number, observed: ObservedVersion): string | null {
+  const unplaced = required - observed.placed;
   if (unplaced > 0) return `room for ${unplaced} more replicas of ${job}`;
-  const unproven = wanted - observed.proven;
+  const unproven = required - observed.proven;
   return unproven > 0 ? `${unproven} replicas of ${job} to be proven` : null;
 }
--- a/packages/rollout/src/withdrawal.ts
+++ b/packages/rollout/src/withdrawal.ts
@@ -1,46 +1,46 @@
-/** Which replicas may be withdrawn now without a gap in capacity. */
+/** Chooses the replicas that can be withdrawn without losing required capacity. */
 import type { Replica } from './ports.js';
 
-/** A replica and what probes have shown of it. */
-export interface JudgedReplica {
+/** A replica and its readiness according to probes. */
+export interface ReplicaReadiness {
   replica: Replica;
   proven: boolean;
-  /** It cannot have served: it has not run yet, or was probed in vain for `readySeconds`. */
+  /** It cannot have served: it has not run yet, or was not proven within `readySeconds` of probing. */
   neverServed: boolean;
 }
 
 /**
- * Chooses replicas to withdraw from `leaving` until at most `ceiling` of them stay. One is chosen only while
- * the proven replicas of both jobs, without it, reach `level`. Replicas that are stopping already do not
- * count.
+ * Chooses replicas to withdraw from `candidates` until at most `ceiling` of them are left. One is chosen only
+ * if the proven replicas of both jobs without it are at least `requiredReplicas`. Replicas that are already
+ * stopping are neither chosen nor counted as left.
  *
- * @param unservedMayGo whether what has never served may go regardless of level and ceiling
+ * @param exemptNeverServed whether to choose replicas that never served regardless of both bounds
  */
 export function chooseWithdrawals(
-  leaving: readonly JudgedReplica[],
-  others: readonly JudgedReplica[],
-  level: number,
+  candidates: readonly ReplicaReadiness[],
+  otherReplicas: readonly ReplicaReadiness[],
+  requiredReplicas: number,
   ceiling: number,
-  unservedMayGo: boolean,
+  exemptNeverServed: boolean,
 ): Replica[] {
-  const staying = leaving.filter(({ replica }) => !replica.stopping);
-  let proven = [...leaving, ...others].filter((judged) => judged.proven).length;
-  let excess = staying.length - ceiling;
+  const notStopping = candidates.filter(({ replica }) => !replica.stopping);
+  let proven = [...candidates, ...otherReplicas].filter((replica) => replica.proven).length;
+  let excess = notStopping.length - ceiling;
   const chosen: Replica[] = [];
-  for (const candidate of [...staying].sort((a, b) => withdrawalRank(a) - withdrawalRank(b))) {
-    const mayAlwaysGo = unservedMayGo && candidate.neverServed;
-    if (!mayAlwaysGo && excess <= 0) continue;
-    const remaining = candidate.proven ? proven - 1 : proven;
-    if (!mayAlwaysGo && remaining < level) continue;
-    proven = remaining;
+  for (const candidate of [...notStopping].sort((a, b) => withdrawalRank(a) - withdrawalRank(b))) {
+    const isExempt = exemptNeverServed && candidate.neverServed;
+    if (!isExempt && excess <= 0) continue;
+    const provenAfter = candidate.proven ? proven - 1 : proven;
+    if (!isExempt && provenAfter < requiredReplicas) continue;
+    proven = provenAfter;
     excess--;
     chosen.push(candidate.replica);
   }
   return chosen;
 }
 
-/** Order of withdrawal: what has never served first, what is proven last. */
-function withdrawalRank({ proven, neverServed }: JudgedReplica): number {
+/** Withdrawal order: replicas that never served first, proven ones last. */
+function withdrawalRank({ proven, neverServed }: ReplicaReadiness): number {
   if (neverServed) return 0;
   return proven ? 2 : 1;
 }
--- a/packages/rollout/test/proofs.test.ts
+++ b/packages/rollout/test/proofs.test.ts
@@ -12,11 +12,11 @@
   HttpReplicaProbe,
   InvalidTemplateError,
 } from '@leverhatch/rollout/http-probe';
-import { answerOf, type ProbeAnswer } from '@leverhatch/rollout/probe';
+import { parseProbeAnswer, type ProbeAnswer } from '@leverhatch/rollout/probe';
 import { Prober } from '@leverhatch/rollout/prober';
 import { ReadinessProofs } from '@leverhatch/rollout/readiness-proofs';
 import type { Rollout } from '@leverhatch/rollout/rollout-repository';
-import { LoadWindow } from '@leverhatch/rollout/verdict';
+import { ComparisonWindow } from '@leverhatch/rollout/verdict';
 import { FakeClock } from '../../../test/fakes/clock.js';
 import { fakeRandom } from '../../../test/fakes/random.js';
 import { httpTransportFactory } from '../../../src/http/client.js';
@@ -40,9 +40,9 @@
   ...{ requests: 10, errors: 1, latencies: null },
 };
 
-test('an answer counts only if it is that of the very replica', () => {
-  assert.ok(answerOf(REPLICA, ANSWER));
-  assert.ok(answerOf(REPLICA, { ...ANSWER, colour: 'red' }), 'unknown fields are ignored');
+test('a probe answer is valid only if it comes from exactly the probed replica', () => {
+  assert.ok(parseProbeAnswer(REPLICA, ANSWER));
+  assert.ok(parseProbeAnswer(REPLICA, { ...ANSWER, colour: 'red' }), 'unknown fields are ignored');
   for (const change of [
     { job: 'k' },
     { task: 4 },
@@ -55,49 +55,49 @@
     { latencies: 7 },
     { latencies: 'x'.repeat(20_000) },
   ]) {
-    assert.equal(answerOf(REPLICA, { ...ANSWER, ...change }), null, JSON.stringify(change));
+    assert.equal(parseProbeAnswer(REPLICA, { ...ANSWER, ...change }), null, JSON.stringify(change));
   }
-  assert.equal(answerOf(REPLICA, null), null);
+  assert.equal(parseProbeAnswer(REPLICA, null), null);
 });
 
-test('three answers in a row prove a replica, for as long as the last one is fresh', () => {
+test('three consecutive answers prove a replica until the last one expires', () => {
   const proofs = new ReadinessProofs(1000);
   for (const at of [0, 1000]) proofs.answered(REPLICA, at);
   assert.ok(!proofs.isProven(REPLICA, 1000));
   proofs.answered(REPLICA, 2000);
   assert.ok(proofs.isProven(REPLICA, 4500));
-  assert.ok(!proofs.isProven(REPLICA, 4501), 'silence beyond the bound');
-  assert.ok(!proofs.isProven({ ...REPLICA, running: false }, 2000), 'no report says that it runs');
+  assert.ok(!proofs.isProven(REPLICA, 4501), 'the last answer has expired');
+  assert.ok(!proofs.isProven({ ...REPLICA, running: false }, 2000), 'not reported as running');
   assert.ok(!proofs.isProven({ ...REPLICA, stopping: true }, 2000), 'it was told to stop');
-  assert.ok(!proofs.isProven({ ...REPLICA, key: 'j/3/3@m#4' }, 2000), 'another start');
-  assert.ok(!proofs.isProven({ ...REPLICA, key: 'j/3/2@m#5' }, 2000), 'another session');
+  assert.ok(!proofs.isProven({ ...REPLICA, key: 'j/3/3@m#4' }, 2000), 'another start attempt');
+  assert.ok(!proofs.isProven({ ...REPLICA, key: 'j/3/2@m#5' }, 2000), 'another agent epoch');
   proofs.failed(REPLICA, 3000);
   assert.ok(!proofs.isProven(REPLICA, 3000), 'one failure');
   for (const at of [4000, 5000, 9000, 10_000]) proofs.answered(REPLICA, at);
-  assert.ok(!proofs.isProven(REPLICA, 10_000), 'answers with a gap are not in a row');
+  assert.ok(!proofs.isProven(REPLICA, 10_000), 'answers with a gap are not consecutive');
 });
 
-test('the bound of readiness counts probes in vain, and none after a proof', () => {
+test('the time probed without proof counts from the first probe, and is 0 after a proof', () => {
   const proofs = new ReadinessProofs(1000);
-  assert.equal(proofs.probedInVainMs(REPLICA, 9000), 0, 'not probed yet');
+  assert.equal(proofs.probedWithoutProofMs(REPLICA, 9000), 0, 'not probed yet');
   proofs.failed(REPLICA, 1000);
-  assert.equal(proofs.probedInVainMs(REPLICA, 9000), 8000);
+  assert.equal(proofs.probedWithoutProofMs(REPLICA, 9000), 8000);
   proofs.keep(new Set());
-  assert.equal(proofs.probedInVainMs(REPLICA, 9000), 0, 'forgotten while it was not probed');
+  assert.equal(proofs.probedWithoutProofMs(REPLICA, 9000), 0, 'discarded while it was not probed');
   for (const at of [9000, 9500, 10_000]) proofs.answered(REPLICA, at);
   proofs.failed(REPLICA, 10_500);
-  assert.equal(proofs.probedInVainMs(REPLICA, 90_000), 0);
+  assert.equal(proofs.probedWithoutProofMs(REPLICA, 90_000), 0);
 });
 
-test('probes of 500 replicas are spread over the interval and keep to the rate', async () => {
+test('probes of 500 replicas are spread over the interval and do not exceed the rate', async () => {
   const clock = new FakeClock();
   const replicas = Array.from({ length: 500 }, (_, task) => ({
     ...REPLICA,
     ...{ task, key: `j/${task}` },
   }));
   const perTenth = new Map<number, number>();
-  let underWay = 0;
-  let mostUnderWay = 0;
+  let inFlight = 0;
+  let maxInFlight = 0;
   const stop = new AbortController();
   const prober = new Prober({
     clock,
@@ -110,9 +110,9 @@
       ask: async (replica) => {
         const tenth = Math.floor(clock.now() / 100);
         perTenth.set(tenth, (perTenth.get(tenth) ?? 0) + 1);
-        mostUnderWay = Math.max(mostUnderWay, ++underWay);
+        maxInFlight = Math.max(maxInFlight, ++inFlight);
         await clock.sleep(300);
-        underWay--;
+        inFlight--;
         return { ...ANSWER, task: replica.task };
       },
     },
@@ -121,21 +121,21 @@
   await clock.advance(20_000);
   const sent = [...perTenth.values()].reduce((a, b) => a + b, 0);
   assert.ok(sent <= 100 * 20 + 50 && sent >= 100 * 15, `${sent} probes in 20 s`);
-  assert.ok(Math.max(...perTenth.values()) <= 50 && mostUnderWay <= 50);
+  assert.ok(Math.max(...perTenth.values()) <= 50 && maxInFlight <= 50);
   stop.abort();
   await clock.advance(1000);
   await run;
 });
 
-const histogramOf = (values: number[], digits: 1 | 2 | 3 | 4 | 5 = 2): string => {
+const encodedHistogram = (values: number[], digits: 1 | 2 | 3 | 4 | 5 = 2): string => {
   const histogram = build({ numberOfSignificantValueDigits: digits });
   for (const value of values) histogram.recordValue(value);
   return encodeIntoCompressedBase64(histogram);
 };
 
-const load = (latencyUs: number, requests: number, errors = 0): ProbeAnswer => ({
+const answerWithLoad = (latencyUs: number, requests: number, errors = 0): ProbeAnswer => ({
   ...ANSWER,
-  ...{ requests, errors, latencies: histogramOf(Array(requests - errors).fill(latencyUs)) },
+  ...{ requests, errors, latencies: encodedHistogram(Array(requests - errors).fill(latencyUs)) },
 });
 
 const THRESHOLDS = {
@@ -143,41 +143,59 @@
   ...{ maxLatencyRatio: 1.3, maxErrorIncrease: 0.01 },
 };
 
-test('verdicts: slower, more errors, too little to tell, and machines that are missing', () => {
+test('verdicts for latency, error rate, insufficient samples and missing replicas', () => {
   const judge = (old: ProbeAnswer, fresh: ProbeAnswer, atMs: number, complete = true) => {
-    const window = new LoadWindow(0);
+    const window = new ComparisonWindow(0);
     window.add('old', old);
     window.add('new', fresh);
-    window.judge(THRESHOLDS, 0, complete);
-    return window.judge(THRESHOLDS, atMs, complete);
+    window.evaluate(THRESHOLDS, 0, complete);
+    return window.evaluate(THRESHOLDS, atMs, complete);
   };
-  assert.equal(judge(load(1000, 200), load(1000, 200), 9000), null, 'the window has not ended');
+  assert.equal(
+    judge(answerWithLoad(1000, 200), answerWithLoad(1000, 200), 9000),
+    null,
+    'the window has not ended',
+  );
   const verdicts: [ProbeAnswer, ProbeAnswer, string][] = [
-    [load(1000, 200), load(1200, 200), 'better-or-same'],
-    [load(1000, 200), load(500, 200), 'better-or-same'],
-    [load(1000, 200), load(1500, 200), 'worse'],
-    [load(1000, 200), load(1000, 200, 8), 'worse'],
-    [load(1000, 200, 8), load(1000, 200, 9), 'better-or-same'],
+    [answerWithLoad(1000, 200), answerWithLoad(1200, 200), 'better-or-same'],
+    [answerWithLoad(1000, 200), answerWithLoad(500, 200), 'better-or-same'],
+    [answerWithLoad(1000, 200), answerWithLoad(1500, 200), 'worse'],
+    [answerWithLoad(1000, 200), answerWithLoad(1000, 200, 8), 'worse'],
+    [answerWithLoad(1000, 200, 8), answerWithLoad(1000, 200, 9), 'better-or-same'],
   ];
   for (const [old, fresh, verdict] of verdicts) {
     assert.equal(judge(old, fresh, 10_000)!.verdict, verdict);
   }
-  assert.equal(judge(load(1000, 200), load(1000, 50), 10_000), null, 'it may still come');
-  assert.equal(judge(load(1000, 200), load(1000, 50), 30_000)!.verdict, 'undecided');
-  assert.equal(judge(load(1000, 200), load(1000, 50), 99_000, false), null, 'not to blame');
-  assert.equal(judge(load(1000, 200), load(1000, 50), 100_000, false)!.verdict, 'undecided');
+  assert.equal(
+    judge(answerWithLoad(1000, 200), answerWithLoad(1000, 50), 10_000),
+    null,
+    'enough samples may still arrive',
+  );
+  assert.equal(
+    judge(answerWithLoad(1000, 200), answerWithLoad(1000, 50), 30_000)!.verdict,
+    'undecided',
+  );
+  assert.equal(
+    judge(answerWithLoad(1000, 200), answerWithLoad(1000, 50), 99_000, false),
+    null,
+    'time with missing replicas does not count',
+  );
+  assert.equal(
+    judge(answerWithLoad(1000, 200), answerWithLoad(1000, 50), 100_000, false)!.verdict,
+    'undecided',
+  );
 });
 
-test('histograms that are none, or would take much memory, are refused', () => {
-  assert.equal(readLatencies(histogramOf([100, 200, 300])).totalCount, 3);
-  const bomb = Buffer.concat([Buffer.alloc(8), deflateSync(Buffer.alloc(8 * 1024 * 1024))]);
-  for (const text of ['', 'nonsense', histogramOf([100], 5), bomb.toString('base64')]) {
+test('invalid histograms and those that would take too much memory are rejected', () => {
+  assert.equal(readLatencies(encodedHistogram([100, 200, 300])).totalCount, 3);
+  const zipBomb = Buffer.concat([Buffer.alloc(8), deflateSync(Buffer.alloc(8 * 1024 * 1024))]);
+  for (const text of ['', 'nonsense', encodedHistogram([100], 5), zipBomb.toString('base64')]) {
     assert.throws(() => readLatencies(text), InvalidHistogramError);
   }
-  assert.equal(new LoadWindow(0).add('new', { ...ANSWER, latencies: 'nonsense' }), false);
+  assert.equal(new ComparisonWindow(0).add('new', { ...ANSWER, latencies: 'nonsense' }), false);
 });
 
-test('addresses of probes follow the template, and a wrong one is told apart', () => {
+test('probe addresses are built from the template, and an invalid template is rejected', () => {
   const template = new AddressTemplate('http://{host}:9100/r/{job}/{task}/{attempt}');
   const replica = { ...REPLICA, address: '10.1.0.5:9000', job: 'a/b' };
   assert.equal(template.of(replica).href, 'http://10.1.0.5:9100/r/a%2Fb/3/2');
@@ -187,7 +205,7 @@
   }
 });
 
-test('probes over HTTP reuse their connection, and a wrong answer or none is an error', async () => {
+test('HTTP probes reuse their connection, and reject on an error status, a timeout or a missing address', async () => {
   let connections = 0;
   let status = 200;
   const server = createServer((request, response) => {
@@ -211,28 +229,28 @@
   server.closeAllConnections();
 });
 
-test('ceilings follow from the records, and the newest rollout of a job speaks for it', () => {
+test('ceilings are derived from the records, and the latest rollout of a job determines its ceiling', () => {
   const rollout = (id: string, version: number, status: object | null, jobs: object): Rollout =>
     ({
       id,
       spec: { record: { id, ...jobs }, version },
       status: status && { record: { id, ...jobs, ...status }, version },
     }) as Rollout;
-  const forth = { from: 'a', to: 'b' };
+  const forward = { from: 'a', to: 'b' };
   const back = { from: 'b', to: 'a' };
   const done = { phase: 'done', ceilings: { from: 0, to: null } };
   const of = (...rollouts: Rollout[]): Record<string, number> =>
     Object.fromEntries(ceilingsOf(rollouts, () => 5));
-  assert.deepEqual(of(rollout('r1', 1, null, forth)), { b: 0 }, 'asked for');
-  assert.deepEqual(of(rollout('r1', 1, done, forth)), { a: 0 });
+  assert.deepEqual(of(rollout('r1', 1, null, forward)), { b: 0 }, 'requested only');
+  assert.deepEqual(of(rollout('r1', 1, done, forward)), { a: 0 });
   const surging = { phase: 'surging', ceilings: { from: 8, to: 2 } };
-  assert.deepEqual(of(rollout('r1', 1, done, forth), rollout('r2', 2, surging, back)), {
+  assert.deepEqual(of(rollout('r1', 1, done, forward), rollout('r2', 2, surging, back)), {
     b: 8,
     a: 2,
   });
-  assert.deepEqual(of(rollout('r1', 1, done, forth), rollout('r2', 2, done, back)), { b: 0 });
+  assert.deepEqual(of(rollout('r1', 1, done, forward), rollout('r2', 2, done, back)), { b: 0 });
   const refused = { phase: 'refused', ceilings: { from: null, to: null } };
-  assert.deepEqual(of(rollout('r1', 1, done, forth), rollout('r2', 2, refused, back)), { a: 0 });
-  const broken = { ...rollout('r1', 1, null, forth), status: { record: null, version: 3 } };
-  assert.deepEqual(of(broken), { a: 5, b: 5 }, 'what is placed');
+  assert.deepEqual(of(rollout('r1', 1, done, forward), rollout('r2', 2, refused, back)), { a: 0 });
+  const broken = { ...rollout('r1', 1, null, forward), status: { record: null, version: 3 } };
+  assert.deepEqual(of(broken), { a: 5, b: 5 }, 'limited to the placed replicas');
 });
--- a/packages/rollout/test/transitions.test.ts
+++ b/packages/rollout/test/transitions.test.ts
@@ -12,7 +12,7 @@
   type StatusRecord,
 } from '@leverhatch/rollout/status';
 import { nextStatus, type Observation } from '@leverhatch/rollout/transitions';
-import { chooseWithdrawals, type JudgedReplica } from '@leverhatch/rollout/withdrawal';
+import { chooseWithdrawals, type ReplicaReadiness } from '@leverhatch/rollout/withdrawal';
 
 const REPLICAS = 10;
 
@@ -25,22 +25,22 @@
   ...change,
 });
 
-const GOOD: Evidence = {
+const PASSING_EVIDENCE: Evidence = {
   ...{ verdict: 'better-or-same', oldRequests: 9, newRequests: 9 },
   ...{ latencyRatio: 1, errorIncrease: 0 },
 };
 
-const seenOf = (change: Partial<Observation> = {}): Observation => ({
+const observationOf = (change: Partial<Observation> = {}): Observation => ({
   wall: 1,
   jobs: { from: jobOf('old'), to: jobOf('new') },
   isNewJobOver: false,
-  from: { placed: REPLICAS, proven: REPLICAS, unserved: 0 },
-  to: { placed: 0, proven: 0, unserved: 0 },
+  from: { placed: REPLICAS, proven: REPLICAS, neverServed: 0 },
+  to: { placed: 0, proven: 0, neverServed: 0 },
   ...{ neverReady: null, evidence: null, conflict: null },
   ...change,
 });
 
-test('what cannot be a rollout is refused when the leader looks at it, with the field', () => {
+test('the leader refuses an ineligible rollout and names the field', () => {
   const cases: [Partial<Observation>, RegExp][] = [
     [{ conflict: { job: 'old', rollout: 'r0' } }, /^job old is named by rollout r0$/],
     [{ jobs: { from: null, to: null } }, /^from: job old is not open/],
@@ -57,57 +57,57 @@
     ],
   ];
   for (const [change, why] of cases) {
-    const status = nextStatus(specOf(), null, seenOf(change), 'w')!;
+    const status = nextStatus(specOf(), null, observationOf(change), 'w')!;
     assert.equal(status.phase, 'refused');
     assert.match(status.reason!, why);
     assert.deepEqual(status.ceilings, { from: null, to: null });
   }
 });
 
-test('a rollback that came before the leader looked leaves the new job without replicas', () => {
-  const status = nextStatus({ ...specOf(), rollback: true }, null, seenOf(), 'w')!;
+test('a rollback requested before the first status leaves the new job without replicas', () => {
+  const status = nextStatus({ ...specOf(), rollback: true }, null, observationOf(), 'w')!;
   assert.deepEqual([status.phase, status.ceilings.to], ['rolled-back', 0]);
 });
 
-test('steps of few replicas that come to the same are taken once', () => {
+test('steps with the same target, which occur with few replicas, are taken once', () => {
   const spec = specOf({ steps: [0.01, 0.02, 0.1, 1], maxSurge: 20 });
   assert.deepEqual(
     [0, 1, 2, 3].map((step) => stepTarget(spec, step, REPLICAS)),
     [1, 1, 1, 10],
   );
-  const visited = forward(spec).map(({ phase, ceilings }) => `${phase} ${ceilings.to}`);
+  const visited = runToCompletion(spec).map(({ phase, ceilings }) => `${phase} ${ceilings.to}`);
   assert.deepEqual(
     visited.filter((v) => v.startsWith('surging')),
     ['surging 1', 'surging 10'],
   );
 });
 
-/** All statuses of a rollout to which nothing happens. */
-function forward(spec: SpecRecord): StatusRecord[] {
+/** Runs a rollout without failures or commands and returns all its statuses. */
+function runToCompletion(spec: SpecRecord): StatusRecord[] {
   const visited: StatusRecord[] = [];
   let status: StatusRecord | null = null;
   for (let i = 0; i < 200 && (!status || !isFinal(status.phase)); i++) {
     const to: number = status?.ceilings.to ?? 0;
     const from: number = Math.min(REPLICAS, status?.ceilings.from ?? REPLICAS);
-    const seen = seenOf({
-      from: { placed: from, proven: from, unserved: 0 },
-      to: { placed: to, proven: to, unserved: 0 },
-      evidence: GOOD,
+    const seen = observationOf({
+      from: { placed: from, proven: from, neverServed: 0 },
+      to: { placed: to, proven: to, neverServed: 0 },
+      evidence: PASSING_EVIDENCE,
     });
     const next = nextStatus(spec, status, seen, `w${i}`);
-    assert.ok(next, `stands still after ${i} steps`);
+    assert.ok(next, `no transition after ${i} steps`);
     status = next;
     visited.push(status);
   }
   return visited;
 }
 
-// ---- random histories: losses, starts, probes, orders, verdicts and cancellations in any order
+// ---- random histories: losses, starts, probe results, commands and verdicts in random order
 
-interface Sim {
+interface Simulation {
   status: StatusRecord | null;
   spec: SpecRecord;
-  replicas: { old: JudgedReplica[]; new: JudgedReplica[] };
+  replicas: { old: ReplicaReadiness[]; new: ReplicaReadiness[] };
   next: number;
 }
 
@@ -117,30 +117,34 @@
   ...{ running: true, starting: false, stopping: false },
 });
 
-function observe(sim: Sim, change: Partial<Observation>): Observation {
-  const of = (list: JudgedReplica[]): Observation['from'] => ({
+function observe(simulation: Simulation, change: Partial<Observation>): Observation {
+  const of = (list: ReplicaReadiness[]): Observation['from'] => ({
     placed: list.length,
     proven: list.filter(({ proven }) => proven).length,
-    unserved: list.filter(({ neverServed }) => neverServed).length,
+    neverServed: list.filter(({ neverServed }) => neverServed).length,
+  });
+  return observationOf({
+    from: of(simulation.replicas.old),
+    to: of(simulation.replicas.new),
+    ...change,
   });
-  return seenOf({ from: of(sim.replicas.old), to: of(sim.replicas.new), ...change });
 }
 
-/** The scheduler places up to the ceilings; what is new is not proven. */
-function place(sim: Sim, room: number): void {
+/** Simulates the scheduler: places replicas up to the ceilings; new ones are not proven. */
+function placeReplicas(simulation: Simulation, room: number): void {
   for (const [job, side] of [['old', 'from'] as const, ['new', 'to'] as const]) {
-    const held = sim.status === null && job === 'new' ? 0 : null;
-    const ceiling = held ?? sim.status?.ceilings[side] ?? REPLICAS;
-    const list = sim.replicas[job];
+    const held = simulation.status === null && job === 'new' ? 0 : null;
+    const ceiling = held ?? simulation.status?.ceilings[side] ?? REPLICAS;
+    const list = simulation.replicas[job];
     for (let i = 0; i < room && list.length < ceiling; i++) {
-      const replica = { ...replicaOf(job, sim.next++), starting: true, running: false };
+      const replica = { ...replicaOf(job, simulation.next++), starting: true, running: false };
       list.push({ replica, proven: false, neverServed: true });
     }
   }
 }
 
-function withdraw(sim: Sim): void {
-  const { status, replicas } = sim;
+function withdrawReplicas(simulation: Simulation): void {
+  const { status, replicas } = simulation;
   if (status?.phase !== 'withdrawing' && status?.phase !== 'rolling-back') return;
   const back = status.phase === 'rolling-back';
   const [leaving, others] = back ? [replicas.new, replicas.old] : [replicas.old, replicas.new];
@@ -152,50 +156,67 @@
     const at = leaving.findIndex((r) => r.replica === replica);
     leaving.splice(at, 1);
   }
-  assert.ok(proven() >= Math.min(before, status.replicas), 'no withdrawal takes what is needed');
+  assert.ok(
+    proven() >= Math.min(before, status.replicas),
+    'a withdrawal leaves fewer proven replicas than required',
+  );
 }
 
-test('in 400 random histories no withdrawal takes what the level needs, ceilings hold, and all end', () => {
-  const ends = new Map<string, number>();
+test('in 400 random histories withdrawals keep the required capacity, ceilings hold, and all rollouts end', () => {
+  const finalPhases = new Map<string, number>();
   for (let seed = 1; seed <= 400; seed++) {
     const generator = xoroshiro128plus(seed);
-    const upTo = (most: number): number => uniformInt(generator, 0, most);
-    const sim: Sim = { status: null, spec: specOf(), replicas: { old: [], new: [] }, next: 0 };
-    const calmAfter = 60;
-    for (let i = 0; i < 400 && !(sim.status && isFinal(sim.status.phase)); i++) {
-      const calm = i > calmAfter;
-      if (calm) sim.spec = { ...sim.spec, paused: false };
-      else if (upTo(14) === 0) sim.spec = { ...sim.spec, paused: upTo(1) === 0 };
-      else if (upTo(60) === 0) sim.spec = { ...sim.spec, rollback: true };
-      place(sim, upTo(3));
-      for (const list of Object.values(sim.replicas)) {
+    const upTo = (total: number): number => uniformInt(generator, 0, total);
+    const simulation: Simulation = {
+      status: null,
+      spec: specOf(),
+      replicas: { old: [], new: [] },
+      next: 0,
+    };
+    const calmAfterSteps = 60;
+    for (let i = 0; i < 400 && !(simulation.status && isFinal(simulation.status.phase)); i++) {
+      const isCalm = i > calmAfterSteps;
+      if (isCalm) simulation.spec = { ...simulation.spec, paused: false };
+      else if (upTo(14) === 0) simulation.spec = { ...simulation.spec, paused: upTo(1) === 0 };
+      else if (upTo(60) === 0) simulation.spec = { ...simulation.spec, rollback: true };
+      placeReplicas(simulation, upTo(3));
+      for (const list of Object.values(simulation.replicas)) {
         for (const judged of list) {
-          if (calm || upTo(2) > 0) Object.assign(judged, { proven: true, neverServed: false });
+          if (isCalm || upTo(2) > 0) Object.assign(judged, { proven: true, neverServed: false });
           else if (upTo(9) === 0) judged.proven = false;
         }
-        if (!calm && upTo(5) === 0) list.splice(upTo(list.length), 1);
+        if (!isCalm && upTo(5) === 0) list.splice(upTo(list.length), 1);
       }
-      const verdicts = [null, GOOD, GOOD, { ...GOOD, verdict: 'worse' } as const];
-      const evidence = calm ? GOOD : verdicts[upTo(3)]!;
-      const before = sim.status;
-      sim.status = nextStatus(sim.spec, before, observe(sim, { evidence }), `w${i}`) ?? before;
-      checkCeilings(sim);
-      withdraw(sim);
+      const verdicts = [
+        null,
+        PASSING_EVIDENCE,
+        PASSING_EVIDENCE,
+        { ...PASSING_EVIDENCE, verdict: 'worse' } as const,
+      ];
+      const evidence = isCalm ? PASSING_EVIDENCE : verdicts[upTo(3)]!;
+      const before = simulation.status;
+      simulation.status =
+        nextStatus(simulation.spec, before, observe(simulation, { evidence }), `w${i}`) ?? before;
+      checkCeilings(simulation);
+      withdrawReplicas(simulation);
     }
-    assert.ok(sim.status && isFinal(sim.status.phase), `seed ${seed}: ${sim.status?.phase}`);
-    ends.set(sim.status.phase, (ends.get(sim.status.phase) ?? 0) + 1);
+    assert.ok(
+      simulation.status && isFinal(simulation.status.phase),
+      `seed ${seed}: ${simulation.status?.phase}`,
+    );
+    finalPhases.set(simulation.status.phase, (finalPhases.get(simulation.status.phase) ?? 0) + 1);
   }
   assert.ok(
-    (ends.get('done') ?? 0) > 20 && (ends.get('rolled-back') ?? 0) > 20,
-    'both ends are met',
+    (finalPhases.get('done') ?? 0) > 20 && (finalPhases.get('rolled-back') ?? 0) > 20,
+    'both final phases occur',
   );
 });
 
-function checkCeilings({ status, replicas, spec }: Sim): void {
+function checkCeilings({ status, replicas, spec }: Simulation): void {
   if (!status || isFinal(status.phase)) return;
   assert.ok(ROLLOUT_PHASES.includes(status.phase));
   const { from, to } = status.ceilings;
   assert.ok(from! <= REPLICAS && to! <= REPLICAS && from! >= 0 && to! >= 0);
-  const most = Math.max(from!, replicas.old.length) + Math.max(to!, replicas.new.length);
-  assert.ok(most <= REPLICAS + spec.maxSurge, `${status.phase}: ${most} may be placed`);
+  const total = Math.max(from!, replicas.old.length) + Math.max(to!, replicas.new.length);
+  assert.ok(total <= REPLICAS + spec.maxSurge, `${status.phase}: ${total} may be placed`);
 }
--- a/src/control/extensions/extension.ts
+++ b/src/control/extensions/extension.ts
@@ -1,6 +1,6 @@
 /**
- * How extensions plug into the service. Operators enable an extension; one that is disabled is not
- * loaded, and costs nothing. Extensions see the leader only as `ExtensionHost`.
+ * Interfaces between the service and its extensions. Operators enable extensions in the settings; a disabled
+ * one is not loaded and has no cost. Extensions access the leader only through `ExtensionHost`.
  */
 import type { Runtime } from '@leverhatch/core/duty';
 import type { OperatorRoutes } from '@leverhatch/operators/listener';
@@ -16,20 +16,20 @@
 /** Guarantee and limit of each team, by its name. */
 export type TeamQuotaMap = ReadonlyMap<string, Pick<Team, 'guarantee' | 'limit'>>;
 
-/** What an extension sees of the controller that has it enabled. */
+/** The interface of a controller for the extensions enabled in it. */
 export interface ControllerHost {
   store: Store;
   runtime: Runtime;
   settings: Settings;
   /** Whether this controller leads and has read all records. */
   isLeading(): boolean;
-  /** Whether every controller has an extension enabled, by the member records in the store. */
+  /** Whether every controller has an extension enabled according to the member records in the store. */
   haveAllEnabled(feature: string, signal: AbortSignal): Promise<boolean>;
-  /** Quotas that teams have or will have, after all accepted quota transfers. */
+  /** Quotas of teams once all accepted quota transfers have completed. */
   promisedQuotas(): Promise<TeamQuotaMap>;
 }
 
-/** What an extension sees of the leader in one term. */
+/** The interface of the leader for extensions in one term. */
 export interface ExtensionHost {
   readonly runtime: Runtime;
   readonly settings: Settings;
@@ -41,39 +41,39 @@
   /** Whether the leader has read all records. */
   isReady(): boolean;
   machine(id: string): Machine | undefined;
-  /** Whether a machine may get new work: its heartbeats are recent, among other things. */
+  /** Whether a machine may get new tasks; requires recent heartbeats, among other conditions. */
   isSchedulable(machine: string): boolean;
   /** How many tasks of a job could start now, regardless of free capacity. */
   startableTasks(job: Job): number;
-  /** Requests a scheduling cycle, after a change that it should see. */
+  /** Requests a scheduling cycle after a change that affects scheduling. */
   requestSchedule(): void;
 }
 
-/** An extension in one term of the leader. */
+/** An extension within one term of the leader. */
 export interface TermExtension extends StartFence {
   /** Reads the extension's records. Nothing is scheduled before this has resolved. */
   load(signal: AbortSignal): Promise<void>;
   /** Runs the extension's supervised tasks until the term ends. */
   run(signal: AbortSignal): Promise<void>;
-  /** Quotas in force now; without this method those of the settings are. */
+  /** Quotas in force now; without this method, those of the settings apply. */
   quotas?(): TeamQuotaMap;
-  /** How many tasks of a job may be placed at once; without this method all of them. */
+  /** Maximum number of placed tasks of a job; without this method there is no limit. */
   placementLimit?(job: string): number;
-  /** Whether consolidation may move replicas of a job; without this method it may. */
+  /** Whether consolidation may move replicas of a job; without this method, it may. */
   mayMove?(job: string): boolean;
-  /** Called after each scheduling cycle, with the tasks that a quota kept from starting. */
+  /** Called after each scheduling cycle with the tasks that only a quota kept from starting. */
   afterSchedulingCycle?(quotaLimited: QuotaLimitedTasks): void;
 }
 
-/** An extension that is enabled in this controller, leading or not. */
+/** An extension enabled in this controller, whether or not it leads. */
 export interface Extension {
-  /** The name under which the member record of the controller lists it. */
+  /** Its name in the controller's member record. */
   readonly feature: string;
-  /** Routes below the operators' listener. */
+  /** HTTP routes on the operators' listener. */
   readonly routes: OperatorRoutes;
-  /** Begins a term of this controller. */
+  /** Creates the extension's part of a new term of this controller. */
   beginTerm(host: ExtensionHost): TermExtension;
-  /** Quotas that decide whether a job can ever run; without this method those of the settings do. */
+  /** Quotas used to decide whether a job can ever run; without this method, those of the settings. */
   promisedQuotas?(): Promise<TeamQuotaMap>;
 }
 
--- a/src/control/extensions/quota-transfer-extension.ts
+++ b/src/control/extensions/quota-transfer-extension.ts
@@ -1,4 +1,4 @@
-/** The extension of quota transfers in one controller. */
+/** The quota transfer extension of one controller. */
 import type { QuotaTransferApi, QuotaTransferPorts } from '@leverhatch/shares';
 import type { OperatorRoutes } from '@leverhatch/operators/listener';
 import type {
@@ -14,16 +14,16 @@
 
 export type { QuotaTransferOptions, QuotaTransferPackage } from './quota-transfer-options.js';
 
-/** Quota transfers between teams, in one controller. */
+/** Quota transfers between teams in one controller. */
 export class QuotaTransferExtension implements Extension {
-  /** The name in the controllers' records of what they have enabled. */
+  /** Its name in the controllers' member records. */
   readonly feature = 'shares';
-  /** Answers operators' requests. */
+  /** Handles operators' requests. */
   readonly api: QuotaTransferApi;
-  /** Its HTTP interface. */
+  /** Its HTTP routes. */
   readonly routes: OperatorRoutes;
   private readonly ports: QuotaTransferPorts;
-  /** The newest term of this controller; it may have ended. */
+  /** The latest term of this controller, which may have ended. */
   private currentTerm: TeamQuotas | null = null;
 
   constructor(
@@ -54,7 +54,7 @@
     return this.currentTerm;
   }
 
-  /** The quota that each team will have once the transfers under way are drained. */
+  /** The quota of each team once all transfers in progress have completed. */
   promisedQuotas(): Promise<TeamQuotaMap> {
     return this.api.promisedQuotas();
   }
--- a/src/control/extensions/quota-transfer-options.ts
+++ b/src/control/extensions/quota-transfer-options.ts
@@ -1,13 +1,13 @@
-/** What the extension of quota transfers is started with. */
+/** Options of the quota transfer extension. */
 import type { Policy } from '@leverhatch/shares';
 
-/** The package of quota transfers, which is loaded only where it is enabled. */
+/** The quota transfer package, which is loaded only if it is enabled. */
 export type QuotaTransferPackage = typeof import('@leverhatch/shares');
 
-/** What a controller is started with where quota transfers are enabled. */
+/** Options of a controller with quota transfers enabled. */
 export interface QuotaTransferOptions {
   /** The loaded package. */
   package: QuotaTransferPackage;
-  /** The operators' policy; null: there is none. */
+  /** The operators' transfer policy; null if there is none. */
   policy: Policy | null;
 }
--- a/src/control/extensions/rollout-extension.ts
+++ b/src/control/extensions/rollout-extension.ts
@@ -1,4 +1,4 @@
-/** Adapts `packages/rollout` to one controller: ports, operators' API and the rollouts of its terms. */
+/** Adapts `packages/rollout` to one controller: ports, operators' API and rollouts of each term. */
 import type {
   ProbeSettings,
   ReplicaProbe,
@@ -16,24 +16,24 @@
 
 export type { RolloutPackage };
 
-/** What a controller with rollouts enabled is started with. */
+/** Options of a controller with rollouts enabled. */
 export interface RolloutOptions {
   package: RolloutPackage;
   probe: ReplicaProbe;
   probing: ProbeSettings;
 }
 
-/** Reads for operators have the priority of users' requests. */
+/** Store priority of reads for operators, the same as that of users' requests. */
 const REQUEST_PRIORITY = 1;
 
-/** Stepped rollouts of services, in one controller. */
+/** Stepped rollouts of services in one controller. */
 export class RolloutExtension implements Extension {
   readonly feature = 'rollout';
-  /** The operators' interface. */
+  /** The operators' API. */
   readonly api: RolloutApi;
   readonly routes: OperatorRoutes;
   private readonly ports: RolloutPorts;
-  /** The rollouts of the newest term of this controller. */
+  /** The rollouts of the latest term of this controller, which may have ended. */
   private term: ServiceRollouts | null = null;
 
   constructor(
@@ -62,7 +62,7 @@
   }
 }
 
-/** Reads a job from the store; the record of a finished one has no spec any more. */
+/** Reads a job from the store; the record of a finished job has no spec. */
 async function readServiceJob(store: Store, id: string): Promise<ServiceJob | null> {
   const entry = await store.get(KEYS.job(id), REQUEST_PRIORITY);
   const record = entry && parseJob(entry.value);
--- a/src/control/extensions/service-rollouts.ts
+++ b/src/control/extensions/service-rollouts.ts
@@ -1,4 +1,4 @@
-/** Connects rollouts to the scheduler for one term: replicas and limits out, withdrawals in. */
+/** Connects rollouts to the scheduler for one term: provides replicas, and applies limits and withdrawals. */
 import type { LeaderRollouts, Replica, ScheduledJob, SchedulerPort } from '@leverhatch/rollout';
 import type { Condition } from '@leverhatch/core/store';
 import { startKey, type Machine } from '../../fleet/machine.js';
@@ -7,19 +7,19 @@
 import { termPort } from './term-port.js';
 import { withdrawUnsentStarts } from './unsent-starts.js';
 
-/** The package that rolls versions out, as it is loaded where rollouts are enabled. */
+/** The rollout package, which is loaded only if rollouts are enabled. */
 export type RolloutPackage = typeof import('@leverhatch/rollout');
 
-/** A machine without a heartbeat for so many heartbeat intervals proves nothing. */
-const MAX_HEARTBEAT_AGE_INTERVALS = 3;
+/** A report counts as current for this many heartbeat intervals after the last heartbeat. */
+const HEARTBEAT_TIMEOUT_INTERVALS = 3;
 
-/** Stages in which a start by this leader cannot have run: its command has not been sent. */
-const UNSENT: ReadonlySet<Placement['stage']> = new Set(['recording', 'recorded']);
+/** Stages in which a start by this leader cannot have run, since its command was not sent yet. */
+const UNSENT_STAGES: ReadonlySet<Placement['stage']> = new Set(['recording', 'recorded']);
 
-/** The scheduler's side of rollouts: what is placed of their jobs, and how replicas are stopped. */
+/** The scheduler port of rollouts: reports placed replicas and stops them. */
 export class ServiceRollouts implements SchedulerPort, TermExtension {
   readonly rollouts: LeaderRollouts;
-  /** Keys are cached: they never change, and each probe and each cycle asks for them. */
+  /** Cache of replica keys, which never change and are needed for each probe and each cycle. */
   private readonly keys = new WeakMap<Placement, string>();
 
   constructor(
@@ -96,7 +96,7 @@
       key: this.keyOf(placement),
       address: this.host.machine(machine)?.address ?? null,
       running: this.isConfirmedRunning(placement),
-      starting: UNSENT.has(stage) || (stage === 'reported' && state === 'fetching'),
+      starting: UNSENT_STAGES.has(stage) || (stage === 'reported' && state === 'fetching'),
       stopping: stop !== null,
     };
   }
@@ -111,8 +111,8 @@
   }
 
   /**
-   * Whether its worker has reported lately, to this leader, that it runs. A worker that knows our fencing
-   * token takes no command of a former leader, so no stop still in flight from there can end the replica.
+   * Whether its worker recently reported to this leader that it runs. A worker that knows the current fencing
+   * token rejects commands of former leaders, so a delayed stop of one cannot end the replica.
    */
   private isConfirmedRunning({ machine: id, agentEpoch, state, stage }: Placement): boolean {
     const machine = this.host.machine(id);
@@ -124,7 +124,7 @@
   private hasRecentHeartbeat({ lastHeartbeatAt }: Machine): boolean {
     if (lastHeartbeatAt === null) return false;
     const { heartbeatIntervalMs } = this.host.settings.workers;
-    return this.host.now() - lastHeartbeatAt <= heartbeatIntervalMs * MAX_HEARTBEAT_AGE_INTERVALS;
+    return this.host.now() - lastHeartbeatAt <= heartbeatIntervalMs * HEARTBEAT_TIMEOUT_INTERVALS;
   }
 
   withdraw({ job: id, task, attempt }: Replica): void {
--- a/src/control/extensions/team-quotas.ts
+++ b/src/control/extensions/team-quotas.ts
@@ -1,4 +1,4 @@
-/** The extension of quota transfers in one term, and what it needs of the scheduler. */
+/** Connects quota transfers to the scheduler for one term. */
 import type {
   Amounts,
   TeamDemand,
@@ -21,16 +21,16 @@
 import { termPort } from './term-port.js';
 import { withdrawUnsentStarts } from './unsent-starts.js';
 
-/** A team's usage may exceed its limit by this much, since sums of decimals are inexact. */
+/** Tolerance when usage is compared with a limit, for rounding errors in sums of decimals. */
 const USAGE_TOLERANCE = 1e-6;
 
-/** What lives as long as the controller. */
-interface TeamQuotasContext extends QuotaTransferOptions {
+/** Dependencies that exist for the lifetime of the controller. */
+interface ControllerContext extends QuotaTransferOptions {
   ports: QuotaTransferPorts;
   api: QuotaTransferApi;
 }
 
-/** Adds the requests of so many tasks to `sum`; a negative count subtracts them. */
+/** Adds the resource requests of `count` tasks to `sum`; a negative count subtracts them. */
 function addTasks(sum: Amounts, need: Amounts, count: number): void {
   sum.cpus += need.cpus * count;
   sum.gpus += need.gpus * count;
@@ -49,14 +49,14 @@
   };
 }
 
-/** The scheduler's side of quota transfers: what the teams use, what they wait for, and what they may have to stop. */
+/** The scheduler port of quota transfers: teams' usage, waiting work and preemption candidates. */
 export class TeamQuotas implements SchedulerPort, TermExtension {
   readonly leaderQuotas: LeaderQuotas;
   private readonly policy: PolicyRunner | null;
 
   constructor(
     private readonly host: ExtensionHost,
-    { package: quotaTransfers, ports, policy, api }: TeamQuotasContext,
+    { package: quotaTransfers, ports, policy, api }: ControllerContext,
   ) {
     this.leaderQuotas = new quotaTransfers.LeaderQuotas(ports, termPort(host), this);
     this.policy =
@@ -87,38 +87,38 @@
     );
   }
 
-  /** Why the policy's last evaluation failed; null: it succeeded, or there is no policy. */
+  /** Why the policy's last evaluation failed; null if it succeeded or there is no policy. */
   get policyFailure(): string | null {
     return this.policy?.failure ?? null;
   }
 
   // ---- called by the scheduler
 
-  /** The quota of each team now. */
+  /** The current quota of each team. */
   quotas(): ReadonlyMap<string, TeamQuota> {
     return this.leaderQuotas.quotas();
   }
 
-  /** The condition of every transaction that starts work. */
+  /** The condition of every transaction that starts tasks. */
   condition(): Condition {
     return this.leaderQuotas.condition();
   }
 
-  /** Resolves once the quotas in the store are known, after a transaction was refused for this condition. */
+  /** Call when a transaction was refused for this condition; resolves once the stored quotas are known. */
   conditionFailed(condition: Condition): Promise<void> {
     return this.leaderQuotas.conditionFailed(condition);
   }
 
-  /** Preempts tasks of donors for teams that are below their guarantee and held back by their limit alone. */
+  /** Preempts tasks of donors for teams below their guarantee that only their limit holds back. */
   afterSchedulingCycle(quotaLimited: QuotaLimitedTasks): void {
     if (quotaLimited.size === 0) return;
-    const stops = this.leaderQuotas.tasksToPreempt(
+    const tasksToPreempt = this.leaderQuotas.tasksToPreempt(
       this.demands(quotaLimited),
       this.used(),
       (team) => this.stoppableNow(team),
       (team) => this.stoppingResources(team),
     );
-    for (const { job, task } of stops) this.stopTask(job, task);
+    for (const { job, task } of tasksToPreempt) this.stopTask(job, task);
   }
 
   private stopTask(id: string, task: number): void {
@@ -132,7 +132,7 @@
     else taskStopper.stop(placement, graceMs);
   }
 
-  /** The waiting work of the teams that their limit alone holds back. */
+  /** The waiting work of teams that only their limit holds back. */
   private demands(quotaLimited: QuotaLimitedTasks): Map<string, TeamDemand> {
     const demands = new Map<string, TeamDemand>();
     for (const [team, amounts] of this.waiting()) {
@@ -148,7 +148,7 @@
     return teamUsage(this.host.jobs.values());
   }
 
-  /** The requests of each team's tasks that could start and have not. */
+  /** The total resource requests of each team's tasks that could start but have not. */
   waiting(): Map<string, Amounts> {
     const waiting = new Map<string, Amounts>();
     for (const job of this.host.jobs.values()) {
@@ -169,8 +169,8 @@
   }
 
   /**
-   * The candidates on responsive machines, gangs only if all of their machines are. Capacity that other tasks
-   * leave can neither be used nor be seen by the scheduling cycle, which would preempt as much again.
+   * The candidates on responsive machines; gangs only if all of their machines are responsive. Capacity freed
+   * on other machines is unusable and invisible to the scheduling cycle, which would preempt as much again.
    */
   private stoppableNow(team: string): DrainCandidate[] {
     const now = this.host.now();
@@ -187,8 +187,8 @@
   }
 
   /**
-   * Whether a former leader may have sent stops that this one does not know of: only heartbeats tell. A
-   * machine that has not sent one within a worker lease will not report its tasks any more.
+   * Whether a former leader may have sent stops that this one does not know of; only heartbeats report them.
+   * A machine without a heartbeat within a worker lease will not report its tasks any more.
    */
   private mayBeStopping(team: string, now: number): boolean {
     const { term, settings } = this.host;
@@ -199,13 +199,13 @@
     return false;
   }
 
-  /** A team's tasks that may be preempted; never replicas of services, whose requests would be lost. */
+  /** A team's tasks that may be preempted; excludes service replicas, whose requests would be lost. */
   private drainable(team: string): Placement[] {
     const isDrainable = ({ job, stop }: Placement): boolean => job.spec.kind !== 'service' && !stop;
     return [...this.placementsOf(team)].filter(isDrainable);
   }
 
-  /** What the team's stopping tasks will free. */
+  /** The resources that the team's stopping tasks will free. */
   private stoppingResources(team: string): Amounts {
     const sum = { cpus: 0, gpus: 0 };
     for (const { job, stop } of this.placementsOf(team)) {
@@ -220,7 +220,7 @@
     }
   }
 
-  /** Withdraws starts that are planned and not yet sent, until the teams are within these limits. */
+  /** Withdraws planned starts that were not sent yet until the teams are within these limits. */
   withdrawStarts(limits: ReadonlyMap<string, TeamQuota>): void {
     const used = this.used();
     for (const [team, { limit }] of limits) {
@@ -236,7 +236,7 @@
     }
   }
 
-  /** Withdraws the starts of one job, and subtracts them from `used`. */
+  /** Withdraws unsent starts of one job and subtracts them from `used`. */
   private withdrawStartsOf(job: Job, used: Amounts, isOverLimit: () => boolean): void {
     let counted = 0;
     const isStillOver = (withdrawn: number): boolean => {
--- a/src/control/extensions/term-extensions.ts
+++ b/src/control/extensions/term-extensions.ts
@@ -1,10 +1,10 @@
-/** Combines the extensions of one term into one view for the leader. */
+/** Combines the extensions of one term for the leader. */
 import type { StartFence } from '../../jobs/start-fence.js';
 import type { Job } from '../../jobs/tracked-job.js';
 import type { QuotaLimitedTasks } from '../../scheduler/scheduling-model.js';
 import type { Extension, ExtensionHost, TeamQuotaMap, TermExtension } from './extension.js';
 
-/** All extensions in one term of the leader, as if they were one. */
+/** Composite of all extensions in one term of the leader. */
 export class TermExtensions {
   private readonly all: TermExtension[];
 
@@ -12,12 +12,12 @@
     this.all = extensions.map((extension) => extension.beginTerm(host));
   }
 
-  /** Fences of transactions that start work, besides the leader key. */
+  /** Fences of transactions that start tasks, in addition to the leader key. */
   get startFences(): readonly StartFence[] {
     return this.all;
   }
 
-  /** Reads the records of all extensions, one after the other. */
+  /** Reads the records of all extensions sequentially. */
   async load(signal: AbortSignal): Promise<void> {
     for (const extension of this.all) await extension.load(signal);
   }
@@ -27,7 +27,7 @@
     await Promise.all(this.all.map((extension) => extension.run(signal)));
   }
 
-  /** Quotas in force now; null: those of the settings. */
+  /** Quotas in force now; null if those of the settings apply. */
   quotas(): TeamQuotaMap | null {
     for (const extension of this.all) if (extension.quotas) return extension.quotas();
     return null;
@@ -39,7 +39,7 @@
     return Math.min(job.startableTaskCount, remaining);
   }
 
-  /** How many tasks of a job may be placed at once; `Infinity` without a limit. */
+  /** Maximum number of placed tasks of a job; `Infinity` if there is no limit. */
   placementLimit(job: string): number {
     return Math.min(
       Infinity,
@@ -52,7 +52,7 @@
     return this.all.every((extension) => extension.mayMove?.(job) ?? true);
   }
 
-  /** Passes on that a scheduling cycle has ended. */
+  /** Notifies all extensions of the end of a scheduling cycle. */
   afterSchedulingCycle(quotaLimited: QuotaLimitedTasks): void {
     for (const extension of this.all) extension.afterSchedulingCycle?.(quotaLimited);
   }
--- a/src/control/extensions/term-port.ts
+++ b/src/control/extensions/term-port.ts
@@ -1,9 +1,9 @@
-/** Adapts the leader's term to the port that the packages of extensions take. */
+/** Adapts the leader's term to the port that extension packages use. */
 import type { TermPort } from '@leverhatch/core/term';
 import { KEYS } from '../../state/keys.js';
 import type { ExtensionHost } from './extension.js';
 
-/** The leader's term as the packages of extensions see it. */
+/** The leader's term as a `TermPort`. */
 export function termPort({ term, now }: Pick<ExtensionHost, 'term' | 'now'>): TermPort {
   return {
     id: term.id,
--- a/test/rollout-failures.test.ts
+++ b/test/rollout-failures.test.ts
@@ -5,56 +5,58 @@
 import type { SimulatedCluster } from './fakes/simulated-cluster.js';
 
 /**
- * Every transition against every failure of the leader that writes it: 8 replicas on 4 machines, three
- * controllers. However it fails, the rollout ends as it would have, and the level is held.
+ * Combines every transition with every failure of the leader that writes it: 8 replicas on 4 machines, three
+ * controllers. The rollout must end as it would without the failure, and capacity must be kept.
  */
 
 type Failure = (cluster: SimulatedCluster, leader: number) => Fate;
 
-const AWAY_MS = 8000;
+const OUTAGE_MS = 8000;
 
 const FAILURES: Record<string, Failure> = {
-  'the leader is killed before the store has it': (cluster, leader) => {
+  'the leader is killed before the store receives it': (cluster, leader) => {
     cluster.crash(leader);
-    void cluster.clock.sleep(AWAY_MS).then(() => cluster.restart(leader));
+    void cluster.clock.sleep(OUTAGE_MS).then(() => cluster.restart(leader));
     return 'lose request';
   },
-  'the leader is killed after the store has it': (cluster, leader) => {
+  'the leader is killed after the store receives it': (cluster, leader) => {
     void cluster.clock.sleep(1).then(() => cluster.crash(leader));
-    void cluster.clock.sleep(AWAY_MS).then(() => cluster.restart(leader));
+    void cluster.clock.sleep(OUTAGE_MS).then(() => cluster.restart(leader));
     return 'lose answer';
   },
-  'the leader stands still past its lease and wakes': (cluster, leader) => {
-    cluster.freeze(leader, AWAY_MS);
+  'the leader is suspended past its lease and resumes': (cluster, leader) => {
+    cluster.freeze(leader, OUTAGE_MS);
     return 'serve';
   },
-  'the store refuses the leader alone': (cluster, leader) => {
-    const until = cluster.clock.now() + AWAY_MS;
+  'the store refuses requests of the leader only': (cluster, leader) => {
+    const until = cluster.clock.now() + OUTAGE_MS;
     cluster.nodes[leader]!.fate = () => (cluster.clock.now() < until ? 'refuse' : 'serve');
     return 'refuse';
   },
-  'the answer is lost': () => 'lose answer',
-  'it is carried out late, after newer ones': () => ({ applyAfterMs: 6000 }),
+  'the response is lost': () => 'lose answer',
+  'it is applied late, after newer writes': () => ({ applyAfterMs: 6000 }),
 };
 
-/** The phases that a rollout which succeeds enters, and those of one that goes back at its second step. */
-const FORWARD = ['preparing', 'surging', 'judging', 'withdrawing', 'done'];
-const BACK = ['rolling-back', 'rolled-back'];
+/** The phases of a successful rollout, and the additional ones of a rollback in the second step. */
+const FORWARD_PHASES = ['preparing', 'surging', 'judging', 'withdrawing', 'done'];
+const ROLLBACK_PHASES = ['rolling-back', 'rolled-back'];
 
 /**
- * Lets the first write of a phase fail; answers whether it came to that. No write may be carried out twice,
- * also where an earlier copy of it comes late.
+ * Injects a failure into the first write of a phase. Also checks that no write is applied twice, even if an
+ * earlier copy of it arrives late.
+ *
+ * @returns a function that tells whether the failure was injected
  */
-function failAt(cluster: SimulatedCluster, phase: string, fail: Failure): () => boolean {
+function failFirstWriteOf(cluster: SimulatedCluster, phase: string, fail: Failure): () => boolean {
   let failed = false;
-  const marks = new Set<string>();
+  const writeIds = new Set<string>();
   const before = cluster.store.onWrite;
   cluster.store.onWrite = (key) => {
     before(key);
     if (key !== 'rollouts/status/r1') return;
-    const { w: mark } = cluster.store.get(key) as { w: string };
-    assert.ok(!marks.has(mark), `${mark} is written once`);
-    marks.add(mark);
+    const { w: writeId } = cluster.store.get(key) as { w: string };
+    assert.ok(!writeIds.has(writeId), `${writeId} is applied once`);
+    writeIds.add(writeId);
   };
   cluster.faults.storeFaults.add(({ node, path, body }) => {
     if (failed || path !== '/txn' || !writesPhase(body, phase)) return 'serve';
@@ -67,33 +69,33 @@
 let seed = 0;
 
 for (const [name, fail] of Object.entries(FAILURES)) {
-  for (const phase of FORWARD) {
-    test(`${phase} is written and ${name}: the new version takes over`, async () => {
-      const story = await begin({ seed: seed++ });
-      const { w: cluster, models, to } = story;
-      const failed = failAt(cluster, phase, fail);
-      await start(story);
+  for (const phase of FORWARD_PHASES) {
+    test(`${phase} is written and ${name}: the rollout completes`, async () => {
+      const scenario = await begin({ seed: seed++ });
+      const { w: cluster, models, to } = scenario;
+      const failed = failFirstWriteOf(cluster, phase, fail);
+      await start(scenario);
       await phaseIs(cluster, 'done', 240);
       assert.ok(failed(), 'the failure came about');
       assert.equal(models.serving(to), REPLICAS);
-      // Until the last fault is over, so that every controller answers.
-      await cluster.pass(AWAY_MS / 1000);
-      await finish(story, 'to');
+      // Wait until the last fault has ended, so that every controller responds.
+      await cluster.pass(OUTAGE_MS / 1000);
+      await finish(scenario, 'to');
     });
   }
-  for (const phase of BACK) {
-    test(`${phase} is written and ${name}: the old version is back`, async () => {
-      const story = await begin({ seed: seed++ });
-      const { w: cluster, models, from, to } = story;
+  for (const phase of ROLLBACK_PHASES) {
+    test(`${phase} is written and ${name}: the rollback completes`, async () => {
+      const scenario = await begin({ seed: seed++ });
+      const { w: cluster, models, from, to } = scenario;
       const latencyMs = (serving: number): number => (serving > 2 ? 300 : 100);
       models.models.set(to, { readyMs: 500, latencyMs, errorRate: 0 });
-      const failed = failAt(cluster, phase, fail);
-      await start(story);
+      const failed = failFirstWriteOf(cluster, phase, fail);
+      await start(scenario);
       await phaseIs(cluster, 'rolled-back', 240);
       assert.ok(failed(), 'the failure came about');
       assert.equal(models.serving(from), REPLICAS);
-      await cluster.pass(AWAY_MS / 1000);
-      await finish(story, 'from');
+      await cluster.pass(OUTAGE_MS / 1000);
+      await finish(scenario, 'from');
     });
   }
 }
--- a/test/rollout-guards.test.ts
+++ b/test/rollout-guards.test.ts
@@ -15,66 +15,69 @@
 } from './fakes/rollout-scenario.js';
 import { mostOn, writes } from './fakes/observe.js';
 
-// What each guard is for: a scenario that fails without it (docs/rollout.md has the list).
+// One scenario for each guard, which fails without that guard; docs/rollout.md lists the guards.
 
-test('no more of the new version comes than a rollout allows, though its leader has not heard of it', async () => {
-  const story = await begin();
-  const { w: cluster, from, to } = story;
-  let until = Infinity;
+test('no more new replicas start than the surge allows, though the leader does not see the rollout yet', async () => {
+  const scenario = await begin();
+  const { w: cluster, from, to } = scenario;
+  let blockedUntil = Infinity;
   cluster.faults.storeFaults.add(({ node, path }) => {
-    const deaf = node === cluster.leader && path.startsWith('/follow?starts=rollouts');
-    return deaf && cluster.clock.now() < until ? 'refuse' : 'serve';
+    const isBlocked = node === cluster.leader && path.startsWith('/follow?starts=rollouts');
+    return isBlocked && cluster.clock.now() < blockedUntil ? 'refuse' : 'serve';
   });
   await cluster.pass(3);
   const other = (cluster.leader + 1) % 3;
   assert.equal((await ask(cluster, other, (a) => a.start({ ...REQUEST, from, to }))).status, 201);
-  const submitted = cluster.acceptingWished(story.next);
+  const submitted = cluster.acceptingWished(scenario.next);
   assert.ok((await mostOn(cluster, to, 8)) <= MAX_SURGE);
-  until = 0;
+  blockedUntil = 0;
   await cluster.drive(submitted);
   await phaseIs(cluster, 'done');
-  await finish(story, 'to');
+  await finish(scenario, 'to');
 });
 
 test('a start of the new version that reaches the store after a rollback is not recorded', async () => {
-  const story = await begin();
-  const { w: cluster, from, to } = story;
+  const scenario = await begin();
+  const { w: cluster, from, to } = scenario;
   const jobKey = `runs/${to}/`;
-  let held = 0;
+  let delayedAt = 0;
   cluster.faults.storeFaults.add(({ body }) => {
-    if (!writes(body, jobKey) || held > 0) return 'serve';
-    held = cluster.clock.now();
+    if (!writes(body, jobKey) || delayedAt > 0) return 'serve';
+    delayedAt = cluster.clock.now();
     void rolloutApi(cluster, (cluster.leader + 1) % 3)!.order('r1', 'rollback');
     return { applyAfterMs: 6000 };
   });
-  await start(story);
+  await start(scenario);
   await phaseIs(cluster, 'rolled-back');
-  assert.ok(held > 0 && cluster.clock.now() < held + 6000, 'the start is still on its way');
-  await cluster.clock.advance(held + 5800 - cluster.clock.now());
+  assert.ok(
+    delayedAt > 0 && cluster.clock.now() < delayedAt + 6000,
+    'the start is still on its way',
+  );
+  await cluster.clock.advance(delayedAt + 5800 - cluster.clock.now());
   cluster.crash(cluster.leader);
   assert.equal(await mostOn(cluster, to, 30), 0);
   assert.equal(cluster.running(from), REPLICAS);
-  await finish(story, 'from');
+  await finish(scenario, 'from');
 });
 
-test('a new leader starts nothing of the losing version before it has read the ceilings', async () => {
-  const story = await begin();
-  const { w: cluster, from } = story;
-  await start(story);
+test('a new leader starts no replica of the retired version before it has read the ceilings', async () => {
+  const scenario = await begin();
+  const { w: cluster, from } = scenario;
+  await start(scenario);
   await phaseIs(cluster, 'done');
   cluster.crash(cluster.leader);
-  const late = cluster.clock.now() + 9000;
+  const blockedUntil = cluster.clock.now() + 9000;
   cluster.faults.storeFaults.add(({ path }) =>
-    path.includes('starts=rollouts') && cluster.clock.now() < late ? 'refuse' : 'serve',
+    path.includes('starts=rollouts') && cluster.clock.now() < blockedUntil ? 'refuse' : 'serve',
   );
   assert.equal(await mostOn(cluster, from, 30), 0);
-  await finish(story, 'to');
+  await finish(scenario, 'to');
 });
 
-test('after a rollback is answered no step forward is written any more', async () => {
+test('no forward transition is written once a rollback is accepted', async () => {
   for (const phase of ['surging', 'judging', 'withdrawing']) {
-    const story = await begin();
-    const { w: cluster } = story;
+    const scenario = await begin();
+    const { w: cluster } = scenario;
     const written: string[] = [];
     let answered = false;
     const before = cluster.store.onWrite;
@@ -83,7 +86,7 @@
       if (key === 'rollouts/status/r1' && answered) written.push(phaseOf(cluster)!);
     };
     cluster.faults.storeFaults.add(({ body }) => {
-      // The order is in the store before the step that is on its way.
+      // Stores the rollback command before the transition that is in flight.
       if (writesPhase(body, phase) && !answered) {
         answered = true;
         const spec = cluster.store.get('rollouts/specs/r1') as object;
@@ -91,56 +94,56 @@
       }
       return 'serve';
     });
-    await start(story);
+    await start(scenario);
     await phaseIs(cluster, 'rolled-back');
     assert.ok(answered);
     assert.equal(written[0], 'rolling-back', phase);
-    await finish(story, 'from');
+    await finish(scenario, 'from');
   }
 });
 
-test('stops of a former leader that are carried out late take nothing that the next one counts on', async () => {
+test('delayed stops of a former leader do not reduce the capacity that its successor counts on', async () => {
   for (const seed of [1, 2, 3, 4]) {
-    const story = await begin({ seed });
-    const { w: cluster } = story;
-    // Its answers to workers get lost, so that stops go straight to them, and those are held up.
+    const scenario = await begin({ seed });
+    const { w: cluster } = scenario;
+    // Responses to heartbeats get lost, so stops are sent to the workers directly; these are delayed.
     cluster.faults.share.lateCommands = 1;
-    await start(story);
+    await start(scenario);
     await phaseIs(cluster, 'withdrawing');
     const { leader } = cluster;
     cluster.nodes[leader]!.heldMs = 6000;
     await cluster.pass(1.5);
     cluster.crash(leader);
     await phaseIs(cluster, 'done', 240);
-    await finish(story, 'to');
+    await finish(scenario, 'to');
   }
 });
 
-test('what was measured while the leader stood still is not judged by: the window begins anew', async () => {
-  const story = await begin();
-  const { w: cluster } = story;
-  await start(story);
+test('the comparison window restarts after the leader was suspended', async () => {
+  const scenario = await begin();
+  const { w: cluster } = scenario;
+  await start(scenario);
   await phaseIs(cluster, 'judging');
   await cluster.pass(4);
   const { leader } = cluster;
-  const standstillMs = 2400;
-  cluster.freeze(leader, standstillMs);
-  const wakesAt = cluster.clock.now() + standstillMs;
+  const suspendedMs = 2400;
+  cluster.freeze(leader, suspendedMs);
+  const resumedAt = cluster.clock.now() + suspendedMs;
   await phaseIs(cluster, 'withdrawing');
   assert.equal(cluster.leader, leader, 'it kept its lease');
   assert.ok(
-    cluster.clock.now() - wakesAt >= REQUEST.judgeSeconds * 1000,
-    'a whole window after it woke',
+    cluster.clock.now() - resumedAt >= REQUEST.judgeSeconds * 1000,
+    'a whole window after it resumed',
   );
   await phaseIs(cluster, 'done');
-  await finish(story, 'to');
+  await finish(scenario, 'to');
 });
 
-test('what was never ready is not started again on the way back, while old replicas are unproven', async () => {
-  const story = await begin();
-  const { w: cluster, models, from, to } = story;
+test('a rollback does not restart new replicas that were never ready while old ones are unproven', async () => {
+  const scenario = await begin();
+  const { w: cluster, models, from, to } = scenario;
   models.models.set(to, { readyMs: Infinity, latencyMs: () => 100, errorRate: 0 });
-  await start(story);
+  await start(scenario);
   await phaseIs(cluster, 'surging');
   await cluster.pass(REQUEST.readySeconds - 2);
   const silent = { until: cluster.clock.now() + 15_000 };
@@ -150,38 +153,38 @@
   await phaseIs(cluster, 'rolled-back');
   const withdrawn = cluster.logged.filter(({ message }) => message === 'replica withdrawn');
   assert.equal(withdrawn.length, MAX_SURGE);
-  await finish(story, 'from');
+  await finish(scenario, 'from');
 });
 
-test('consolidation leaves the replicas of an open rollout where they are', async () => {
-  const story = await begin();
-  const { w: cluster, models, checker, from, to } = story;
-  await start(story, { steps: [0.5, 1] });
+test('consolidation does not move the replicas of an open rollout', async () => {
+  const scenario = await begin();
+  const { w: cluster, models, checker, from, to } = scenario;
+  await start(scenario, { steps: [0.5, 1] });
   await cluster.until(
     () => models.serving(from) === 6 && models.serving(to) === 2,
     150,
-    'a first batch',
+    'the first batch is done',
   );
   await ask(cluster, 0, (a) => a.order('r1', 'pause'));
   await phaseIs(cluster, 'paused');
   const starts = cluster.starts.length;
   await cluster.pass(90);
   const fresh = cluster.starts.slice(starts).filter((start) => start.startsWith(from));
-  assert.deepEqual(fresh, [], 'nothing is started anew');
+  assert.deepEqual(fresh, [], 'no replica is restarted');
   await ask(cluster, 0, (a) => a.order('r1', 'resume'));
   await phaseIs(cluster, 'done', 240);
   assert.equal(checker.lowest, REPLICAS);
-  await finish(story, 'to');
+  await finish(scenario, 'to');
 });
 
-test('a status that cannot be read freezes its rollout and nothing else, and is shown with its key', async () => {
-  const story = await begin();
-  const { w: cluster, models, from, to } = story;
-  await start(story);
+test('an unreadable status stops only its rollout, and its key is reported', async () => {
+  const scenario = await begin();
+  const { w: cluster, models, from, to } = scenario;
+  await start(scenario);
   await phaseIs(cluster, 'withdrawing');
   const status = rolloutStatus(cluster, 'r1')!;
   cluster.store.write('rollouts/status/r1', { nonsense: true });
-  // Until the ends of what was withdrawn are recorded.
+  // Wait until the ends of withdrawn replicas are recorded.
   await cluster.pass(15);
   const before = [models.serving(from), models.serving(to)];
   cluster.crash(cluster.leader);
@@ -195,13 +198,13 @@
   assert.deepEqual(unreadable, ['rollouts/status/r1']);
   cluster.store.write('rollouts/status/r1', status);
   await phaseIs(cluster, 'done');
-  await finish(story, 'to');
+  await finish(scenario, 'to');
 });
 
-test('a spec that cannot be read, and a head: jobs keep what is placed, starts of others go on', async () => {
-  const story = await begin();
-  const { w: cluster, models, from, to } = story;
-  await start(story);
+test('with an unreadable spec and manifest, jobs keep their replicas and other jobs still start', async () => {
+  const scenario = await begin();
+  const { w: cluster, models, from, to } = scenario;
+  await start(scenario);
   await phaseIs(cluster, 'judging');
   const spec = cluster.store.get('rollouts/specs/r1') as object;
   cluster.store.write('rollouts/specs/r1', 7);
@@ -213,25 +216,25 @@
   assert.deepEqual([models.serving(from), models.serving(to)], [REPLICAS, 2]);
   cluster.store.write('rollouts/specs/r1', spec);
   await phaseIs(cluster, 'done');
-  await finish(story, 'to');
+  await finish(scenario, 'to');
 });
 
-test('steps and starts fit the smallest limits of any site, with shares and rollouts switched on', async () => {
+test('steps and starts fit the smallest store limits with quota transfers and rollouts enabled', async () => {
   const { withQuotaTransfers: withQuotaTransfers } = await import('./fakes/quota-checker.js');
   const limits = { valueBytes: 2048, txnOps: 4 };
-  const story = await begin({
+  const scenario = await begin({
     before: (cluster) => {
       withQuotaTransfers(cluster);
       cluster.store.limits = limits;
     },
   });
-  const { w } = story;
+  const { w } = scenario;
   const steps = Array.from({ length: 20 }, (_, i) => (i + 1) / 20);
-  await start(story, { steps, id: 'r1', judgeSeconds: 2, minSamples: 100 });
+  await start(scenario, { steps, id: 'r1', judgeSeconds: 2, minSamples: 100 });
   await phaseIs(w, 'done', 400);
   const largest = [...w.store.keys]
     .filter(([key]) => key.startsWith('rollouts/'))
     .map(([, { value }]) => Buffer.byteLength(JSON.stringify(value)));
   assert.ok(Math.max(...largest) < limits.valueBytes / 2, `${Math.max(...largest)} bytes`);
-  await finish(story, 'to');
+  await finish(scenario, 'to');
 });
--- a/test/rollout-orders.test.ts
+++ b/test/rollout-orders.test.ts
@@ -15,17 +15,17 @@
 } from './fakes/rollout-scenario.js';
 import { rolloutApi, rolloutStatus } from './fakes/rollout-checker.js';
 
-// Orders of operators and cancellations of users that meet steps of a rollout: 8 replicas on 4 machines,
-// three controllers.
+// Operators' commands and users' cancellations that coincide with transitions of a rollout: 8 replicas on
+// 4 machines, three controllers.
 
 const OPEN_PHASES = ['preparing', 'surging', 'judging', 'withdrawing'];
 
-const other = ({ w: cluster }: RolloutScenario): number => (cluster.leader + 1) % 3;
+const followerOf = ({ w: cluster }: RolloutScenario): number => (cluster.leader + 1) % 3;
 
-/** Lets something happen at the very moment at which the store is asked to write a phase. */
-function whenWriting(story: RolloutScenario, phase: string, act: () => void): () => boolean {
+/** Runs `act` when the store receives the first write of a phase; returns whether it has run. */
+function onWriteOf(scenario: RolloutScenario, phase: string, act: () => void): () => boolean {
   let acted = false;
-  story.w.faults.storeFaults.add(({ body }) => {
+  scenario.w.faults.storeFaults.add(({ body }) => {
     if (writesPhase(body, phase) && !acted) {
       acted = true;
       act();
@@ -36,45 +36,45 @@
 }
 
 for (const phase of ['surging', 'judging', 'withdrawing']) {
-  test(`a rollback is ordered at another controller while ${phase} is being written`, async () => {
-    const story = await begin();
-    const { w: cluster, models, checker, from } = story;
-    const ordered = whenWriting(story, phase, () => {
-      void rolloutApi(cluster, other(story))!.order('r1', 'rollback');
+  test(`a rollback is requested at another controller while ${phase} is being written`, async () => {
+    const scenario = await begin();
+    const { w: cluster, models, checker, from } = scenario;
+    const ordered = onWriteOf(scenario, phase, () => {
+      void rolloutApi(cluster, followerOf(scenario))!.order('r1', 'rollback');
     });
-    await start(story);
+    await start(scenario);
     await phaseIs(cluster, 'rolled-back');
     assert.ok(ordered());
     assert.equal(models.serving(from), REPLICAS);
     assert.equal(checker.lowest, REPLICAS);
-    await finish(story, 'from');
+    await finish(scenario, 'from');
   });
 }
 
-test('a rollback halfway through the second step, with half of the old version gone', async () => {
-  const story = await begin();
-  const { w: cluster, models, checker, from, to } = story;
-  await start(story);
+test('a rollback halfway through the second step, with half of the old replicas withdrawn', async () => {
+  const scenario = await begin();
+  const { w: cluster, models, checker, from, to } = scenario;
+  await start(scenario);
   await cluster.until(
     () => models.serving(from) <= REPLICAS / 2,
     150,
-    'half of the old version is gone',
+    'half of the old replicas are withdrawn',
   );
   assert.equal(
-    (await ask(cluster, other(story), (api) => api.order('r1', 'rollback'))).status,
+    (await ask(cluster, followerOf(scenario), (api) => api.order('r1', 'rollback'))).status,
     200,
   );
   await phaseIs(cluster, 'rolled-back');
   assert.equal(checker.lowest, REPLICAS);
   assert.equal(models.serving(from), REPLICAS);
   assert.equal(cluster.on(to).length, 0);
-  await finish(story, 'from');
+  await finish(scenario, 'from');
 });
 
-test('rollback and resume in one second at two controllers: the rollback stands', async () => {
-  const story = await begin();
-  const { w: cluster } = story;
-  await start(story);
+test('rollback and resume at the same time at two controllers: the rollback takes effect', async () => {
+  const scenario = await begin();
+  const { w: cluster } = scenario;
+  await start(scenario);
   await phaseIs(cluster, 'judging');
   await ask(cluster, 0, (api) => api.order('r1', 'pause'));
   await phaseIs(cluster, 'paused');
@@ -87,12 +87,12 @@
   assert.ok([200, 409].includes(resumed!.status));
   await phaseIs(cluster, 'rolled-back');
   assert.equal((await ask(cluster, 1, (a) => a.order('r1', 'resume'))).status, 409);
-  await finish(story, 'from');
+  await finish(scenario, 'from');
 });
 
-test('two rollouts of one job in one second at two controllers: one wins, the other is told by whom', async () => {
-  const story = await begin();
-  const { w: cluster, from, to } = story;
+test('two rollouts of one job at the same time at two controllers: one is refused and names the other', async () => {
+  const scenario = await begin();
+  const { w: cluster, from, to } = scenario;
   const third = cluster.wish({
     shape: 'service',
     pieces: REPLICAS,
@@ -101,45 +101,45 @@
     crate: 'v3',
   });
   const request = { ...REQUEST, from };
-  const asked = [
+  const answers = [
     ask(cluster, 0, (a) => a.start({ ...request, to })),
     ask(cluster, 1, (a) => a.start({ ...request, id: 'r2', to: third.ref })),
   ];
-  const statuses = (await Promise.all(asked)).map(({ status }) => status);
+  const statuses = (await Promise.all(answers)).map(({ status }) => status);
   const [winner, loser] = statuses[0] === 201 ? ['r1', 'r2'] : ['r2', 'r1'];
   const refusedAt = statuses[winner === 'r1' ? 1 : 0]!;
   if (refusedAt === 201) {
     await cluster.until(
       () => rolloutStatus(cluster, loser)?.phase === 'refused',
       20,
-      'the later is refused',
+      'the later request is refused',
     );
     assert.match(rolloutStatus(cluster, loser)!.reason!, new RegExp(`named by rollout ${winner}`));
   } else assert.equal(refusedAt, 409);
   if (winner === 'r2') return;
-  await submitNext(story);
+  await submitNext(scenario);
   await phaseIs(cluster, 'done');
-  await finish(story, 'to');
+  await finish(scenario, 'to');
 });
 
-test('two requests that both controllers stored: the leader refuses the later one by name', async () => {
-  const story = await begin();
-  const { w: cluster, from, to } = story;
-  // Every controller is asked before the first request can be seen anywhere.
+test('two conflicting requests are both stored: the leader refuses the later and names the earlier', async () => {
+  const scenario = await begin();
+  const { w: cluster, from, to } = scenario;
+  // Writes a second spec directly, as if a controller that did not see the first had accepted it.
   await ask(cluster, 0, (a) => a.start({ ...REQUEST, from, to }));
   const first = cluster.store.get('rollouts/specs/r1') as object;
   cluster.store.write('rollouts/specs/r2', { ...first, id: 'r2', to: 'req-000999' });
   await cluster.until(() => rolloutStatus(cluster, 'r2')?.phase === 'refused', 20, 'r2 is refused');
   assert.match(rolloutStatus(cluster, 'r2')!.reason!, /job req-\d+ is named by rollout r1/);
-  await submitNext(story);
+  await submitNext(scenario);
   await phaseIs(cluster, 'done');
-  await finish(story, 'to');
+  await finish(scenario, 'to');
 });
 
-test('a paused rollout stands still through a change of leader, and goes on when it is resumed', async () => {
-  const story = await begin();
-  const { w: cluster, models, checker, from, to } = story;
-  await start(story);
+test('a paused rollout does not advance across a change of leader, and continues when resumed', async () => {
+  const scenario = await begin();
+  const { w: cluster, models, checker, from, to } = scenario;
+  await start(scenario);
   await phaseIs(cluster, 'judging');
   await ask(cluster, 0, (api) => api.order('r1', 'pause'));
   await phaseIs(cluster, 'paused');
@@ -151,58 +151,54 @@
   await ask(cluster, cluster.leader, (api) => api.order('r1', 'resume'));
   await phaseIs(cluster, 'done');
   assert.equal(checker.lowest, REPLICAS);
-  await finish(story, 'to');
+  await finish(scenario, 'to');
 });
 
 for (const [i, phase] of OPEN_PHASES.entries()) {
-  test(`the user of the new job cancels it in ${phase}, and the leader ends before its next round`, async () => {
-    const story = await begin({ seed: i });
-    const { w: cluster, models, from, to } = story;
-    if (phase === 'preparing') holdPreparing(story);
-    await start(story);
+  test(`the user cancels the new job in ${phase}, and the leader crashes before its next step`, async () => {
+    const scenario = await begin({ seed: i });
+    const { w: cluster, models, from, to } = scenario;
+    if (phase === 'preparing') keepInPreparing(scenario);
+    await start(scenario);
     await phaseIs(cluster, phase);
     const cancelled = cluster.cancel(to);
     cluster.crash(cluster.leader);
     await cancelled;
     models.faults.clear();
     await phaseIs(cluster, 'rolled-back');
-    await cluster.until(() => models.serving(from) === REPLICAS, 60, 'the old version is whole');
+    await cluster.until(() => models.serving(from) === REPLICAS, 60, 'all old replicas serve');
     assert.match(rolloutStatus(cluster, 'r1')!.reason!, /cancelled by its user/);
     await cluster.settle();
     await cluster.close();
-    assert.deepEqual([...story.checker.broken], []);
+    assert.deepEqual([...scenario.checker.broken], []);
   });
 
-  test(`the user of the old job cancels it in ${phase}, and the leader ends before its next round`, async () => {
-    const story = await begin({ seed: i });
-    const { w: cluster, models, from, to } = story;
-    if (phase === 'preparing') holdPreparing(story);
-    await start(story);
+  test(`the user cancels the old job in ${phase}, and the leader crashes before its next step`, async () => {
+    const scenario = await begin({ seed: i });
+    const { w: cluster, models, from, to } = scenario;
+    if (phase === 'preparing') keepInPreparing(scenario);
+    await start(scenario);
     await phaseIs(cluster, phase);
     const cancelled = cluster.cancel(from);
     cluster.crash(cluster.leader);
     await cancelled;
     await phaseIs(cluster, 'failed');
-    await cluster.until(
-      () => models.serving(to) === REPLICAS,
-      60,
-      'the new version has its full number',
-    );
+    await cluster.until(() => models.serving(to) === REPLICAS, 60, 'all new replicas serve');
     await cluster.settle();
     await cluster.close();
-    assert.deepEqual([...story.checker.broken], []);
+    assert.deepEqual([...scenario.checker.broken], []);
   });
 }
 
-/** No replica is proven, so that the rollout does not begin. */
-function holdPreparing({ models }: RolloutScenario): void {
+/** Lets all probes fail, so that no replica is proven and the rollout stays in phase preparing. */
+function keepInPreparing({ models }: RolloutScenario): void {
   models.faults.add(() => 'silence');
 }
 
-test('both users cancel in the middle: nothing is left, and the rollout is over', async () => {
-  const story = await begin();
-  const { w: cluster, from, to } = story;
-  await start(story);
+test('both jobs are cancelled during a rollout: it fails, and no replica is left', async () => {
+  const scenario = await begin();
+  const { w: cluster, from, to } = scenario;
+  await start(scenario);
   await phaseIs(cluster, 'judging');
   await Promise.all(
     [cluster.cancelling(from), cluster.cancelling(to)].map((p) => cluster.drive(p)),
@@ -212,10 +208,10 @@
   await cluster.close();
 });
 
-test('what won can be taken back by a later rollout, to the job that stayed open', async () => {
-  const story = await begin();
-  const { w: cluster, models, from, to } = story;
-  await start(story);
+test('a later rollout can return from the new version to the old job, which is still open', async () => {
+  const scenario = await begin();
+  const { w: cluster, models, from, to } = scenario;
+  await start(scenario);
   await phaseIs(cluster, 'done');
   const answer = await ask(cluster, 2, (a) =>
     a.start({ ...REQUEST, id: 'r2', from: to, to: from }),
@@ -228,12 +224,12 @@
   await cluster.cancel(to);
   await cluster.settle();
   await cluster.close();
-  assert.deepEqual([...story.checker.broken], []);
+  assert.deepEqual([...scenario.checker.broken], []);
 });
 
-test('requests that cannot be are refused at once by any controller, with the field', async () => {
-  const story = await begin();
-  const { w: cluster, from, to } = story;
+test('any controller refuses invalid requests immediately and names the field', async () => {
+  const scenario = await begin();
+  const { w: cluster, from, to } = scenario;
   const array = await cluster.accept({ pieces: 2, runMs: 600_000, crate: 'v2' });
   const service = {
     shape: 'service',
--- a/test/rollout-versions.test.ts
+++ b/test/rollout-versions.test.ts
@@ -15,14 +15,14 @@
 } from './fakes/rollout-scenario.js';
 import { change, install, passOffice } from './fakes/versions.js';
 
-// Controllers of earlier versions are the real ones, from the bundles in test/fixtures/controllers.
+// Controllers of earlier versions run the released code, from the bundles in test/fixtures/controllers.
 
 for (const release of RELEASES) {
-  test(`nothing begins before the last ${release} is upgraded, whoever leads`, async () => {
-    const story = await begin({
+  test(`no rollout starts before the last controller of ${release} is upgraded, whichever controller leads`, async () => {
+    const scenario = await begin({
       before: (cluster) => install(cluster, ['current', 'current', release]),
     });
-    const { w, models, from, to } = story;
+    const { w, models, from, to } = scenario;
     await ask(w, 0, (api) => api.start({ ...REQUEST, from, to }));
     for (const leader of [2, 0, 1]) {
       await passOffice(w, leader);
@@ -31,23 +31,23 @@
     }
     assert.equal(models.serving(from), REPLICAS);
     await change(w, 2, 'current');
-    await submitNext(story);
+    await submitNext(scenario);
     await phaseIs(w, 'done');
-    await finish(story, 'to');
+    await finish(scenario, 'to');
   });
 }
 
-test('a controller that comes back with rollouts switched off: they stand still until it has them', async () => {
-  const story = await begin();
-  const { w: cluster, models, checker, to } = story;
-  await start(story);
+test('a controller restarts with rollouts disabled: no rollout advances until it has them enabled', async () => {
+  const scenario = await begin();
+  const { w: cluster, models, checker, to } = scenario;
+  await start(scenario);
   await phaseIs(cluster, 'judging');
-  const off = (cluster.leader + 1) % 3;
-  const rollout = cluster.nodes[off]!.extensions.get('rollout')!;
-  cluster.nodes[off]!.extensions.clear();
-  cluster.crash(off);
+  const disabled = (cluster.leader + 1) % 3;
+  const rollout = cluster.nodes[disabled]!.extensions.get('rollout')!;
+  cluster.nodes[disabled]!.extensions.clear();
+  cluster.crash(disabled);
   await cluster.pass(3);
-  cluster.restart(off);
+  cluster.restart(disabled);
   await cluster.pass(10);
   const stopped = [phaseOf(cluster), models.serving(to)];
   await cluster.pass(30);
@@ -56,18 +56,18 @@
     rollouts: { waitsFor: string }[];
   };
   assert.match(shown.rollouts[0]!.waitsFor, /every controller/);
-  cluster.nodes[off]!.extensions.set('rollout', rollout);
-  cluster.crash(off);
-  cluster.restart(off);
+  cluster.nodes[disabled]!.extensions.set('rollout', rollout);
+  cluster.crash(disabled);
+  cluster.restart(disabled);
   await phaseIs(cluster, 'done');
   assert.equal(checker.lowest, REPLICAS);
-  await finish(story, 'to');
+  await finish(scenario, 'to');
 });
 
-test('a leader with rollouts switched off leaves the records as they are; the next goes on', async () => {
-  const story = await begin();
-  const { w: cluster, models, checker, to } = story;
-  await start(story);
+test('a leader with rollouts disabled leaves the records unchanged, and its successor continues', async () => {
+  const scenario = await begin();
+  const { w: cluster, models, checker, to } = scenario;
+  await start(scenario);
   await phaseIs(cluster, 'judging');
   const rollout = cluster.nodes[2]!.extensions.get('rollout')!;
   cluster.nodes[2]!.extensions.clear();
@@ -78,7 +78,8 @@
   const before = JSON.stringify(rolloutStatus(cluster, 'r1'));
   await cluster.pass(20);
   assert.equal(JSON.stringify(rolloutStatus(cluster, 'r1')), before);
-  // It knows no ceilings, and starts what it can of both: more than the surge, never less than the level.
+  // It knows no ceilings, so it starts as many replicas of both as it can, which exceeds the surge.
+  // The number of serving replicas must still not fall below the required one.
   assert.equal(models.serving(to), REPLICAS);
   checker.broken.clear();
   cluster.nodes[2]!.extensions.set('rollout', rollout);
@@ -87,5 +88,5 @@
   await phaseIs(cluster, 'done');
   assert.ok(checker.lowest >= REPLICAS);
   checker.broken.clear();
-  await finish(story, 'to');
+  await finish(scenario, 'to');
 });
--- a/test/rollout.test.ts
+++ b/test/rollout.test.ts
@@ -11,36 +11,36 @@
   start,
 } from './fakes/rollout-scenario.js';
 
-test('a good version takes over in steps, and never fewer replicas serve than before', async () => {
-  const story = await begin();
-  const { w: cluster, models, checker, to } = story;
-  await start(story);
+test('a good version is rolled out in steps without a drop in serving replicas', async () => {
+  const scenario = await begin();
+  const { w: cluster, models, checker, to } = scenario;
+  await start(scenario);
   await phaseIs(cluster, 'done');
   assert.equal(models.serving(to), REPLICAS);
   assert.equal(checker.lowest, REPLICAS);
-  await finish(story, 'to');
+  await finish(scenario, 'to');
 });
 
-test('the leader is killed in the middle of a withdrawal; the next one goes on', async () => {
-  const story = await begin({ seed: 1 });
-  const { w: cluster, checker } = story;
-  await start(story, {}, 1);
+test('the leader crashes during a withdrawal, and its successor continues', async () => {
+  const scenario = await begin({ seed: 1 });
+  const { w: cluster, checker } = scenario;
+  await start(scenario, {}, 1);
   await phaseIs(cluster, 'withdrawing');
   cluster.crash(cluster.leader);
   await phaseIs(cluster, 'done');
   assert.equal(checker.lowest, REPLICAS);
-  await finish(story, 'to');
+  await finish(scenario, 'to');
 });
 
-test('a version that is slow under load goes back, and never fewer replicas serve than before', async () => {
-  const story = await begin({ seed: 2 });
-  const { w: cluster, models, checker, from, to } = story;
+test('a version that is slow under load is rolled back without a drop in serving replicas', async () => {
+  const scenario = await begin({ seed: 2 });
+  const { w: cluster, models, checker, from, to } = scenario;
   models.models.set(to, {
     readyMs: 500,
     latencyMs: (serving) => (serving > 2 ? 250 : 100),
     errorRate: 0,
   });
-  await start(story);
+  await start(scenario);
   await phaseIs(cluster, 'rolled-back');
   assert.equal(models.serving(from), REPLICAS);
   assert.equal(checker.lowest, REPLICAS);
@@ -49,20 +49,20 @@
   };
   assert.match(rollouts[0]!.waitsFor, /stays open without replicas/);
   assert.match(rollouts[0]!.reason, /worse under load/);
-  await finish(story, 'from');
+  await finish(scenario, 'from');
 });
 
-test('a version that is never ready goes back after the bound, and no old replica is withdrawn', async () => {
-  const story = await begin({ seed: 3 });
-  const { w: cluster, models, from, to } = story;
+test('a version that is never ready is rolled back after readySeconds, and no old replica is withdrawn', async () => {
+  const scenario = await begin({ seed: 3 });
+  const { w: cluster, models, from, to } = scenario;
   models.models.set(to, { readyMs: Infinity, latencyMs: () => 100, errorRate: 0 });
   const starts = cluster.starts.filter((start) => start.startsWith(from)).length;
-  await start(story);
+  await start(scenario);
   await phaseIs(cluster, 'surging');
   await phaseIs(cluster, 'rolled-back');
   assert.equal(cluster.starts.filter((start) => start.startsWith(from)).length, starts);
   assert.equal(phaseOf(cluster), 'rolled-back');
   const withdrawn = cluster.logged.filter(({ message }) => message === 'replica withdrawn').length;
-  assert.equal(withdrawn, MAX_SURGE, 'no new replica is started again on the way back');
-  await finish(story, 'from');
+  assert.equal(withdrawn, MAX_SURGE, 'the rollback restarts no new replica');
+  await finish(scenario, 'from');
 });
--- a/test/service-rollouts.test.ts
+++ b/test/service-rollouts.test.ts
@@ -11,7 +11,7 @@
 
 const JOB = 'req-000001';
 
-/** One replica of one job, as a leader knows it; what differs is changed before it is asked. */
+/** Returns a replica as the leader reports it, after `change` was applied to its machine and placement. */
 function replicaWith(change: (machine: Machine, placement: Placement) => void): rollout.Replica {
   const clock = new FakeClock();
   const machine = new Machine('host-000001', 0);
@@ -47,18 +47,18 @@
   return new ServiceRollouts(host, rollout, ports).replicas(JOB)[0]!;
 }
 
-test('a replica counts as running only by a fresh report to this leader of that very start', () => {
+test('a replica counts as running only after a recent report of this start to this leader', () => {
   const runs = (change: (machine: Machine, placement: Placement) => void): boolean =>
     replicaWith(change).running;
   assert.ok(runs(() => undefined));
   assert.ok(
     !runs((machine) => (machine.isTokenConfirmed = false)),
-    'its worker may still obey a former leader',
+    'its worker may still accept commands of a former leader',
   );
-  assert.ok(!runs((machine) => (machine.lastHeartbeatAt = null)), 'not heard in this term');
-  assert.ok(!runs((machine) => (machine.lastHeartbeatAt = -4000)), 'not heard lately');
-  assert.ok(!runs((machine) => (machine.agentEpoch = 2)), 'its worker began anew');
-  assert.ok(!runs((machine) => (machine.isReleasing = true)), 'its machine goes back');
+  assert.ok(!runs((machine) => (machine.lastHeartbeatAt = null)), 'no heartbeat in this term');
+  assert.ok(!runs((machine) => (machine.lastHeartbeatAt = -4000)), 'no recent heartbeat');
+  assert.ok(!runs((machine) => (machine.agentEpoch = 2)), 'its worker has restarted');
+  assert.ok(!runs((machine) => (machine.isReleasing = true)), 'its machine is being released');
   assert.ok(
     !runs((_m, placement) => (placement.stage = 'recovered')),
     'recorded by an earlier leader only',
@@ -66,13 +66,13 @@
   assert.ok(!runs((_m, placement) => (placement.state = 'fetching')));
 });
 
-test('a replica is known not to have run while it is unsent or fetches, and not when it was recovered', () => {
+test('a replica counts as starting while its start is unsent or fetching, but not when it was recovered', () => {
   const starting = (change: Partial<Placement>): boolean =>
     replicaWith((_machine, placement) => Object.assign(placement, change)).starting;
   assert.ok(starting({ stage: 'recording', state: null }));
   assert.ok(starting({ stage: 'recorded', state: null }));
   assert.ok(starting({ stage: 'reported', state: 'fetching' }));
-  assert.ok(!starting({ stage: 'dispatched', state: null }), 'it may run by now');
-  assert.ok(!starting({ stage: 'recovered', state: null }), 'an earlier leader sent it');
+  assert.ok(!starting({ stage: 'dispatched', state: null }), 'it may be running');
+  assert.ok(!starting({ stage: 'recovered', state: null }), 'sent by an earlier leader');
   assert.ok(!starting({ stage: 'reported', state: 'running' }));
 });
