--- a/packages/rollout/src/api.ts
+++ b/packages/rollout/src/api.ts
@@ -117,11 +117,11 @@
 
   /** Stores a command. Repeating it returns the state of the rollout and writes nothing. */
   order(id: string, command: RolloutCommand): Promise<ApiAnswer> {
-    return this.answering(() => retryingConflicts(() => this.tryToCommand(id, command)));
+    return this.answering(() => retryingConflicts(() => this.tryToSubmitCommand(id, command)));
   }
 
   /** The answer; null if the record has changed since it was read. */
-  private async tryToCommand(id: string, command: RolloutCommand): Promise<ApiAnswer | null> {
+  private async tryToSubmitCommand(id: string, command: RolloutCommand): Promise<ApiAnswer | null> {
     const rollout = (await this.read()).rollout(id);
     if (!rollout) return errorAnswer(404, `id: no rollout ${id}`);
     if (!isReadable(rollout)) return errorAnswer(409, `id: the record of ${id} cannot be read`);
--- a/packages/rollout/src/command.ts
+++ b/packages/rollout/src/command.ts
@@ -74,12 +74,12 @@
 
 // ---- output
 
-interface ShownVersion {
+interface VersionView {
   placed: number;
   proven: number;
 }
 
-interface ShownRollout {
+interface RolloutView {
   id: string;
   from: string;
   to: string;
@@ -87,21 +87,21 @@
   step?: number;
   steps: number[];
   ceilings?: { from: number | null; to: number | null };
-  seen: { from: ShownVersion; to: ShownVersion } | null;
+  seen: { from: VersionView; to: VersionView } | null;
   reason?: string | null;
   changedAt?: number;
   waitsFor: string | null;
 }
 
 const versionText = (
-  version: ShownVersion | undefined,
+  version: VersionView | undefined,
   ceiling: number | null | undefined,
 ): string => {
   const counts = version ? `${version.proven}/${version.placed}` : '?/?';
   return `${counts} of ${ceiling ?? '-'}`;
 };
 
-function rolloutsText(rollouts: ShownRollout[]): string {
+function rolloutsText(rollouts: RolloutView[]): string {
   const header = ['ROLLOUT', 'FROM', 'TO', 'PHASE', 'STEP', 'OLD', 'NEW', 'CHANGED', 'WAITS FOR'];
   const rows = rollouts.map((rollout) => [
     ...[rollout.id, rollout.from, rollout.to, rollout.phase],
@@ -118,11 +118,11 @@
   const paragraphs = [
     'OLD and NEW are replicas proven / placed of those allowed; ? is known to the leader alone.',
   ];
-  paragraphs.push(rolloutsText(body.rollouts as ShownRollout[]));
+  paragraphs.push(rolloutsText(body.rollouts as RolloutView[]));
   return [...paragraphs, ...unreadableLines(body)].join('\n\n');
 }
 
-interface ShownBatch {
+interface PlannedBatch {
   step: number;
   surge: number;
   from: number;
@@ -131,7 +131,7 @@
 
 function planText(body: Record<string, unknown>): string {
   const room = body.room as { cpus: number; gpus: number };
-  const rows = (body.steps as ShownBatch[]).map((batch) => [
+  const rows = (body.steps as PlannedBatch[]).map((batch) => [
     String(batch.step + 1),
     String(batch.surge),
     String(batch.from),
@@ -155,7 +155,7 @@
     });
   add('history', 'rollouts that are over').action(async (options: CommonOptions) => {
     const response = await ask(options.at, 'GET', '/rollouts/history');
-    report(options, response, (body) => rolloutsText(body.rollouts as ShownRollout[]));
+    report(options, response, (body) => rolloutsText(body.rollouts as RolloutView[]));
   });
   addCommand(add, report, 'pause', 'holds a rollout where it is');
   addCommand(add, report, 'resume', 'lets a paused rollout go on');
@@ -169,7 +169,7 @@
 ): Awaited<ReturnType<typeof ask>> {
   const { status, body } = response;
   if (id === undefined || status >= 400) return response;
-  const rollouts = (body.rollouts as ShownRollout[]).filter((rollout) => rollout.id === id);
+  const rollouts = (body.rollouts as RolloutView[]).filter((rollout) => rollout.id === id);
   if (rollouts.length > 0) return { status, body: { ...body, rollouts } };
   return { status: 404, body: { error: `id: no rollout ${id} is under way` } };
 }
--- a/packages/rollout/src/observer.ts
+++ b/packages/rollout/src/observer.ts
@@ -96,10 +96,10 @@
 
   /** How many replicas of each job are placed and proven. */
   counts(spec: SpecRecord): { from: ObservedVersion; to: ObservedVersion } {
-    return this.countsAmong(spec, this.readiness(spec.from, spec), this.readiness(spec.to, spec));
+    return this.countsFrom(spec, this.readiness(spec.from, spec), this.readiness(spec.to, spec));
   }
 
-  private countsAmong(
+  private countsFrom(
     spec: SpecRecord,
     oldReplicas: readonly ReplicaReadiness[],
     newReplicas: readonly ReplicaReadiness[],
@@ -131,11 +131,11 @@
     const spec = rollout.spec.record;
     const oldReplicas = this.readiness(spec.from, spec);
     const newReplicas = this.readiness(spec.to, spec);
-    const counts = this.countsAmong(spec, oldReplicas, newReplicas);
+    const counts = this.countsFrom(spec, oldReplicas, newReplicas);
     return {
       wall: this.ports.clock.wall(),
       jobs: { from: this.scheduler.job(spec.from), to: this.scheduler.job(spec.to) },
-      isNewJobOver: this.isFinished(spec.to),
+      isNewJobFinished: this.isFinished(spec.to),
       ...counts,
       neverReady: this.neverReadyReason(spec, newReplicas),
       evidence: this.evidence(rollout, counts.to.proven),
@@ -186,7 +186,7 @@
       if (replica.job !== from && replica.job !== to) continue;
       if (!this.proofs.isProven(replica, now)) continue;
       const version = replica.job === from ? 'old' : 'new';
-      if (!window.add(version, answer)) this.proofs.failed(replica, now);
+      if (!window.add(version, answer)) this.proofs.recordFailure(replica, now);
     }
   }
 }
--- a/packages/rollout/src/probe.ts
+++ b/packages/rollout/src/probe.ts
@@ -29,11 +29,11 @@
   const result = z.safeParse(probeAnswer, value);
   if (!result.success) return null;
   const answer = result.data;
-  const isSame =
+  const isFromReplica =
     answer.job === replica.job &&
     answer.task === replica.task &&
     answer.attempt === replica.attempt &&
     answer.session === replica.agentEpoch &&
     answer.version === replica.image;
-  return isSame && answer.errors <= answer.requests ? answer : null;
+  return isFromReplica && answer.errors <= answer.requests ? answer : null;
 }
--- a/packages/rollout/src/prober.ts
+++ b/packages/rollout/src/prober.ts
@@ -92,7 +92,7 @@
     const replicas = new Map(
       this.options.replicas().map((replica) => [replica.key, replica] as const),
     );
-    proofs.keep(replicas);
+    proofs.retainOnly(replicas);
     const queue: ScheduledProbe[] = [];
     for (const { replica, at } of this.queue) {
       const present = replicas.get(replica.key);
@@ -117,12 +117,12 @@
       // The timeout does not detect an answer that waited here while this controller was stalled.
       const isLate = clock.now() - sentAt > timeoutMs;
       if (answer && !isLate) {
-        proofs.answered(replica, sentAt);
+        proofs.recordAnswer(replica, sentAt);
         this.options.answered(replica, answer);
-      } else proofs.failed(replica, sentAt);
+      } else proofs.recordFailure(replica, sentAt);
     } catch {
       // Any error counts as a failed probe.
-      proofs.failed(replica, sentAt);
+      proofs.recordFailure(replica, sentAt);
     } finally {
       this.inFlight.delete(replica.key);
     }
--- a/packages/rollout/src/readiness-proofs.ts
+++ b/packages/rollout/src/readiness-proofs.ts
@@ -26,7 +26,7 @@
   ) {}
 
   /** Records that a probe sent at `sentAt` got a valid answer of exactly this replica in time. */
-  answered(replica: Replica, sentAt: number): void {
+  recordAnswer(replica: Replica, sentAt: number): void {
     const proof = this.proofOf(replica, sentAt);
     if (!this.isFresh(proof, sentAt)) proof.consecutiveAnswers = 0;
     proof.consecutiveAnswers++;
@@ -44,7 +44,7 @@
   }
 
   /** Records that a probe got no answer, a late or invalid one, or that of another replica. */
-  failed(replica: Replica, sentAt: number): void {
+  recordFailure(replica: Replica, sentAt: number): void {
     this.proofOf(replica, sentAt).consecutiveAnswers = 0;
   }
 
@@ -66,7 +66,7 @@
   }
 
   /** Discards the data of all replicas but these. */
-  keep(keys: { has(key: string): boolean }): void {
+  retainOnly(keys: { has(key: string): boolean }): void {
     for (const key of this.proofs.keys()) if (!keys.has(key)) this.proofs.delete(key);
   }
 }
--- a/packages/rollout/src/replica-withdrawals.ts
+++ b/packages/rollout/src/replica-withdrawals.ts
@@ -49,9 +49,15 @@
     if (placed <= (isRollback ? 0 : ceilings.from)) return;
     const from = this.observer.readiness(spec.from, spec);
     const to = this.observer.readiness(spec.to, spec);
-    const [leaving, others] = isRollback ? [to, from] : [from, to];
+    const [candidates, otherReplicas] = isRollback ? [to, from] : [from, to];
     const ceiling = isRollback ? ceilings.to : ceilings.from;
-    for (const replica of chooseWithdrawals(leaving, others, replicas, ceiling, isRollback)) {
+    for (const replica of chooseWithdrawals(
+      candidates,
+      otherReplicas,
+      replicas,
+      ceiling,
+      isRollback,
+    )) {
       const { job, task, attempt, machine } = replica;
       const fields = { rollout: spec.id, phase, step, task: `${job}/${task}`, attempt, machine };
       this.ports.log.info(fields, 'replica withdrawn');
--- a/packages/rollout/src/request.ts
+++ b/packages/rollout/src/request.ts
@@ -7,8 +7,8 @@
 /** Minimum number of samples above the compared percentile. */
 const MIN_SAMPLES_ABOVE = 5;
 
-const JOB = /^\S{1,100}$/;
-const jobId = z.string().check(z.regex(JOB, 'must be the id of a job'));
+const JOB_ID_PATTERN = /^\S{1,100}$/;
+const jobId = z.string().check(z.regex(JOB_ID_PATTERN, 'must be the id of a job'));
 const positive = z.number().check(z.positive('must be positive'));
 
 const startRequest = z.strictObject({
@@ -42,16 +42,16 @@
   const request = parseBody(startRequest, value);
   const { from, to, steps, percentile, minSamples } = request;
   if (from === to) throw new InvalidRequestError(400, 'to', 'must be another job than from');
-  const isRising = steps.every((share, i) => share > (steps[i - 1] ?? 0));
-  if (!isRising || steps.at(-1) !== 1)
+  const isAscending = steps.every((share, i) => share > (steps[i - 1] ?? 0));
+  if (!isAscending || steps.at(-1) !== 1)
     throw new InvalidRequestError(400, 'steps', 'must rise to 1');
   const samplesAbove = minSamples * (1 - percentile / 100);
   if (samplesAbove < MIN_SAMPLES_ABOVE - 1e-9) {
-    const least = Math.ceil(MIN_SAMPLES_ABOVE / (1 - percentile / 100) - 1e-9);
+    const minimum = Math.ceil(MIN_SAMPLES_ABOVE / (1 - percentile / 100) - 1e-9);
     throw new InvalidRequestError(
       400,
       'minSamples',
-      `must be ${least} at least for that percentile`,
+      `must be ${minimum} at least for that percentile`,
     );
   }
   return request;
--- a/packages/rollout/src/rollout-view.ts
+++ b/packages/rollout/src/rollout-view.ts
@@ -47,13 +47,13 @@
 export function batchesOf(request: RolloutRequest, replicas: number): object[] {
   const spec = newSpec(request, '', 0);
   const batches: object[] = [];
-  let reached = 0;
+  let newReplicas = 0;
   for (let step = 0; step < request.steps.length; step++) {
     const target = stepTarget(spec, step, replicas);
-    while (reached < target) {
-      const next = Math.min(target, reached + request.maxSurge);
-      batches.push({ step, surge: next - reached, to: next, from: replicas - next });
-      reached = next;
+    while (newReplicas < target) {
+      const next = Math.min(target, newReplicas + request.maxSurge);
+      batches.push({ step, surge: next - newReplicas, to: next, from: replicas - next });
+      newReplicas = next;
     }
   }
   return batches;
--- a/packages/rollout/src/status.ts
+++ b/packages/rollout/src/status.ts
@@ -14,7 +14,7 @@
  * Final:
  * - `done`: all replicas run the new version.
  * - `rolled-back`: all replicas run the old version.
- * - `failed`: ended without reaching either.
+ * - `failed`: ended in neither of these states.
  * - `refused`: was never started.
  */
 export const ROLLOUT_PHASES = [
@@ -33,10 +33,15 @@
 /** A phase of a rollout. */
 export type RolloutPhase = (typeof ROLLOUT_PHASES)[number];
 
-const FINAL: ReadonlySet<RolloutPhase> = new Set(['done', 'rolled-back', 'failed', 'refused']);
+const FINAL_PHASES: ReadonlySet<RolloutPhase> = new Set([
+  'done',
+  'rolled-back',
+  'failed',
+  'refused',
+]);
 
 /** Whether a phase has no outgoing transitions. */
-export const isFinal = (phase: RolloutPhase): boolean => FINAL.has(phase);
+export const isFinal = (phase: RolloutPhase): boolean => FINAL_PHASES.has(phase);
 
 const count = z.int().check(z.nonnegative());
 /** Null means no limit. */
--- a/packages/rollout/src/transitions.ts
+++ b/packages/rollout/src/transitions.ts
@@ -23,7 +23,7 @@
   wall: number;
   jobs: ObservedJobs;
   /** Whether the new job has finished and been dropped by the leader. */
-  isNewJobOver: boolean;
+  isNewJobFinished: boolean;
   from: ObservedVersion;
   to: ObservedVersion;
   /** Why the new version will not become ready; null if it still may. */
@@ -107,7 +107,7 @@
 function transitionAfterCancellation(
   spec: SpecRecord,
   status: StatusRecord,
-  { jobs, isNewJobOver }: Observation,
+  { jobs, isNewJobFinished: isNewJobOver }: Observation,
 ): Change | null {
   if (jobs.from?.state !== 'open') {
     const reason = `job ${spec.from} was cancelled by its user`;
--- a/packages/rollout/src/verdict.ts
+++ b/packages/rollout/src/verdict.ts
@@ -8,7 +8,7 @@
 /** The verdict is `undecided` if samples do not suffice after this many windows of complete time. */
 const MAX_WINDOWS = 3;
 
-/** Bound of the total time in windows, including time in which new replicas were missing. */
+/** A verdict is given after this many windows of total time, complete or not. */
 const MAX_TOTAL_WINDOWS = 10;
 
 /** Precision of the merged histograms in significant decimal digits. */
@@ -114,10 +114,10 @@
       verdict,
       oldRequests: this.old.requests,
       newRequests: this.new.requests,
-      latencyRatio: ratio === null ? null : rounded(ratio),
-      errorIncrease: isSampled ? rounded(this.errorIncrease) : null,
+      latencyRatio: ratio === null ? null : roundToThousandths(ratio),
+      errorIncrease: isSampled ? roundToThousandths(this.errorIncrease) : null,
     };
   }
 }
 
-const rounded = (value: number): number => Math.round(value * 1000) / 1000;
+const roundToThousandths = (value: number): number => Math.round(value * 1000) / 1000;
--- a/packages/rollout/src/wait-reason.ts
+++ b/packages/rollout/src/wait-reason.ts
@@ -12,15 +12,15 @@
   if (status === null) return 'the leader';
   switch (status.phase) {
     case 'preparing':
-      return preparationWait(spec, status, observed);
+      return preparingReason(spec, status, observed);
     case 'surging':
-      return missingReplicas(spec.to, boundedCeilings(status).to, observed.to);
+      return missingReplicasReason(spec.to, boundedCeilings(status).to, observed.to);
     case 'judging':
       return 'the verdict under load';
     case 'withdrawing':
-      return withdrawalWait(spec, status, observed);
+      return withdrawingReason(spec, status, observed);
     case 'rolling-back':
-      return rollbackWait(spec, status, observed);
+      return rollingBackReason(spec, status, observed);
     case 'paused':
       return 'an operator to resume it or to roll it back';
     case 'done':
@@ -31,39 +31,43 @@
   }
 }
 
-function preparationWait(
+function preparingReason(
   { from, to }: SpecRecord,
   { replicas }: StatusRecord,
   observed: Observation,
 ): string | null {
   if (observed.jobs.to === null) return `job ${to} to be submitted`;
-  return missingReplicas(from, replicas, observed.from);
+  return missingReplicasReason(from, replicas, observed.from);
 }
 
-function rollbackWait(
+function rollingBackReason(
   { from, to }: SpecRecord,
   status: StatusRecord,
   observed: Observation,
 ): string {
   return (
-    missingReplicas(from, boundedCeilings(status).from, observed.from) ??
+    missingReplicasReason(from, boundedCeilings(status).from, observed.from) ??
     `${observed.to.placed} replicas of ${to} to be gone`
   );
 }
 
-function withdrawalWait(
+function withdrawingReason(
   { from }: SpecRecord,
   status: StatusRecord,
   observed: Observation,
 ): string | null {
   const missing = status.replicas - observed.from.proven - observed.to.proven;
   if (missing > 0) return `${missing} more proven replicas, before anything is withdrawn`;
-  const leaving = observed.from.placed - boundedCeilings(status).from;
-  return leaving > 0 ? `${leaving} replicas of ${from} to be gone` : null;
+  const excess = observed.from.placed - boundedCeilings(status).from;
+  return excess > 0 ? `${excess} replicas of ${from} to be gone` : null;
 }
 
 /** Which replicas of a job are still missing; null if all required ones are proven. */
-function missingReplicas(job: string, required: number, observed: ObservedVersion): string | null {
+function missingReplicasReason(
+  job: string,
+  required: number,
+  observed: ObservedVersion,
+): string | null {
   const unplaced = required - observed.placed;
   if (unplaced > 0) return `room for ${unplaced} more replicas of ${job}`;
   const unproven = required - observed.proven;
--- a/packages/rollout/test/proofs.test.ts
+++ b/packages/rollout/test/proofs.test.ts
@@ -62,30 +62,30 @@
 
 test('three consecutive answers prove a replica until the last one expires', () => {
   const proofs = new ReadinessProofs(1000);
-  for (const at of [0, 1000]) proofs.answered(REPLICA, at);
+  for (const at of [0, 1000]) proofs.recordAnswer(REPLICA, at);
   assert.ok(!proofs.isProven(REPLICA, 1000));
-  proofs.answered(REPLICA, 2000);
+  proofs.recordAnswer(REPLICA, 2000);
   assert.ok(proofs.isProven(REPLICA, 4500));
   assert.ok(!proofs.isProven(REPLICA, 4501), 'the last answer has expired');
   assert.ok(!proofs.isProven({ ...REPLICA, running: false }, 2000), 'not reported as running');
   assert.ok(!proofs.isProven({ ...REPLICA, stopping: true }, 2000), 'it was told to stop');
   assert.ok(!proofs.isProven({ ...REPLICA, key: 'j/3/3@m#4' }, 2000), 'another start attempt');
   assert.ok(!proofs.isProven({ ...REPLICA, key: 'j/3/2@m#5' }, 2000), 'another agent epoch');
-  proofs.failed(REPLICA, 3000);
+  proofs.recordFailure(REPLICA, 3000);
   assert.ok(!proofs.isProven(REPLICA, 3000), 'one failure');
-  for (const at of [4000, 5000, 9000, 10_000]) proofs.answered(REPLICA, at);
+  for (const at of [4000, 5000, 9000, 10_000]) proofs.recordAnswer(REPLICA, at);
   assert.ok(!proofs.isProven(REPLICA, 10_000), 'answers with a gap are not consecutive');
 });
 
 test('the time probed without proof counts from the first probe, and is 0 after a proof', () => {
   const proofs = new ReadinessProofs(1000);
   assert.equal(proofs.probedWithoutProofMs(REPLICA, 9000), 0, 'not probed yet');
-  proofs.failed(REPLICA, 1000);
+  proofs.recordFailure(REPLICA, 1000);
   assert.equal(proofs.probedWithoutProofMs(REPLICA, 9000), 8000);
-  proofs.keep(new Set());
+  proofs.retainOnly(new Set());
   assert.equal(proofs.probedWithoutProofMs(REPLICA, 9000), 0, 'discarded while it was not probed');
-  for (const at of [9000, 9500, 10_000]) proofs.answered(REPLICA, at);
-  proofs.failed(REPLICA, 10_500);
+  for (const at of [9000, 9500, 10_000]) proofs.recordAnswer(REPLICA, at);
+  proofs.recordFailure(REPLICA, 10_500);
   assert.equal(proofs.probedWithoutProofMs(REPLICA, 90_000), 0);
 });
 
--- a/packages/rollout/test/transitions.test.ts
+++ b/packages/rollout/test/transitions.test.ts
@@ -33,7 +33,7 @@
 const observationOf = (change: Partial<Observation> = {}): Observation => ({
   wall: 1,
   jobs: { from: jobOf('old'), to: jobOf('new') },
-  isNewJobOver: false,
+  isNewJobFinished: false,
   from: { placed: REPLICAS, proven: REPLICAS, neverServed: 0 },
   to: { placed: 0, proven: 0, neverServed: 0 },
   ...{ neverReady: null, evidence: null, conflict: null },
