--- a/packages/rollout/test/transitions.test.ts
+++ b/packages/rollout/test/transitions.test.ts
@@ -89,12 +89,12 @@
   for (let i = 0; i < 200 && (!status || !isFinal(status.phase)); i++) {
     const to: number = status?.ceilings.to ?? 0;
     const from: number = Math.min(REPLICAS, status?.ceilings.from ?? REPLICAS);
-    const seen = observationOf({
+    const observation = observationOf({
       from: { placed: from, proven: from, neverServed: 0 },
       to: { placed: to, proven: to, neverServed: 0 },
       evidence: PASSING_EVIDENCE,
     });
-    const next = nextStatus(spec, status, seen, `w${i}`);
+    const next = nextStatus(spec, status, observation, `w${i}`);
     assert.ok(next, `no transition after ${i} steps`);
     status = next;
     visited.push(status);
@@ -131,12 +131,12 @@
 }
 
 /** Simulates the scheduler: places replicas up to the ceilings; new ones are not proven. */
-function placeReplicas(simulation: Simulation, room: number): void {
+function placeReplicas(simulation: Simulation, maxStarts: number): void {
   for (const [job, side] of [['old', 'from'] as const, ['new', 'to'] as const]) {
-    const held = simulation.status === null && job === 'new' ? 0 : null;
-    const ceiling = held ?? simulation.status?.ceilings[side] ?? REPLICAS;
+    const initialCeiling = simulation.status === null && job === 'new' ? 0 : null;
+    const ceiling = initialCeiling ?? simulation.status?.ceilings[side] ?? REPLICAS;
     const list = simulation.replicas[job];
-    for (let i = 0; i < room && list.length < ceiling; i++) {
+    for (let i = 0; i < maxStarts && list.length < ceiling; i++) {
       const replica = { ...replicaOf(job, simulation.next++), starting: true, running: false };
       list.push({ replica, proven: false, neverServed: true });
     }
@@ -146,15 +146,17 @@
 function withdrawReplicas(simulation: Simulation): void {
   const { status, replicas } = simulation;
   if (status?.phase !== 'withdrawing' && status?.phase !== 'rolling-back') return;
-  const back = status.phase === 'rolling-back';
-  const [leaving, others] = back ? [replicas.new, replicas.old] : [replicas.old, replicas.new];
-  const ceiling = back ? status.ceilings.to! : status.ceilings.from!;
-  const proven = (): number => [...leaving, ...others].filter((r) => r.proven).length;
+  const isRollback = status.phase === 'rolling-back';
+  const [candidates, otherReplicas] = isRollback
+    ? [replicas.new, replicas.old]
+    : [replicas.old, replicas.new];
+  const ceiling = isRollback ? status.ceilings.to! : status.ceilings.from!;
+  const proven = (): number => [...candidates, ...otherReplicas].filter((r) => r.proven).length;
   const before = proven();
-  const chosen = chooseWithdrawals(leaving, others, status.replicas, ceiling, back);
+  const chosen = chooseWithdrawals(candidates, otherReplicas, status.replicas, ceiling, isRollback);
   for (const replica of chosen) {
-    const at = leaving.findIndex((r) => r.replica === replica);
-    leaving.splice(at, 1);
+    const index = candidates.findIndex((r) => r.replica === replica);
+    candidates.splice(index, 1);
   }
   assert.ok(
     proven() >= Math.min(before, status.replicas),
@@ -166,7 +168,7 @@
   const finalPhases = new Map<string, number>();
   for (let seed = 1; seed <= 400; seed++) {
     const generator = xoroshiro128plus(seed);
-    const upTo = (total: number): number => uniformInt(generator, 0, total);
+    const upTo = (max: number): number => uniformInt(generator, 0, max);
     const simulation: Simulation = {
       status: null,
       spec: specOf(),
@@ -181,9 +183,10 @@
       else if (upTo(60) === 0) simulation.spec = { ...simulation.spec, rollback: true };
       placeReplicas(simulation, upTo(3));
       for (const list of Object.values(simulation.replicas)) {
-        for (const judged of list) {
-          if (isCalm || upTo(2) > 0) Object.assign(judged, { proven: true, neverServed: false });
-          else if (upTo(9) === 0) judged.proven = false;
+        for (const replicaReadiness of list) {
+          if (isCalm || upTo(2) > 0)
+            Object.assign(replicaReadiness, { proven: true, neverServed: false });
+          else if (upTo(9) === 0) replicaReadiness.proven = false;
         }
         if (!isCalm && upTo(5) === 0) list.splice(upTo(list.length), 1);
       }
--- a/test/loopback-rollout.test.ts
+++ b/test/loopback-rollout.test.ts
@@ -61,7 +61,7 @@
     for (const { dead, pieces } of this.fleet.workers) {
       for (const { job, task, phase } of dead ? [] : pieces) {
         if (phase === 'ended' || phase === 'fetching') continue;
-        if (where.has(`${job}/${task}`)) this.violations.add(`${job}/${task} is in two places`);
+        if (where.has(`${job}/${task}`)) this.violations.add(`${job}/${task} runs in two places`);
         where.add(`${job}/${task}`);
       }
     }
--- a/test/rollout-failures.test.ts
+++ b/test/rollout-failures.test.ts
@@ -76,7 +76,7 @@
       const failed = failFirstWriteOf(cluster, phase, fail);
       await start(scenario);
       await phaseIs(cluster, 'done', 240);
-      assert.ok(failed(), 'the failure came about');
+      assert.ok(failed(), 'the failure was injected');
       assert.equal(models.serving(to), REPLICAS);
       // Wait until the last fault has ended, so that every controller responds.
       await cluster.pass(OUTAGE_MS / 1000);
@@ -92,7 +92,7 @@
       const failed = failFirstWriteOf(cluster, phase, fail);
       await start(scenario);
       await phaseIs(cluster, 'rolled-back', 240);
-      assert.ok(failed(), 'the failure came about');
+      assert.ok(failed(), 'the failure was injected');
       assert.equal(models.serving(from), REPLICAS);
       await cluster.pass(OUTAGE_MS / 1000);
       await finish(scenario, 'from');
--- a/test/rollout-guards.test.ts
+++ b/test/rollout-guards.test.ts
@@ -26,8 +26,11 @@
     return isBlocked && cluster.clock.now() < blockedUntil ? 'refuse' : 'serve';
   });
   await cluster.pass(3);
-  const other = (cluster.leader + 1) % 3;
-  assert.equal((await ask(cluster, other, (a) => a.start({ ...REQUEST, from, to }))).status, 201);
+  const follower = (cluster.leader + 1) % 3;
+  assert.equal(
+    (await ask(cluster, follower, (a) => a.start({ ...REQUEST, from, to }))).status,
+    201,
+  );
   const submitted = cluster.acceptingWished(scenario.next);
   assert.ok((await mostOn(cluster, to, 8)) <= MAX_SURGE);
   blockedUntil = 0;
@@ -51,7 +54,7 @@
   await phaseIs(cluster, 'rolled-back');
   assert.ok(
     delayedAt > 0 && cluster.clock.now() < delayedAt + 6000,
-    'the start is still on its way',
+    'the start is still in flight',
   );
   await cluster.clock.advance(delayedAt + 5800 - cluster.clock.now());
   cluster.crash(cluster.leader);
@@ -79,16 +82,16 @@
     const scenario = await begin();
     const { w: cluster } = scenario;
     const written: string[] = [];
-    let answered = false;
+    let isRollbackStored = false;
     const before = cluster.store.onWrite;
     cluster.store.onWrite = (key) => {
       before(key);
-      if (key === 'rollouts/status/r1' && answered) written.push(phaseOf(cluster)!);
+      if (key === 'rollouts/status/r1' && isRollbackStored) written.push(phaseOf(cluster)!);
     };
     cluster.faults.storeFaults.add(({ body }) => {
       // Stores the rollback command before the transition that is in flight.
-      if (writesPhase(body, phase) && !answered) {
-        answered = true;
+      if (writesPhase(body, phase) && !isRollbackStored) {
+        isRollbackStored = true;
         const spec = cluster.store.get('rollouts/specs/r1') as object;
         cluster.store.write('rollouts/specs/r1', { ...spec, rollback: true });
       }
@@ -96,7 +99,7 @@
     });
     await start(scenario);
     await phaseIs(cluster, 'rolled-back');
-    assert.ok(answered);
+    assert.ok(isRollbackStored);
     assert.equal(written[0], 'rolling-back', phase);
     await finish(scenario, 'from');
   }
--- a/test/rollout-machines.test.ts
+++ b/test/rollout-machines.test.ts
@@ -39,12 +39,12 @@
   name: string;
   /** Injects the fault; returns a function that ends it. */
   inject(scenario: RolloutScenario): () => void;
-  lastsS: number;
+  durationS: number;
 }
 
 const FAULTS: Fault[] = [
   {
-    name: 'two machines die, one of them with a new replica',
+    name: 'two machines fail, one of them with a new replica',
     inject: (scenario) => {
       const victims = [
         ...newReplicaHolders(scenario).slice(0, 1),
@@ -54,7 +54,7 @@
       scenario.w.cloud.capacity = EIGHT_MACHINES.length;
       return () => undefined;
     },
-    lastsS: 1,
+    durationS: 1,
   },
   {
     name: 'machines of new replicas hang and resume within their lease',
@@ -65,7 +65,7 @@
         for (const worker of victims) worker.hung = false;
       };
     },
-    lastsS: 7,
+    durationS: 7,
   },
   {
     name: 'machines of both versions hang for longer than their lease',
@@ -79,7 +79,7 @@
         for (const worker of victims) worker.hung = false;
       };
     },
-    lastsS: 20,
+    durationS: 20,
   },
   {
     name: 'a zone is partitioned while its delegate serves',
@@ -87,7 +87,7 @@
       cluster.split(true);
       return () => cluster.split(false);
     },
-    lastsS: 20,
+    durationS: 20,
   },
   {
     name: 'the store is unavailable for longer than a cancellation may take',
@@ -95,7 +95,7 @@
       cluster.faults.outage();
       return () => cluster.faults.outageOver();
     },
-    lastsS: 45,
+    durationS: 45,
   },
   {
     name: 'two controllers crash at once and the third leads',
@@ -106,19 +106,19 @@
         for (const i of victims) cluster.restart(i);
       };
     },
-    lastsS: 30,
+    durationS: 30,
   },
 ];
 
-for (const { name, inject: bring, lastsS } of FAULTS) {
+for (const { name, inject, durationS } of FAULTS) {
   for (const [seed, phase] of PHASES.entries()) {
     test(`in ${phase} ${name}`, async () => {
       const scenario = await begin({ seed, machines: EIGHT_MACHINES });
       const { w: cluster, models, to } = scenario;
       await start(scenario, { readySeconds: 40 });
       await phaseIs(cluster, phase);
-      const end = bring(scenario);
-      await cluster.pass(lastsS);
+      const end = inject(scenario);
+      await cluster.pass(durationS);
       end();
       await phaseIs(cluster, 'done', 300);
       await cluster.until(() => models.serving(to) === REPLICAS, 90, 'all new replicas serve');
--- a/test/rollout-orders.test.ts
+++ b/test/rollout-orders.test.ts
@@ -24,15 +24,15 @@
 
 /** Runs `act` when the store receives the first write of a phase; returns whether it has run. */
 function onWriteOf(scenario: RolloutScenario, phase: string, act: () => void): () => boolean {
-  let acted = false;
+  let hasRun = false;
   scenario.w.faults.storeFaults.add(({ body }) => {
-    if (writesPhase(body, phase) && !acted) {
-      acted = true;
+    if (writesPhase(body, phase) && !hasRun) {
+      hasRun = true;
       act();
     }
     return 'serve';
   });
-  return () => acted;
+  return () => hasRun;
 }
 
 for (const phase of ['surging', 'judging', 'withdrawing']) {
@@ -93,7 +93,7 @@
 test('two rollouts of one job at the same time at two controllers: one is refused and names the other', async () => {
   const scenario = await begin();
   const { w: cluster, from, to } = scenario;
-  const third = cluster.wish({
+  const thirdVersion = cluster.wish({
     shape: 'service',
     pieces: REPLICAS,
     gpus: 2,
@@ -103,20 +103,23 @@
   const request = { ...REQUEST, from };
   const answers = [
     ask(cluster, 0, (a) => a.start({ ...request, to })),
-    ask(cluster, 1, (a) => a.start({ ...request, id: 'r2', to: third.ref })),
+    ask(cluster, 1, (a) => a.start({ ...request, id: 'r2', to: thirdVersion.ref })),
   ];
   const statuses = (await Promise.all(answers)).map(({ status }) => status);
-  const [winner, loser] = statuses[0] === 201 ? ['r1', 'r2'] : ['r2', 'r1'];
-  const refusedAt = statuses[winner === 'r1' ? 1 : 0]!;
-  if (refusedAt === 201) {
+  const [accepted, refused] = statuses[0] === 201 ? ['r1', 'r2'] : ['r2', 'r1'];
+  const otherStatus = statuses[accepted === 'r1' ? 1 : 0]!;
+  if (otherStatus === 201) {
     await cluster.until(
-      () => rolloutStatus(cluster, loser)?.phase === 'refused',
+      () => rolloutStatus(cluster, refused)?.phase === 'refused',
       20,
       'the later request is refused',
     );
-    assert.match(rolloutStatus(cluster, loser)!.reason!, new RegExp(`named by rollout ${winner}`));
-  } else assert.equal(refusedAt, 409);
-  if (winner === 'r2') return;
+    assert.match(
+      rolloutStatus(cluster, refused)!.reason!,
+      new RegExp(`named by rollout ${accepted}`),
+    );
+  } else assert.equal(otherStatus, 409);
+  if (accepted === 'r2') return;
   await submitNext(scenario);
   await phaseIs(cluster, 'done');
   await finish(scenario, 'to');
--- a/test/rollout-versions.test.ts
+++ b/test/rollout-versions.test.ts
@@ -42,23 +42,23 @@
   const { w: cluster, models, checker, to } = scenario;
   await start(scenario);
   await phaseIs(cluster, 'judging');
-  const disabled = (cluster.leader + 1) % 3;
-  const rollout = cluster.nodes[disabled]!.extensions.get('rollout')!;
-  cluster.nodes[disabled]!.extensions.clear();
-  cluster.crash(disabled);
+  const disabledNode = (cluster.leader + 1) % 3;
+  const rollout = cluster.nodes[disabledNode]!.extensions.get('rollout')!;
+  cluster.nodes[disabledNode]!.extensions.clear();
+  cluster.crash(disabledNode);
   await cluster.pass(3);
-  cluster.restart(disabled);
+  cluster.restart(disabledNode);
   await cluster.pass(10);
-  const stopped = [phaseOf(cluster), models.serving(to)];
+  const stoppedState = [phaseOf(cluster), models.serving(to)];
   await cluster.pass(30);
-  assert.deepEqual([phaseOf(cluster), models.serving(to)], stopped);
-  const shown = (await ask(cluster, cluster.leader, (api) => api.status())).body as {
+  assert.deepEqual([phaseOf(cluster), models.serving(to)], stoppedState);
+  const status = (await ask(cluster, cluster.leader, (api) => api.status())).body as {
     rollouts: { waitsFor: string }[];
   };
-  assert.match(shown.rollouts[0]!.waitsFor, /every controller/);
-  cluster.nodes[disabled]!.extensions.set('rollout', rollout);
-  cluster.crash(disabled);
-  cluster.restart(disabled);
+  assert.match(status.rollouts[0]!.waitsFor, /every controller/);
+  cluster.nodes[disabledNode]!.extensions.set('rollout', rollout);
+  cluster.crash(disabledNode);
+  cluster.restart(disabledNode);
   await phaseIs(cluster, 'done');
   assert.equal(checker.lowest, REPLICAS);
   await finish(scenario, 'to');
