--- a/packages/rollout/src/wait-reason.ts
+++ b/packages/rollout/src/wait-reason.ts
@@ -1,9 +1,9 @@
-/** What an open rollout waits for, in words for operators. */
+/** Describes to operators what an open rollout waits for. */
 import type { SpecRecord } from './spec.js';
 import { boundedCeilings, type StatusRecord } from './status.js';
 import type { Observation, ObservedVersion } from './transitions.js';
 
-/** One line, as in "waits for ..."; null: the rollout waits for nothing. */
+/** One line that continues "waits for ..."; null if the rollout waits for nothing. */
 export function waitReason(
   spec: SpecRecord,
   status: StatusRecord | null,
@@ -12,15 +12,15 @@
   if (status === null) return 'the leader';
   switch (status.phase) {
     case 'preparing':
-      return preparationWait(spec, status, observed);
+      return preparingReason(spec, status, observed);
     case 'surging':
-      return missingReplicas(spec.to, boundedCeilings(status).to, observed.to);
+      return missingReplicasReason(spec.to, boundedCeilings(status).to, observed.to);
     case 'judging':
       return 'the verdict under load';
     case 'withdrawing':
-      return withdrawalWait(spec, status, observed);
+      return withdrawingReason(spec, status, observed);
     case 'rolling-back':
-      return rollbackWait(spec, status, observed);
+      return rollingBackReason(spec, status, observed);
     case 'paused':
       return 'an operator to resume it or to roll it back';
     case 'done':
@@ -31,41 +31,45 @@
   }
 }
 
-function preparationWait(
+function preparingReason(
   { from, to }: SpecRecord,
   { replicas }: StatusRecord,
   observed: Observation,
 ): string | null {
   if (observed.jobs.to === null) return `job ${to} to be submitted`;
-  return missingReplicas(from, replicas, observed.from);
+  return missingReplicasReason(from, replicas, observed.from);
 }
 
-function rollbackWait(
+function rollingBackReason(
   { from, to }: SpecRecord,
   status: StatusRecord,
   observed: Observation,
 ): string {
   return (
-    missingReplicas(from, boundedCeilings(status).from, observed.from) ??
+    missingReplicasReason(from, boundedCeilings(status).from, observed.from) ??
     `${observed.to.placed} replicas of ${to} to be gone`
   );
 }
 
-function withdrawalWait(
+function withdrawingReason(
   { from }: SpecRecord,
   status: StatusRecord,
   observed: Observation,
 ): string | null {
   const missing = status.replicas - observed.from.proven - observed.to.proven;
   if (missing > 0) return `${missing} more proven replicas, before anything is withdrawn`;
-  const leaving = observed.from.placed - boundedCeilings(status).from;
-  return leaving > 0 ? `${leaving} replicas of ${from} to be gone` : null;
+  const excess = observed.from.placed - boundedCeilings(status).from;
+  return excess > 0 ? `${excess} replicas of ${from} to be gone` : null;
 }
 
-/** What replicas of a job are waited for; null: all of them are proven. */
-function missingReplicas(job: string, wanted: number, observed: ObservedVersion): string | null {
-  const unplaced = wanted - observed.placed;
+/** Which replicas of a job are still missing; null if all required ones are proven. */
+function missingReplicasReason(
+  job: string,
+  required: number,
+  observed: ObservedVersion,
+): string | null {
+  const unplaced = required - observed.placed;
   if (unplaced > 0) return `room for ${unplaced} more replicas of ${job}`;
-  const unproven = wanted - observed.proven;
+  const unproven = required - observed.proven;
   return unproven > 0 ? `${unproven} replicas of ${job} to be proven` : null;
 }
