--- a/test/fakes/clock.ts
+++ b/test/fakes/clock.ts
@@ -4,7 +4,7 @@
   at: number;
   order: number;
   fire(): void;
-  over: boolean;
+  finished: boolean;
 }
 
 const isBefore = (a: Timer, b: Timer): boolean =>
@@ -16,19 +16,19 @@
 
   push(timer: Timer): void {
     const { heap } = this;
-    let at = heap.push(timer) - 1;
-    while (at > 0) {
-      const parent = (at - 1) >> 1;
+    let index = heap.push(timer) - 1;
+    while (index > 0) {
+      const parent = (index - 1) >> 1;
       if (!isBefore(timer, heap[parent]!)) break;
-      heap[at] = heap[parent]!;
-      at = parent;
+      heap[index] = heap[parent]!;
+      index = parent;
     }
-    heap[at] = timer;
+    heap[index] = timer;
   }
 
   /** The first timer that is not over; it stays in the queue. */
-  first(): Timer | undefined {
-    while (this.heap[0]?.over) this.removeFirst();
+  peek(): Timer | undefined {
+    while (this.heap[0]?.finished) this.removeFirst();
     return this.heap[0];
   }
 
@@ -36,16 +36,16 @@
     const { heap } = this;
     const last = heap.pop()!;
     if (heap.length === 0) return;
-    let at = 0;
+    let index = 0;
     for (;;) {
-      let child = at * 2 + 1;
+      let child = index * 2 + 1;
       if (child >= heap.length) break;
       if (child + 1 < heap.length && isBefore(heap[child + 1]!, heap[child]!)) child++;
       if (!isBefore(heap[child]!, last)) break;
-      heap[at] = heap[child]!;
-      at = child;
+      heap[index] = heap[child]!;
+      index = child;
     }
-    heap[at] = last;
+    heap[index] = last;
   }
 }
 
@@ -67,12 +67,12 @@
     return new Promise((resolve) => {
       if (signal?.aborted) return resolve();
       const done = (): void => {
-        timer.over = true;
+        timer.finished = true;
         signal?.removeEventListener('abort', done);
         resolve();
       };
       const at = this.time + Math.max(0, ms);
-      const timer: Timer = { at, order: this.order++, fire: done, over: false };
+      const timer: Timer = { at, order: this.order++, fire: done, finished: false };
       this.timers.push(timer);
       signal?.addEventListener('abort', done);
     });
@@ -81,19 +81,19 @@
   /** Lets `ms` pass, with everything that is due on the way, in order. */
   async advance(ms: number): Promise<void> {
     const until = this.time + ms;
-    await settle();
+    await flushPromises();
     for (;;) {
-      const next = this.timers.first();
+      const next = this.timers.peek();
       if (!next || next.at > until) break;
       this.time = Math.max(this.time, next.at);
       next.fire();
-      await settle();
+      await flushPromises();
     }
     this.time = Math.max(this.time, until);
   }
 }
 
 /** Runs all that is ready to run: promises do not take time, only timers do. */
-async function settle(): Promise<void> {
+async function flushPromises(): Promise<void> {
   for (let i = 0; i < 3; i++) await new Promise((resolve) => setImmediate(resolve));
 }
--- a/test/fakes/cloud.ts
+++ b/test/fakes/cloud.ts
@@ -10,7 +10,7 @@
   upAt: number;
 }
 
-export interface Hull {
+export interface MachineTypeEntry {
   sku: string;
   vcpus: number;
   gpus: number;
@@ -23,7 +23,7 @@
   yards: string[];
 }
 
-const G8: Hull = {
+const G8: MachineTypeEntry = {
   sku: 'g8',
   vcpus: 48,
   gpus: 8,
@@ -37,13 +37,20 @@
 };
 
 /** A type with half the room of the usual one, for scenarios of jobs that allow one type only. */
-export const G4: Hull = { ...G8, sku: 'g4', vcpus: 24, gpus: 4, memoryGb: 144, price: 11 };
+export const G4: MachineTypeEntry = {
+  ...G8,
+  sku: 'g4',
+  vcpus: 24,
+  gpus: 4,
+  memoryGb: 144,
+  price: 11,
+};
 
 /** A cloud that rents machines, usually of one type, in two zones. */
 export class FakeCloud {
-  readonly hulls: Hull[] = [G8];
+  readonly hulls: MachineTypeEntry[] = [G8];
   readonly hosts = new Map<string, Host>();
-  readonly charters = new Map<string, string[]>();
+  readonly rentals = new Map<string, string[]>();
   down = false;
   capacity = 40;
   /** How long machines take to boot. */
@@ -52,18 +59,18 @@
   /** Only the first page of a list is served. */
   failLaterPages = false;
   /** Machines that the list does not show, though they are there. */
-  readonly hidden = new Set<string>();
+  readonly unlisted = new Set<string>();
   /** How many names each return and each rental carried. */
   readonly calls: { path: string; count: number }[] = [];
   private next = 1;
 
   constructor(
     private readonly clock: Clock,
-    private readonly onGone: (id: string) => void,
+    private readonly onReturned: (id: string) => void,
   ) {}
 
   /** The usual type is to be had in these zones. */
-  offerIn(zones: readonly string[]): void {
+  offerUsualTypeIn(zones: readonly string[]): void {
     this.hulls[0] = { ...G8, yards: [...zones] };
   }
 
@@ -92,7 +99,7 @@
     if (path === '/hosts/return') {
       this.calls.push({ path, count: (body as { rigs: string[] }).rigs.length });
       for (const id of (body as { rigs: string[] }).rigs) {
-        if (this.hosts.delete(id)) this.onGone(id);
+        if (this.hosts.delete(id)) this.onReturned(id);
       }
       return { status: 200, body: {} };
     }
@@ -106,10 +113,10 @@
     const since = url.searchParams.get('since') ?? '';
     const page = Number(url.searchParams.get('page'));
     if (since !== '' && this.failLaterPages) return { status: 503, body: { error: 'trouble' } };
-    const rest = [...this.hosts.values()].filter(
-      (host) => host.ref > since && !this.hidden.has(host.ref),
+    const remaining = [...this.hosts.values()].filter(
+      (host) => host.ref > since && !this.unlisted.has(host.ref),
     );
-    const rigs = rest.slice(0, page).map((host) => ({
+    const rigs = remaining.slice(0, page).map((host) => ({
       ref: host.ref,
       address: 'unused',
       hull: host.hull,
@@ -118,7 +125,7 @@
       phase: now >= host.upAt ? 'running' : 'starting',
       ageS: (now - host.rentedAt) / 1000,
     }));
-    return { status: 200, body: { rigs, more: rest.length > rigs.length } };
+    return { status: 200, body: { rigs, more: remaining.length > rigs.length } };
   }
 
   private rent(r: {
@@ -128,17 +135,17 @@
     driftwood: boolean;
     number: number;
   }): Reply {
-    const before = this.charters.get(r.charter);
+    const before = this.rentals.get(r.charter);
     if (before) return { status: 200, body: { rigs: before } };
-    const held = [...this.hosts.values()].filter((host) => host.driftwood === r.driftwood).length;
-    const most = r.driftwood ? this.spotCapacity : this.capacity;
-    const count = Math.min(r.number, most - held);
+    const rented = [...this.hosts.values()].filter((host) => host.driftwood === r.driftwood).length;
+    const limit = r.driftwood ? this.spotCapacity : this.capacity;
+    const count = Math.min(r.number, limit - rented);
     if (count <= 0) return { status: 503, body: { error: 'no capacity' } };
     const rigs = Array.from(
       { length: count },
       () => this.add(r.yard, this.bootMs, r.driftwood, r.hull).ref,
     );
-    this.charters.set(r.charter, rigs);
+    this.rentals.set(r.charter, rigs);
     return { status: 200, body: { rigs } };
   }
 }
--- a/test/fakes/controllers.ts
+++ b/test/fakes/controllers.ts
@@ -7,10 +7,10 @@
 import { CURRENT, type Program } from './program.js';
 import { fakeRandom } from './random.js';
 import type { DeploymentShape } from './deployment-shape.js';
-import { settingsAmong } from './sample-settings.js';
+import { controllerSettings } from './sample-settings.js';
 import type { Fate } from './store.js';
-import type { Front } from './users.js';
-import type { Answered, FakeWorker } from './worker.js';
+import type { UserEndpoint } from './users.js';
+import type { ReportResponse, FakeWorker } from './worker.js';
 import type { SimulatedCluster } from './simulated-cluster.js';
 
 /** One line of a controller's log. */
@@ -40,7 +40,7 @@
   /** For how long its answers to users and workers are held up on their way. */
   heldMs: number;
   /** How much later than it should each of its timers fires and each message is seen; 0: in time. */
-  lateMs(): number;
+  processingDelayMs(): number;
 }
 
 /** The controllers of a scenario: processes that start, stand still and end, and their connections. */
@@ -48,12 +48,12 @@
   readonly nodes: SimulatedController[] = [];
   /** The zones cannot reach each other; both reach the store. */
   apart = false;
-  private lives = 0;
+  private processCount = 0;
   /** Controllers of the present version whose processes have not come to their end. */
-  readonly unfinished = new Set<AbortController>();
+  readonly liveProcesses = new Set<AbortController>();
 
   constructor(
-    private readonly world: SimulatedCluster,
+    private readonly cluster: SimulatedCluster,
     private readonly shape: DeploymentShape,
   ) {
     for (const [i, zone] of shape.controllers.entries()) {
@@ -69,12 +69,12 @@
         extensions: new Map(),
         frozenUntil: 0,
         heldMs: 0,
-        lateMs: () => 0,
+        processingDelayMs: () => 0,
       });
     }
-    world.wire.thaw = async (name) => {
+    cluster.wire.waitWhileFrozen = async (name) => {
       const node = this.nodes.find((node) => node.name === name);
-      if (node && world.clock.now() < node.frozenUntil) await this.thaw(node);
+      if (node && cluster.clock.now() < node.frozenUntil) await this.waitWhileFrozen(node);
     };
   }
 
@@ -83,20 +83,20 @@
     const all = [...this.nodes.keys()];
     const healthy = all.filter((i) => {
       const { controller, frozenUntil, usersOpen } = this.nodes[i]!;
-      return usersOpen && frozenUntil <= this.world.clock.now() && controller?.ready();
+      return usersOpen && frozenUntil <= this.cluster.clock.now() && controller?.ready();
     });
     return healthy.length > 0 ? healthy : all;
   }
 
   /** One controller as its users see it. */
-  front(i: number): Front {
+  endpoint(i: number): UserEndpoint {
     const node = this.nodes[i]!;
     return {
       name: node.name,
       jobApi: () => (node.usersOpen ? (node.controller?.jobApi ?? null) : null),
       alive: node.stop.signal,
       heldMs: node.heldMs,
-      thaw: () => this.thaw(node),
+      waitWhileFrozen: () => this.waitWhileFrozen(node),
     };
   }
 
@@ -106,38 +106,43 @@
     node.stop = stop;
     const controller = node.program.create(
       {
-        ...settingsAmong(node.name, this.nodes, this.shape),
-        teams: new Map(this.world.teams),
+        ...controllerSettings(node.name, this.nodes, this.shape),
+        teams: new Map(this.cluster.teams),
       },
       {
         clock: this.clockOf(node),
-        random: fakeRandom(`${node.name}.${++this.lives}`, this.world.seed * 37 * this.lives),
-        log: this.logOf(node.name),
-        startedAt: this.world.clock.now(),
+        random: fakeRandom(
+          `${node.name}.${++this.processCount}`,
+          this.cluster.seed * 37 * this.processCount,
+        ),
+        log: this.loggerOf(node.name),
+        startedAt: this.cluster.clock.now(),
       },
       {
         extensions: [...node.extensions.values()],
-        peerTransport: this.world.wire.attach(
+        peerTransport: this.cluster.wire.attach(
           node.name,
           this.nodes.map((node) => node.name),
           node.program.frames,
         ),
-        store: this.through(
+        store: this.tracedTransport(
           'store',
           node,
-          this.world.store.link((member, peer, b) => this.fate(node, stop.signal, member, peer, b)),
+          this.cluster.store.link((member, peer, b) =>
+            this.storeOutcome(node, stop.signal, member, peer, b),
+          ),
         ),
-        cloud: this.through('cloud', node, this.world.cloud.link()),
+        cloud: this.tracedTransport('cloud', node, this.cluster.cloud.link()),
         workers: (address) => ({
           request: async (_method, _path, body, timeoutMs) => {
-            await this.world.clock.sleep(2);
-            const worker = this.world.workers.get(address.split(':')[0]!);
+            await this.cluster.clock.sleep(2);
+            const worker = this.cluster.workers.get(address.split(':')[0]!);
             const answer =
-              worker && this.directReaches(node, worker)
-                ? await this.world.faults.direct(worker, body as never, timeoutMs)
+              worker && this.isDirectlyReachable(node, worker)
+                ? await this.cluster.faults.direct(worker, body as never, timeoutMs)
                 : null;
-            await this.world.clock.sleep(2);
-            this.world.onCrossing('command', node.name, address, body, answer);
+            await this.cluster.clock.sleep(2);
+            this.cluster.onBoundaryCrossing('command', node.name, address, body, answer);
             if (!answer) throw new NoResponseError('no answer');
             return JSON.parse(JSON.stringify(answer)) as Reply;
           },
@@ -145,38 +150,43 @@
       },
     );
     node.controller = controller;
-    const ended = controller.run(stop.signal);
+    const finished = controller.run(stop.signal);
     // A released version is what it is; of ours each has to come to its end once it is told to.
     if (node.program !== CURRENT) return;
-    this.unfinished.add(stop);
-    void ended.finally(() => this.unfinished.delete(stop));
+    this.liveProcesses.add(stop);
+    void finished.finally(() => this.liveProcesses.delete(stop));
   }
 
-  private logOf(member: string): Logger {
-    const note =
+  private loggerOf(member: string): Logger {
+    const logAt =
       (level: LogLine['level']) =>
       (fields: object, message: string): void => {
-        this.world.logged.push({ member, level, fields, message });
+        this.cluster.logged.push({ member, level, fields, message });
       };
-    return { error: note('error'), warn: note('warn'), info: note('info'), debug: () => undefined };
+    return {
+      error: logAt('error'),
+      warn: logAt('warn'),
+      info: logAt('info'),
+      debug: () => undefined,
+    };
   }
 
   /** What becomes of a request of one process to the store. */
-  private fate(
+  private storeOutcome(
     node: SimulatedController,
-    life: AbortSignal,
+    processSignal: AbortSignal,
     method: string,
     path: string,
     body: unknown,
   ): Fate {
-    if (life.aborted) return 'refuse';
+    if (processSignal.aborted) return 'refuse';
     const own = node.fate(method, path, body);
-    const at = this.nodes.indexOf(node);
-    return own === 'serve' ? this.world.faults.storeFate(at, method, path, body) : own;
+    const index = this.nodes.indexOf(node);
+    return own === 'serve' ? this.cluster.faults.storeOutcome(index, method, path, body) : own;
   }
 
-  private directReaches(node: SimulatedController, worker: FakeWorker): boolean {
-    return this.world.directOpen && this.reaches(node, worker);
+  private isDirectlyReachable(node: SimulatedController, worker: FakeWorker): boolean {
+    return this.cluster.directOpen && this.reaches(node, worker);
   }
 
   /** Whether the network lets a controller reach a machine. */
@@ -188,57 +198,65 @@
     return node.zone;
   }
 
-  private zoneNamed(name: string): string | undefined {
+  private zoneOfName(name: string): string | undefined {
     return this.nodes.find((node) => node.name === name)?.zone;
   }
 
   /** It stands still from now on: what comes to it meanwhile it sees afterwards. */
   freeze(i: number, ms: number): void {
-    this.nodes[i]!.frozenUntil = this.world.clock.now() + ms;
+    this.nodes[i]!.frozenUntil = this.cluster.clock.now() + ms;
   }
 
-  private async thaw(node: SimulatedController): Promise<void> {
-    while (this.world.clock.now() < node.frozenUntil) {
+  private async waitWhileFrozen(node: SimulatedController): Promise<void> {
+    while (this.cluster.clock.now() < node.frozenUntil) {
       // A moment more, or rounding could leave a wait of no length.
-      await this.world.clock.sleep(node.frozenUntil - this.world.clock.now() + 1);
+      await this.cluster.clock.sleep(node.frozenUntil - this.cluster.clock.now() + 1);
     }
   }
 
   /** It comes to what is due: at once, or later if it is slow or stands still. */
-  private async behind(node: SimulatedController): Promise<void> {
-    const lateMs = node.lateMs();
-    if (lateMs > 0) await this.world.clock.sleep(lateMs);
-    await this.thaw(node);
+  private async waitUntilResponsive(node: SimulatedController): Promise<void> {
+    const lateMs = node.processingDelayMs();
+    if (lateMs > 0) await this.cluster.clock.sleep(lateMs);
+    await this.waitWhileFrozen(node);
   }
 
   private clockOf(node: SimulatedController): Clock {
     return {
-      now: () => this.world.clock.now(),
-      wall: () => this.world.clock.wall(),
+      now: () => this.cluster.clock.now(),
+      wall: () => this.cluster.clock.wall(),
       sleep: async (ms, signal) => {
-        await this.world.clock.sleep(ms, signal);
-        await this.behind(node);
+        await this.cluster.clock.sleep(ms, signal);
+        await this.waitUntilResponsive(node);
       },
     };
   }
 
   /** Requests leave at once; their answers are seen when the controller moves again. */
-  private through(
-    border: 'store' | 'cloud',
+  private tracedTransport(
+    boundary: 'store' | 'cloud',
     node: SimulatedController,
     link: Transport,
   ): Transport {
     return {
       request: async (...args) => {
-        await this.thaw(node);
+        await this.waitWhileFrozen(node);
         const [method, path, body, timeoutMs] = args;
-        this.world.onCrossing(border, node.name, 'request', method, path, body, timeoutMs);
+        this.cluster.onBoundaryCrossing(
+          boundary,
+          node.name,
+          'request',
+          method,
+          path,
+          body,
+          timeoutMs,
+        );
         try {
           const reply = await link.request(...args);
-          this.world.onCrossing(border, node.name, 'reply', method, path, reply);
+          this.cluster.onBoundaryCrossing(boundary, node.name, 'reply', method, path, reply);
           return reply;
         } finally {
-          await this.behind(node);
+          await this.waitUntilResponsive(node);
         }
       },
     };
@@ -249,7 +267,7 @@
     const node = this.nodes[i]!;
     node.fate = () => 'lose request';
     node.controller = null;
-    this.world.wire.detach(node.name);
+    this.cluster.wire.detach(node.name);
     node.stop.abort();
   }
 
@@ -260,30 +278,30 @@
 
   /** Whether two controllers are in zones that cannot reach each other now. */
   separated(from: string, to: string): boolean {
-    return this.apart && this.zoneNamed(from) !== this.zoneNamed(to);
+    return this.apart && this.zoneOfName(from) !== this.zoneOfName(to);
   }
 
   get leader(): number {
-    const holder = this.world.store.get('leader') as { member: string } | undefined;
+    const holder = this.cluster.store.get('leader') as { member: string } | undefined;
     return this.nodes.findIndex((node) => node.name === holder?.member);
   }
 
   /** A heartbeat's way to a controller; also for copies that come late. */
-  async deliver(node: number, report: object): Promise<Answered> {
+  async deliver(node: number, report: object): Promise<ReportResponse> {
     const { controller, program } = this.nodes[node]!;
-    await this.behind(this.nodes[node]!);
+    await this.waitUntilResponsive(this.nodes[node]!);
     const { yard } = report as { yard: string };
-    const cutOff = this.apart && yard !== this.zoneOf(this.nodes[node]!);
-    const open = this.nodes[node]!.open && !cutOff;
-    await this.world.clock.sleep(1);
+    const unreachable = this.apart && yard !== this.zoneOf(this.nodes[node]!);
+    const open = this.nodes[node]!.open && !unreachable;
+    await this.cluster.clock.sleep(1);
     if (!controller || !open) {
-      if (!open) await this.world.clock.sleep(5000);
+      if (!open) await this.cluster.clock.sleep(5000);
       throw new Error('no connection');
     }
     const answer = await program.answerReport(controller, JSON.parse(JSON.stringify(report)));
     assert.notEqual(answer.status, 400);
-    this.world.onCrossing('worker', this.nodes[node]!.name, report, answer);
-    await this.world.clock.sleep(1 + this.nodes[node]!.heldMs);
+    this.cluster.onBoundaryCrossing('worker', this.nodes[node]!.name, report, answer);
+    await this.cluster.clock.sleep(1 + this.nodes[node]!.heldMs);
     return answer;
   }
 }
--- a/test/fakes/fault-search.ts
+++ b/test/fakes/fault-search.ts
@@ -21,21 +21,21 @@
 /** All faults are over this long after work began, if none returns. */
 const FAULTS_END_SECONDS = 30;
 
-const changes = ({ path, body }: StoreRequest): boolean =>
+const isWrite = ({ path, body }: StoreRequest): boolean =>
   path === '/txn' && (body as { then: unknown[] }).then.length > 0;
 
 /** Also questions after changes, and comparisons without any. */
-const reads = (request: StoreRequest): boolean =>
-  request.method === 'GET' || (request.path === '/txn' && !changes(request));
+const isRead = (request: StoreRequest): boolean =>
+  request.method === 'GET' || (request.path === '/txn' && !isWrite(request));
 
 /** Mostly the leader. */
-function aController(cluster: SimulatedCluster, random: SeededRandom): number {
+function pickController(cluster: SimulatedCluster, random: SeededRandom): number {
   const { leader } = cluster;
   if (leader >= 0 && random.next() < 0.6) return leader;
   return Math.floor(random.next() * cluster.nodes.length);
 }
 
-function someWorkers(cluster: SimulatedCluster, random: SeededRandom): FakeWorker[] {
+function pickWorkers(cluster: SimulatedCluster, random: SeededRandom): FakeWorker[] {
   const alive = [...cluster.workers.values()].filter((x) => !x.dead);
   const share = random.pick([0.3, 0.6, 1]);
   const some = alive.filter(() => random.next() < share);
@@ -45,7 +45,7 @@
 /** A fault on one controller's way to the store. */
 function storeFault(fate: (request: StoreRequest) => Fate): InjectFault {
   return (cluster, random) => {
-    const victim = aController(cluster, random);
+    const victim = pickController(cluster, random);
     const fault = (request: StoreRequest): Fate =>
       request.node === victim ? fate(request) : 'serve';
     cluster.faults.storeFaults.add(fault);
@@ -60,36 +60,39 @@
   };
 }
 
-function share(name: keyof SimulatedCluster['faults']['share'], of: number): InjectFault {
+function shareFault(
+  name: keyof SimulatedCluster['faults']['share'],
+  fraction: number,
+): InjectFault {
   return (cluster) => {
-    cluster.faults.share[name] = of;
+    cluster.faults.share[name] = fraction;
     return () => void (cluster.faults.share[name] = 0);
   };
 }
 
-function toWorkers(what: 'deaf' | 'mute' | 'hung'): InjectFault {
+function workerFault(flag: 'deaf' | 'mute' | 'hung'): InjectFault {
   return (cluster, random) => {
-    const victims = someWorkers(cluster, random);
-    for (const worker of victims) worker[what] = true;
+    const victims = pickWorkers(cluster, random);
+    for (const worker of victims) worker[flag] = true;
     return () => {
-      for (const worker of victims) worker[what] = false;
+      for (const worker of victims) worker[flag] = false;
     };
   };
 }
 
 /** Messages between controllers get lost in one direction only. */
-function oneWay(isLost: (from: string, to: string, victim: string) => boolean): InjectFault {
+function oneWayLoss(isLost: (from: string, to: string, victim: string) => boolean): InjectFault {
   return (cluster, random) => {
-    const victim = cluster.nodes[aController(cluster, random)]!.name;
+    const victim = cluster.nodes[pickController(cluster, random)]!.name;
     const before = cluster.wire.loses;
-    let lasts = true;
+    let active = true;
     cluster.wire.loses = (from, to, message) =>
-      (lasts && isLost(from, to, victim)) || before(from, to, message);
-    return () => void (lasts = false);
+      (active && isLost(from, to, victim)) || before(from, to, message);
+    return () => void (active = false);
   };
 }
 
-function crash(cluster: SimulatedCluster, victims: number[]): () => void {
+function crashControllers(cluster: SimulatedCluster, victims: number[]): () => void {
   const down = victims.filter((i) => cluster.nodes[i]!.controller !== null);
   for (const i of down) cluster.crash(i);
   return () => {
@@ -98,8 +101,9 @@
 }
 
 const FAULTS: Record<string, InjectFault> = {
-  'a controller ends': (cluster, random) => crash(cluster, [aController(cluster, random)]),
-  'all controllers end': (cluster) => crash(cluster, [...cluster.nodes.keys()]),
+  'a controller ends': (cluster, random) =>
+    crashControllers(cluster, [pickController(cluster, random)]),
+  'all controllers end': (cluster) => crashControllers(cluster, [...cluster.nodes.keys()]),
   'the store is down': (cluster) => {
     cluster.faults.outage();
     return () => cluster.faults.outageOver();
@@ -108,41 +112,43 @@
   'a controller reaches the store, and hears no answer': storeFault(() => 'lose answer'),
   'a controller does not reach the store': storeFault(() => 'lose request'),
   'the store refuses changes': storeFaultForAll((request) =>
-    changes(request) ? 'refuse' : 'serve',
+    isWrite(request) ? 'refuse' : 'serve',
   ),
   'the store refuses the changes of one controller': storeFault((request) =>
-    changes(request) ? 'refuse' : 'serve',
+    isWrite(request) ? 'refuse' : 'serve',
   ),
-  'the store refuses reads': storeFaultForAll((request) => (reads(request) ? 'refuse' : 'serve')),
+  'the store refuses reads': storeFaultForAll((request) => (isRead(request) ? 'refuse' : 'serve')),
   'the store refuses the reads of one controller': storeFault((request) =>
-    reads(request) ? 'refuse' : 'serve',
+    isRead(request) ? 'refuse' : 'serve',
   ),
   'the store is slow': (cluster, random) => {
     cluster.store.slowMs = random.between(200, 900);
     return () => void (cluster.store.slowMs = 0);
   },
-  'changes are carried out late': share('lateWrites', 0.3),
-  'answers of the store are lost': share('lostAnswers', 0.4),
-  'one controller is heard by none of the others': oneWay((from, _to, victim) => from === victim),
-  'one controller hears none of the others': oneWay((_from, to, victim) => to === victim),
+  'changes are carried out late': shareFault('lateWrites', 0.3),
+  'answers of the store are lost': shareFault('lostAnswers', 0.4),
+  'one controller is heard by none of the others': oneWayLoss(
+    (from, _to, victim) => from === victim,
+  ),
+  'one controller hears none of the others': oneWayLoss((_from, to, victim) => to === victim),
   'reports reach a controller, its answers get lost': (cluster, random) => {
-    const node = cluster.nodes[aController(cluster, random)]!;
+    const node = cluster.nodes[pickController(cluster, random)]!;
     node.heldMs = NO_ANSWER_MS;
     return () => void (node.heldMs = 0);
   },
   'a controller is slow': (cluster, random) => {
-    const node = cluster.nodes[aController(cluster, random)]!;
+    const node = cluster.nodes[pickController(cluster, random)]!;
     const mostMs = random.between(1000, 3000);
-    node.lateMs = () => random.between(mostMs / 2, mostMs);
-    return () => void (node.lateMs = () => 0);
+    node.processingDelayMs = () => random.between(mostMs / 2, mostMs);
+    return () => void (node.processingDelayMs = () => 0);
   },
   'a controller stands still': (cluster, random, seconds) => {
-    cluster.freeze(aController(cluster, random), seconds * 1000);
+    cluster.freeze(pickController(cluster, random), seconds * 1000);
     return () => undefined;
   },
-  'machines hear no answers': toWorkers('deaf'),
-  'machines reach nobody': toWorkers('mute'),
-  'machines hang': toWorkers('hung'),
+  'machines hear no answers': workerFault('deaf'),
+  'machines reach nobody': workerFault('mute'),
+  'machines hang': workerFault('hung'),
   'the whole fleet is held up, and reports at once': (cluster) => {
     const fleet = [...cluster.workers.values()];
     for (const worker of fleet) worker.mute = true;
@@ -151,7 +157,7 @@
     };
   },
   'workers start anew within their lease': (cluster, random) => {
-    for (const worker of someWorkers(cluster, random)) worker.restart();
+    for (const worker of pickWorkers(cluster, random)) worker.restart();
     return () => undefined;
   },
   'a machine dies': (cluster, random) => {
@@ -160,12 +166,12 @@
     return () => undefined;
   },
   'the cloud loses machines and lists them again': (cluster, random) => {
-    const victims = someWorkers(cluster, random);
-    for (const { id } of victims) cluster.cloud.hidden.add(id);
+    const victims = pickWorkers(cluster, random);
+    for (const { id } of victims) cluster.cloud.unlisted.add(id);
     const silent = random.next() < 0.5;
     for (const worker of victims) worker.mute ||= silent;
     return () => {
-      for (const { id } of victims) cluster.cloud.hidden.delete(id);
+      for (const { id } of victims) cluster.cloud.unlisted.delete(id);
       for (const worker of victims) worker.mute = false;
     };
   },
@@ -177,9 +183,9 @@
     cluster.split(true);
     return () => cluster.split(false);
   },
-  'copies of reports come late': share('lateReports', 0.4),
-  'reports are kept for the next leader': share('reportsForNext', 0.4),
-  'direct commands come late': share('lateCommands', 0.6),
+  'copies of reports come late': shareFault('lateReports', 0.4),
+  'reports are kept for the next leader': shareFault('reportsForNext', 0.4),
+  'direct commands come late': shareFault('lateCommands', 0.6),
   'what runs is cancelled at once': (cluster) => {
     for (const ref of cluster.accepted.keys()) {
       if (cluster.on(ref).length > 0) void cluster.cancelling(ref).catch(() => undefined);
@@ -192,7 +198,7 @@
   name: string;
   /** Seconds after work has begun. */
   from: number;
-  lasts: number;
+  durationSeconds: number;
   times: number;
 }
 
@@ -204,12 +210,12 @@
     const times = random.next() < 0.15 ? 3 : 1;
     const from = random.between(0, 10);
     // Shorter and longer than a lease of a leader, of a worker, and than `cancel_s`.
-    const lasts =
+    const durationSeconds =
       random.pick([0.5, 2, 5, 9, 13, FAULTS_END_SECONDS - 10]) * random.between(0.8, 1.2);
     return {
       name: random.pick(names),
       from,
-      lasts: Math.min(lasts, RECURRENCE_SECONDS - 1),
+      durationSeconds: Math.min(durationSeconds, RECURRENCE_SECONDS - 1),
       times,
     };
   });
@@ -222,11 +228,11 @@
 ): Promise<void> {
   await cluster.clock.sleep(planned.from * 1000);
   for (let i = 0; i < planned.times; i++) {
-    const end = FAULTS[planned.name]!(cluster, random, planned.lasts);
-    await cluster.clock.sleep(planned.lasts * 1000);
+    const end = FAULTS[planned.name]!(cluster, random, planned.durationSeconds);
+    await cluster.clock.sleep(planned.durationSeconds * 1000);
     end();
     if (i + 1 < planned.times)
-      await cluster.clock.sleep((RECURRENCE_SECONDS - planned.lasts) * 1000);
+      await cluster.clock.sleep((RECURRENCE_SECONDS - planned.durationSeconds) * 1000);
   }
 }
 
@@ -234,8 +240,8 @@
 async function submitSmallJobs(cluster: SimulatedCluster, random: SeededRandom): Promise<void> {
   cluster.onDone = (piece) => void (random.next() < 0.3 && cluster.queryEverywhere(piece.job));
   while (!cluster.settling) {
-    const wish = { pieces: 1 + Math.floor(random.next() * 3), runMs: 2500, fetchMs: 500 };
-    void submitAndMaybeCancel(cluster, random, wish).catch(() => undefined);
+    const template = { pieces: 1 + Math.floor(random.next() * 3), runMs: 2500, fetchMs: 500 };
+    void submitAndMaybeCancel(cluster, random, template).catch(() => undefined);
     await cluster.clock.sleep(random.between(1000, 2500));
   }
 }
@@ -243,9 +249,9 @@
 async function submitAndMaybeCancel(
   cluster: SimulatedCluster,
   random: SeededRandom,
-  wish: { pieces: number; runMs: number; fetchMs: number },
+  template: { pieces: number; runMs: number; fetchMs: number },
 ): Promise<void> {
-  const ref = await cluster.accepting({ ...wish, crew: random.pick(['vision', 'speech']) });
+  const ref = await cluster.accepting({ ...template, crew: random.pick(['vision', 'speech']) });
   if (random.next() < 0.6) return;
   await cluster.clock.sleep(random.between(0, 4000));
   await cluster.cancelling(ref);
@@ -253,7 +259,7 @@
 }
 
 /** Work of every kind; with `full` the team is at its limit. */
-async function submitInitialWork(cluster: SimulatedCluster, full: boolean): Promise<void> {
+async function submitInitialWork(cluster: SimulatedCluster, teamAtLimit: boolean): Promise<void> {
   await cluster.accept({
     shape: 'service',
     pieces: 3,
@@ -264,14 +270,14 @@
   await cluster.accept({ shape: 'gang', pieces: 2, gpus: 4, runMs: 25_000, crew: 'speech' });
   await cluster.accept({ pieces: 4, runMs: 20_000, samePlace: true });
   await cluster.accept({ pieces: 5, runMs: 12_000, apart: true });
-  if (full) await cluster.accept({ pieces: 40, runMs: 9000, urgency: 'best_effort' });
+  if (teamAtLimit) await cluster.accept({ pieces: 40, runMs: 9000, urgency: 'best_effort' });
   await cluster.pass(4);
 }
 
 const TEAMS = ['vision', 'speech'];
 
 /** Operators move shares back and forth, for good and as loans, and take some of them back. */
-async function moveShares(cluster: SimulatedCluster, random: SeededRandom): Promise<void> {
+async function transferQuotas(cluster: SimulatedCluster, random: SeededRandom): Promise<void> {
   for (let i = 0; !cluster.settling; i++) {
     const from = random.pick(TEAMS);
     const to = TEAMS.find((team) => team !== from)!;
@@ -297,7 +303,7 @@
 }
 
 /** Every move that was stored is over, or all of it is passed on until a later time. */
-const movesRest = (cluster: SimulatedCluster): boolean =>
+const allTransfersSettled = (cluster: SimulatedCluster): boolean =>
   [...cluster.store.keys]
     .filter(([key]) => key.startsWith('shares/moves/'))
     .every(([key]) => {
@@ -305,17 +311,17 @@
       return !['requested', 'draining', 'returning', 'lent'].includes(phase);
     });
 
-const ROLLED: JobTemplate = {
+const ROLLOUT_SERVICE: JobTemplate = {
   shape: 'service',
   pieces: 3,
   runMs: 0,
   urgency: 'production',
   crew: 'speech',
 };
-const ROLLED_SURGE = 1;
+const ROLLOUT_MAX_SURGE = 1;
 
 /** A version of a service is rolled out; operators pause it, let it go on, and may take it back. */
-class Rolling {
+class RolloutUnderFaults {
   private readonly checker: RolloutChecker;
   private from: string | null = null;
   private readonly next: { ref: string; body: object };
@@ -325,13 +331,13 @@
     private readonly random: SeededRandom,
   ) {
     const models = withRollouts(w);
-    this.checker = new RolloutChecker(w, models, ROLLED_SURGE);
-    this.next = w.wish({ ...ROLLED, crate: 'v2' });
+    this.checker = new RolloutChecker(w, models, ROLLOUT_MAX_SURGE);
+    this.next = w.wish({ ...ROLLOUT_SERVICE, crate: 'v2' });
     if (random.next() < 0.3) models.models.set(this.next.ref, random.pick(BAD_MODELS));
   }
 
-  async begin(): Promise<void> {
-    this.from = await this.w.accept({ ...ROLLED, crate: 'v1' });
+  async submitOldVersion(): Promise<void> {
+    this.from = await this.w.accept({ ...ROLLOUT_SERVICE, crate: 'v1' });
   }
 
   /** In the background, while faults go on. */
@@ -375,7 +381,7 @@
 
 const SHORT_ROLLOUT = {
   steps: [0.3, 1],
-  maxSurge: ROLLED_SURGE,
+  maxSurge: ROLLOUT_MAX_SURGE,
   readySeconds: 20,
   judgeSeconds: 4,
   minSamples: 100,
@@ -396,15 +402,15 @@
   /** Five controllers in three zones with slow reports, in place of the sample's. */
   threeZones?: boolean;
   /** Is told of the simulation before anything happens in it. */
-  observe?(world: SimulatedCluster): void;
+  observe?(cluster: SimulatedCluster): void;
 }
 
 /** Plays one short simulation; throws what went wrong, with its plan. */
 export async function simulateSeed(
   seed: number,
   {
-    quotaTransfers: moving = false,
-    rollout: rolling = false,
+    quotaTransfers: withTransfers = false,
+    rollout: withRollout = false,
     threeZones = false,
     observe,
   }: SearchOptions = {},
@@ -412,25 +418,25 @@
   const random = new SeededRandom(seed * 2654435761);
   const zones = random.pick(['aabb', 'aabb', 'aaabb', 'ab']);
   const controllers = random.next() < 0.8 ? 3 : 2;
-  const full = random.next() < 0.4;
-  const troubles = planFaults(random);
+  const teamAtLimit = random.next() < 0.4;
+  const plannedFaults = planFaults(random);
   const cluster = threeZones
     ? new SimulatedCluster(machines('aabbcc'), THREE_ZONES, seed)
     : new SimulatedCluster(machines(zones), controllers, seed);
   observe?.(cluster);
   cluster.balanced = random.next() < 0.5;
-  if (moving) withQuotaTransfers(cluster);
-  const rollout = rolling ? new Rolling(cluster, random) : null;
+  if (withTransfers) withQuotaTransfers(cluster);
+  const rollout = withRollout ? new RolloutUnderFaults(cluster, random) : null;
   try {
     await cluster.start();
     void cluster.keepAsking();
-    await submitInitialWork(cluster, full);
-    await rollout?.begin();
+    await submitInitialWork(cluster, teamAtLimit);
+    await rollout?.submitOldVersion();
     void submitSmallJobs(cluster, random);
-    if (moving) void moveShares(cluster, random);
+    if (withTransfers) void transferQuotas(cluster, random);
     void rollout?.operate();
     let over = false;
-    void Promise.all(troubles.map((trouble) => inject(cluster, random, trouble))).then(
+    void Promise.all(plannedFaults.map((fault) => inject(cluster, random, fault))).then(
       () => (over = true),
     );
     await cluster.until(
@@ -444,23 +450,26 @@
       await rollout.finish();
     }
     await cluster.settle(SETTLE_SECONDS);
-    if (moving) await cluster.until(() => movesRest(cluster), SETTLE_SECONDS, 'all moves are over');
+    if (withTransfers)
+      await cluster.until(() => allTransfersSettled(cluster), SETTLE_SECONDS, 'all moves are over');
     await cluster.close();
     rollout?.check();
   } catch (error) {
     // A broken rule says more than what it led to.
     const broken = await cluster.close().catch((error: unknown) => `${String(error)}; `);
-    throw new Error(describe(seed, troubles, `${broken ?? ''}${String(error)}`), { cause: error });
+    throw new Error(describeFailure(seed, plannedFaults, `${broken ?? ''}${String(error)}`), {
+      cause: error,
+    });
   }
 }
 
 /** A machine boots, and what waited for it runs. */
 const SETTLE_SECONDS = 150;
 
-function describe(seed: number, troubles: PlannedFault[], said: string): string {
-  const plans = troubles.map(
-    (trouble) =>
-      `${trouble.name} (${trouble.from.toFixed(1)} s, ${trouble.lasts.toFixed(1)} s, ${trouble.times} times)`,
+function describeFailure(seed: number, faults: PlannedFault[], message: string): string {
+  const plans = faults.map(
+    (fault) =>
+      `${fault.name} (${fault.from.toFixed(1)} s, ${fault.durationSeconds.toFixed(1)} s, ${fault.times} times)`,
   );
-  return `seed ${seed}: ${plans.join('; ')}: ${said}`;
+  return `seed ${seed}: ${plans.join('; ')}: ${message}`;
 }
--- a/test/fakes/job-request.ts
+++ b/test/fakes/job-request.ts
@@ -20,7 +20,7 @@
 }
 
 /** What can be rented, and what teams may use. */
-export interface FleetFacts {
+export interface FleetLimits {
   types: Map<string, { room: Amounts & { memoryGb: number }; zones: string[] }>;
   teams: Map<string, Amounts>;
 }
@@ -64,17 +64,17 @@
 };
 
 /** Why a body is malformed; null if it is not. */
-function whyMalformed(body: unknown): string | null {
+function malformedReason(body: unknown): string | null {
   if (typeof body !== 'object' || body === null || Array.isArray(body)) return 'not an object';
-  for (const [name, sound] of Object.entries(FIELDS)) {
-    if (!sound((body as Record<string, unknown>)[name])) return `${name} is missing or invalid`;
+  for (const [name, isValid] of Object.entries(FIELDS)) {
+    if (!isValid((body as Record<string, unknown>)[name])) return `${name} is missing or invalid`;
   }
   return null;
 }
 
 /** The job that a body describes; null if it is malformed. */
 export function jobRequestOf(body: unknown): JobRequest | null {
-  if (whyMalformed(body) !== null) return null;
+  if (malformedReason(body) !== null) return null;
   const request = body as Partial<JobRequest>;
   return {
     ...(request as JobRequest),
@@ -85,8 +85,8 @@
 }
 
 /** Why a submission must not be accepted; null if it must. */
-export function whyRefused(body: unknown, fleet: FleetFacts): string | null {
-  const malformed = whyMalformed(body);
+export function rejectionReason(body: unknown, fleet: FleetLimits): string | null {
+  const malformed = malformedReason(body);
   const request = jobRequestOf(body);
   if (malformed !== null || !request) return malformed;
   const limit = fleet.teams.get(request.crew);
--- a/test/fakes/loopback.ts
+++ b/test/fakes/loopback.ts
@@ -21,10 +21,10 @@
 const HOST = '127.0.0.1';
 
 /** What the operators' file switches on, beside the listener. */
-const SHARES = '<shares><enabled>yes</enabled></shares>';
+const QUOTA_TRANSFERS_ENABLED = '<shares><enabled>yes</enabled></shares>';
 
 /** A probe's path: job, task and attempt. */
-const PROBED = /^\/replicas\/([^/]+)\/(\d+)\/(\d+)$/;
+const PROBE_PATH = /^\/replicas\/([^/]+)\/(\d+)\/(\d+)$/;
 
 /** Longer than any watch of the store may wait. */
 const STORE_TIMEOUT_MS = 30_000;
@@ -39,9 +39,9 @@
 const OWN_PROGRAM = new URL('../../src/main.js', import.meta.url).pathname;
 
 /** The program of a checkout, as its deploy file builds it. */
-export const programOf = (checkout: string): string => join(checkout, 'target', 'main.cjs');
+export const programPath = (checkout: string): string => join(checkout, 'target', 'main.cjs');
 
-export interface Process {
+export interface ControllerProcess {
   name: string;
   address: string;
   peerAddress: string;
@@ -53,7 +53,7 @@
 
 export interface LoopbackOptions {
   /** Lines of the log of all processes at level `warn` and above; without it errors go to this process's output. */
-  onLogLine?: (own: Process, line: string) => void;
+  onLogLine?: (controller: ControllerProcess, line: string) => void;
 }
 
 /**
@@ -64,7 +64,7 @@
   readonly store = new FakeStore(systemClock);
   readonly cloud = new FakeCloud(systemClock, () => undefined);
   readonly workers: FakeWorker[] = [];
-  readonly controllers: Process[] = [];
+  readonly controllers: ControllerProcess[] = [];
   readonly wishes = new JobFactory();
   readonly models = new ModelServers({
     now: () => systemClock.now(),
@@ -76,20 +76,20 @@
   private readonly servers: Server[] = [];
   private readonly serverOf = new Map<string, Server>();
   private readonly directory = mkdtempSync(join(tmpdir(), 'loopback-'));
-  private readonly end = new AbortController();
-  private readonly reportsTo: Transport[] = [];
+  private readonly closed = new AbortController();
+  private readonly controllerTransports: Transport[] = [];
   private ports: PortBlock | null = null;
 
   constructor(
     private readonly machines: number,
     private readonly teams: readonly LoopbackTeam[],
     /** What the operators' file switches on. */
-    private readonly switches = SHARES,
+    private readonly operatorSettings = QUOTA_TRANSFERS_ENABLED,
     private readonly options: LoopbackOptions = {},
   ) {
     this.cloud.capacity = machines;
     // Every worker and fake listens to it.
-    setMaxListeners(0, this.end.signal);
+    setMaxListeners(0, this.closed.signal);
   }
 
   /** Starts everything. `programs`: what each controller runs, without it this tree's; null: it is not started yet. */
@@ -109,7 +109,9 @@
       });
     }
     for (const { address } of this.controllers) {
-      this.reportsTo.push(httpTransport(address, { sockets: 500, maxResponseBytes: 1024 * 1024 }));
+      this.controllerTransports.push(
+        httpTransport(address, { sockets: 500, maxResponseBytes: 1024 * 1024 }),
+      );
     }
     for (const [i, process] of this.controllers.entries()) {
       this.writeSettings(process, state, cloud);
@@ -128,11 +130,11 @@
         const body = text === '' ? null : (JSON.parse(text) as object);
         const method = request.method as 'GET' | 'POST' | 'DELETE';
         const reply = service.request(method, request.url ?? '', body, STORE_TIMEOUT_MS);
-        const answer = ({ status, body: answered }: Reply): void => {
+        const respond = ({ status, body: responseBody }: Reply): void => {
           response.writeHead(status, { 'content-type': 'application/json' });
-          response.end(JSON.stringify(answered));
+          response.end(JSON.stringify(responseBody));
         };
-        reply.then(answer, () => response.destroy());
+        reply.then(respond, () => response.destroy());
       });
     });
     this.servers.push(server);
@@ -144,9 +146,9 @@
     return join(this.directory, name);
   }
 
-  private writeSettings(own: Process, state: string, cloud: string): void {
-    const known = this.controllers
-      .filter((other) => other !== own)
+  private writeSettings(controller: ControllerProcess, state: string, cloud: string): void {
+    const peers = this.controllers
+      .filter((other) => other !== controller)
       .map(
         ({ name, peerAddress }) =>
           `[[known]]\nmember = "${name}"\nsite = "a"\naddress = "${peerAddress}"\n`,
@@ -156,11 +158,11 @@
         `[[facts.teams]]\nname = "${name}"\ngpus = ${gpus}.0\ngpus_max = ${gpusMax}.0\n`,
     );
     const text = `
-member = "${own.name}"
+member = "${controller.name}"
 site = "a"
-public_addr = "${own.address}"
-peer_bind = "${own.peerAddress}"
-${known.join('')}
+public_addr = "${controller.address}"
+peer_bind = "${controller.peerAddress}"
+${peers.join('')}
 [external]
 cloud = "${cloud}"
 state = "${state}"
@@ -188,24 +190,24 @@
 ram_mb = 114.0
 sockets = 500
 `;
-    writeFileSync(this.file(`${own.name}.toml`), text);
+    writeFileSync(this.file(`${controller.name}.toml`), text);
     writeFileSync(
-      this.file(`${own.name}.xml`),
-      `<leverhatch><operators><listen>${own.operatorsAddress}</listen></operators>${this.switches}</leverhatch>`,
+      this.file(`${controller.name}.xml`),
+      `<leverhatch><operators><listen>${controller.operatorsAddress}</listen></operators>${this.operatorSettings}</leverhatch>`,
     );
   }
 
   /** Starts a process, also one that was killed. */
-  spawn(own: Process): void {
+  spawn(controller: ControllerProcess): void {
     const { onLogLine } = this.options;
-    const files = [this.file(`${own.name}.toml`), this.file(`${own.name}.xml`)];
-    const argv = [own.program, '--config', files[0]!, '--operator', files[1]!];
-    own.child = spawn(process.execPath, argv, {
+    const files = [this.file(`${controller.name}.toml`), this.file(`${controller.name}.xml`)];
+    const argv = [controller.program, '--config', files[0]!, '--operator', files[1]!];
+    controller.child = spawn(process.execPath, argv, {
       stdio: ['ignore', 'ignore', onLogLine ? 'pipe' : 'inherit'],
       env: { ...process.env, LOG_LEVEL: onLogLine ? 'warn' : 'error' },
     });
-    const { stderr } = own.child;
-    if (stderr) createInterface(stderr).on('line', (line) => onLogLine?.(own, line));
+    const { stderr } = controller.child;
+    if (stderr) createInterface(stderr).on('line', (line) => onLogLine?.(controller, line));
   }
 
   private async addWorker(yard: string): Promise<void> {
@@ -213,8 +215,8 @@
     const { vcpus, gpus, memoryGb } = this.cloud.hulls[0]!;
     const address = await this.serve({
       request: async (_method, path, body) => {
-        const probed = PROBED.exec(path);
-        if (probed) return this.probed(worker, probed);
+        const probe = PROBE_PATH.exec(path);
+        if (probe) return this.answerProbe(worker, probe);
         const reply = worker.direct(body as Parameters<FakeWorker['direct']>[0]);
         if (!reply) throw new Error('no answer');
         return reply;
@@ -237,20 +239,21 @@
       systemClock,
       {
         facts: (job) => this.wishes.facts.get(job) ?? null,
-        assembled: () => true,
+        allHaveImages: () => true,
         onMachine: () => undefined,
         onDone: () => undefined,
-        call: (node, report) => this.reportsTo[node]!.request('POST', '/v1/report', report, 4000),
+        call: (node, report) =>
+          this.controllerTransports[node]!.request('POST', '/v1/report', report, 4000),
       },
     );
     this.workers.push(worker);
     this.serverOf.set(worker.id, this.servers.at(-1)!);
-    void worker.run(this.end.signal);
+    void worker.run(this.closed.signal);
   }
 
-  private probed(worker: FakeWorker, [, job, task, attempt]: RegExpExecArray): Reply {
-    const named = { job: job!, task: Number(task), attempt: Number(attempt) };
-    const answer = this.models.answer(worker, named);
+  private answerProbe(worker: FakeWorker, [, job, task, attempt]: RegExpExecArray): Reply {
+    const replica = { job: job!, task: Number(task), attempt: Number(attempt) };
+    const answer = this.models.answer(worker, replica);
     if (answer === null) throw new Error('no answer');
     return { status: 200, body: answer };
   }
@@ -281,18 +284,20 @@
     path: string,
     body?: object,
   ): Promise<Reply | null> {
-    return this.reportsTo[node]!.request(method, path, body ?? null, 5000).catch(() => null);
+    return this.controllerTransports[node]!.request(method, path, body ?? null, 5000).catch(
+      () => null,
+    );
   }
 
   /** A user submits at one controller, and at the next while one does not serve. */
-  submit(wish: JobTemplate, first = 0): Promise<string> {
-    return this.submitWished(this.wishes.create(wish), first);
+  submit(template: JobTemplate, first = 0): Promise<string> {
+    return this.submitWished(this.wishes.create(template), first);
   }
 
   /** The same of a job that was wished for before. */
   async submitWished({ ref, body }: { ref: string; body: object }, first = 0): Promise<string> {
-    for (let i = first; !this.end.signal.aborted; i++) {
-      const to = this.reportsTo[i % this.reportsTo.length]!;
+    for (let i = first; !this.closed.signal.aborted; i++) {
+      const to = this.controllerTransports[i % this.controllerTransports.length]!;
       const reply = await to.request('POST', '/work', body, 5000).catch(() => null);
       if (reply && reply.status < 300) return ref;
       if (reply && reply.status < 500) throw new Error(JSON.stringify(reply.body));
@@ -304,34 +309,34 @@
   /** An operator's command, with the addresses of all controllers. */
   async operate(part: CommandPart, ...words: string[]): Promise<{ code: number; said: string }> {
     const said: string[] = [];
-    const note = (text: string): void => void said.push(text);
+    const print = (text: string): void => void said.push(text);
     const at = this.controllers.flatMap((controller) => ['--at', controller.operatorsAddress]);
     const argv = [part.name, ...words, ...at];
-    const code = await runCommand([part], argv, { out: note, error: note });
+    const code = await runCommand([part], argv, { out: print, error: print });
     return { code, said: said.join('\n') };
   }
 
-  get leader(): Process | undefined {
+  get leader(): ControllerProcess | undefined {
     const holder = this.store.get('leader') as { member: string } | undefined;
     return this.controllers.find(({ name }) => name === holder?.member);
   }
 
   /** Ends a process as a crash would. */
-  kill(own: Process): void {
-    own.child?.kill('SIGKILL');
-    own.child = null;
+  kill(controller: ControllerProcess): void {
+    controller.child?.kill('SIGKILL');
+    controller.child = null;
   }
 
-  async until(what: () => boolean, seconds: number, name: string): Promise<void> {
-    for (const until = Date.now() + seconds * 1000; !what();) {
-      if (Date.now() > until) throw new Error(`${name}: not within ${seconds} s`);
+  async until(condition: () => boolean, seconds: number, name: string): Promise<void> {
+    for (const deadline = Date.now() + seconds * 1000; !condition();) {
+      if (Date.now() > deadline) throw new Error(`${name}: not within ${seconds} s`);
       await systemClock.sleep(50);
     }
   }
 
   async close(): Promise<void> {
-    this.end.abort();
-    for (const own of this.controllers) this.kill(own);
+    this.closed.abort();
+    for (const controller of this.controllers) this.kill(controller);
     for (const server of this.servers) {
       server.close();
       server.closeAllConnections();
--- a/test/fakes/machines.ts
+++ b/test/fakes/machines.ts
@@ -1,18 +1,18 @@
 import { FakeWorker, type FakeTask } from './worker.js';
 import type { Host } from './cloud.js';
-import type { MachineSeen, TaskSeen } from './rule-checker.js';
+import type { MachineSeen, ObservedTask } from './rule-checker.js';
 import type { SimulatedCluster } from './simulated-cluster.js';
 
 /** The machines of a scenario, and what really is on them. */
 export class SimulatedMachines {
   readonly workers = new Map<string, FakeWorker>();
   /** What runs on workers from the beginning, by machine. */
-  readonly onWorkers = new Map<string, FakeTask[]>();
+  readonly initialTasks = new Map<string, FakeTask[]>();
 
-  constructor(private readonly world: SimulatedCluster) {}
+  constructor(private readonly cluster: SimulatedCluster) {}
 
   /** The machines that hold tasks of a job. */
-  holding(ref: string): FakeWorker[] {
+  machinesWith(ref: string): FakeWorker[] {
     return [...this.workers.values()].filter(
       (worker) =>
         !worker.dead && worker.pieces.some((piece) => piece.job === ref && piece.phase !== 'ended'),
@@ -20,7 +20,7 @@
   }
 
   /** The tasks of a job that are on machines now. */
-  on(ref: string): FakeTask[] {
+  tasksOf(ref: string): FakeTask[] {
     return [...this.workers.values()]
       .filter((worker) => !worker.dead)
       .flatMap((worker) => worker.pieces)
@@ -28,7 +28,7 @@
   }
 
   running(ref: string): number {
-    return this.on(ref).filter((piece) => piece.phase === 'running').length;
+    return this.tasksOf(ref).filter((piece) => piece.phase === 'running').length;
   }
 
   kill(id: string): void {
@@ -39,19 +39,19 @@
   /** Machines that are up get their workers. */
   async bootWorkers(signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
-      for (const host of this.world.cloud.hosts.values()) {
-        if (this.workers.has(host.ref) || this.world.clock.now() < host.upAt) continue;
-        const worker = this.worker(host);
-        worker.pieces.push(...(this.onWorkers.get(host.ref) ?? []));
+      for (const host of this.cluster.cloud.hosts.values()) {
+        if (this.workers.has(host.ref) || this.cluster.clock.now() < host.upAt) continue;
+        const worker = this.createWorker(host);
+        worker.pieces.push(...(this.initialTasks.get(host.ref) ?? []));
         this.workers.set(host.ref, worker);
         void worker.run(signal);
       }
-      await this.world.clock.sleep(500, signal);
+      await this.cluster.clock.sleep(500, signal);
     }
   }
 
-  private worker(host: Host): FakeWorker {
-    const { vcpus, gpus, memoryGb } = this.world.cloud.hulls.find(
+  private createWorker(host: Host): FakeWorker {
+    const { vcpus, gpus, memoryGb } = this.cluster.cloud.hulls.find(
       (hull) => hull.sku === host.hull,
     )!;
     return new FakeWorker(
@@ -61,43 +61,43 @@
         yard: host.yard,
         driftwood: host.driftwood,
         room: { vcpus, gpus, memoryGb },
-        leaseMs: this.world.shape.workers.leaseMs,
-        reportMs: this.world.shape.workers.heartbeatIntervalMs,
-        nodes: this.world.nodes.map((node) => node.name),
+        leaseMs: this.cluster.shape.workers.leaseMs,
+        reportMs: this.cluster.shape.workers.heartbeatIntervalMs,
+        nodes: this.cluster.nodes.map((node) => node.name),
       },
-      this.world.clock,
+      this.cluster.clock,
       {
-        facts: (job) => this.world.facts.get(job) ?? null,
-        assembled: (job, attempt) => this.assembled(job, attempt),
-        onMachine: (worker, piece) => this.world.onMachine(worker, piece),
-        onHalted: (worker, piece) => this.world.onHalted(worker, piece),
+        facts: (job) => this.cluster.facts.get(job) ?? null,
+        allHaveImages: (job, attempt) => this.allHaveImages(job, attempt),
+        onMachine: (worker, piece) => this.cluster.onMachine(worker, piece),
+        onStopped: (worker, piece) => this.cluster.onStopped(worker, piece),
         onDone: (piece) => {
-          this.world.checker.completed(piece.job, piece.task);
-          this.world.onDone(piece);
+          this.cluster.checker.completed(piece.job, piece.task);
+          this.cluster.onDone(piece);
         },
         call: (node, report) => {
-          this.world.faults.copyReport(node, report);
-          return this.world.deliver(node, report);
+          this.cluster.faults.copyReport(node, report);
+          return this.cluster.deliver(node, report);
         },
       },
     );
   }
 
-  private assembled(job: string, attempt: number): boolean {
-    const here = this.on(job).filter(
+  private allHaveImages(job: string, attempt: number): boolean {
+    const ready = this.tasksOf(job).filter(
       (piece) => piece.attempt === attempt && piece.phase !== 'fetching',
     );
-    return here.length === this.world.facts.get(job)!.pieces;
+    return ready.length === this.cluster.facts.get(job)!.pieces;
   }
 
   seen(): MachineSeen[] {
-    return [...this.workers.values()].filter((worker) => !worker.dead).map(seenOn);
+    return [...this.workers.values()].filter((worker) => !worker.dead).map(observeMachine);
   }
 }
 
 /** What really is on a machine. */
-export function seenOn(worker: FakeWorker): MachineSeen {
-  const tasks: TaskSeen[] = [];
+export function observeMachine(worker: FakeWorker): MachineSeen {
+  const tasks: ObservedTask[] = [];
   for (const { job, task, phase } of worker.expired ? [] : worker.pieces) {
     if (phase !== 'ended') tasks.push({ job, task, state: phase });
   }
--- a/test/fakes/model-servers.ts
+++ b/test/fakes/model-servers.ts
@@ -16,13 +16,13 @@
 export type ProbeFate = 'answer' | 'silence' | 'late' | 'malformed' | 'former attempt';
 
 /** The shape of every distribution of latencies, as multiples of its median. */
-const SHAPE = [0.5, 0.6, 0.7, 0.8, 0.9, 1, 1.1, 1.3, 1.6, 2.2];
+const LATENCY_MULTIPLES = [0.5, 0.6, 0.7, 0.8, 0.9, 1, 1.1, 1.3, 1.6, 2.2];
 
 const US_PER_MS = 1000;
-const GOOD: Model = { readyMs: 500, latencyMs: () => 100, errorRate: 0 };
+const HEALTHY_MODEL: Model = { readyMs: 500, latencyMs: () => 100, errorRate: 0 };
 
 /** For so long it is not counted again who shares them. */
-const LOAD_MS = 250;
+const LOAD_CACHE_MS = 250;
 
 /** Where the fake model servers run: what the simulation knows of replicas. */
 export interface ModelHost {
@@ -41,7 +41,7 @@
   /** What becomes of probes; the first that is not `answer` counts. */
   readonly faults = new Set<(replica: Replica) => ProbeFate>();
   /** Probes that were sent. */
-  asked = 0;
+  probesSent = 0;
   /** Requests of users to all replicas together. */
   requestsPerSecond = 400;
   private readonly answeredAt = new Map<string, number>();
@@ -50,7 +50,7 @@
   constructor(private readonly host: ModelHost) {}
 
   modelOf(job: string): Model {
-    return this.models.get(job) ?? GOOD;
+    return this.models.get(job) ?? HEALTHY_MODEL;
   }
 
   /** Whether requests of users to this replica are answered now. */
@@ -74,26 +74,26 @@
   probe(reaches: (worker: FakeWorker) => boolean): ReplicaProbe {
     return {
       ask: async (replica, timeoutMs) => {
-        this.asked++;
-        const fate = this.fate(replica);
-        await this.host.sleep(fate === 'late' ? timeoutMs + 5 : 5);
+        this.probesSent++;
+        const outcome = this.outcomeOf(replica);
+        await this.host.sleep(outcome === 'late' ? timeoutMs + 5 : 5);
         const worker = this.host.worker(replica.machine);
         const answer = worker && reaches(worker) ? this.answer(worker, replica) : null;
-        if (answer === null || fate === 'silence') {
+        if (answer === null || outcome === 'silence') {
           await this.host.sleep(timeoutMs);
           throw new Error('no answer');
         }
-        if (fate === 'malformed') return { ...answer, latencies: 'nonsense', errors: -1 };
-        if (fate === 'former attempt') return { ...answer, attempt: replica.attempt - 1 };
+        if (outcome === 'malformed') return { ...answer, latencies: 'nonsense', errors: -1 };
+        if (outcome === 'former attempt') return { ...answer, attempt: replica.attempt - 1 };
         return answer;
       },
     };
   }
 
-  private fate(replica: Replica): ProbeFate {
+  private outcomeOf(replica: Replica): ProbeFate {
     for (const fault of this.faults) {
-      const fate = fault(replica);
-      if (fate !== 'answer') return fate;
+      const outcome = fault(replica);
+      if (outcome !== 'answer') return outcome;
     }
     return 'answer';
   }
@@ -117,14 +117,14 @@
     return {
       ...{ job, task, attempt, session: worker.shift, version: this.host.image(job) },
       ...{ requests, errors },
-      latencies: latenciesOf(requests - errors, latencyMs(this.lately.get(job) ?? 0)),
+      latencies: latenciesOf(requests - errors, latencyMs(this.cachedLoad.get(job) ?? 0)),
     };
   }
 
   /** How many replicas of each job serve, as it was counted lately. */
-  private get lately(): ReadonlyMap<string, number> {
+  private get cachedLoad(): ReadonlyMap<string, number> {
     const now = this.host.now();
-    if (now - this.load.at < LOAD_MS) return this.load.byJob;
+    if (now - this.load.at < LOAD_CACHE_MS) return this.load.byJob;
     const byJob = new Map<string, number>();
     for (const worker of this.host.workers()) {
       for (const piece of worker.pieces) {
@@ -137,7 +137,7 @@
   }
 
   private ratePerReplica(): number {
-    const serving = [...this.lately.values()].reduce((a, b) => a + b, 0);
+    const serving = [...this.cachedLoad.values()].reduce((a, b) => a + b, 0);
     return this.requestsPerSecond / Math.max(1, serving);
   }
 }
@@ -146,8 +146,8 @@
   if (requests <= 0) return null;
   const histogram = build({ numberOfSignificantValueDigits: 2 });
   for (let i = 0; i < requests; i++) {
-    const shape = SHAPE[i % SHAPE.length]!;
-    histogram.recordValue(Math.round(medianMs * US_PER_MS * shape));
+    const multiple = LATENCY_MULTIPLES[i % LATENCY_MULTIPLES.length]!;
+    histogram.recordValue(Math.round(medianMs * US_PER_MS * multiple));
   }
   return encodeIntoCompressedBase64(histogram);
 }
--- a/test/fakes/nodes.ts
+++ b/test/fakes/nodes.ts
@@ -14,7 +14,7 @@
 
 const log = { error() {}, warn() {}, info() {}, debug() {} };
 
-interface Sent {
+interface SentRequest {
   node: number;
   path: string;
   body: { when: { k: string }[]; then: { write?: string; value?: unknown }[] } | null;
@@ -24,14 +24,14 @@
 export class Nodes {
   readonly clock = new FakeClock();
   readonly store = new FakeStore(this.clock);
-  readonly sent: Sent[] = [];
+  readonly sent: SentRequest[] = [];
   /** What happens to a request of a node on its way. */
-  fate: (sent: Sent) => Fate = () => 'serve';
+  fate: (sent: SentRequest) => Fate = () => 'serve';
   /** What the leader says of open jobs, and by how much timers are late. */
   openJobs = 0;
   lagMs = 0;
   private readonly apis: JobApi[] = [];
-  private lives = 0;
+  private processCount = 0;
 
   constructor(
     count: number,
@@ -44,16 +44,16 @@
 
   /** The node begins anew, with nothing in memory. */
   restart(node: number): void {
-    const base = settings();
-    const changed = { ...base, size: this.size, state: { ...base.state, ...this.limits } };
-    const random = fakeRandom(`node-${node}.${++this.lives}`);
+    const sample = settings();
+    const changed = { ...sample, size: this.size, state: { ...sample.state, ...this.limits } };
+    const random = fakeRandom(`node-${node}.${++this.processCount}`);
     const runtime = { clock: this.clock, random, log, startedAt: 0 };
     const link = this.store.link((_method, path, body) =>
-      this.fate({ node, path, body: body as Sent['body'] }),
+      this.fate({ node, path, body: body as SentRequest['body'] }),
     );
     const transport: Transport = {
       request: (method, path, body, ...rest) => {
-        this.sent.push({ node, path, body: structuredClone(body) as Sent['body'] });
+        this.sent.push({ node, path, body: structuredClone(body) as SentRequest['body'] });
         return link.request(method, path, body, ...rest);
       },
     };
@@ -74,9 +74,14 @@
     );
   }
 
-  submit(node: number, ref: string, waitsOn?: unknown, more: object = {}): Promise<ApiResponse> {
+  submit(
+    node: number,
+    ref: string,
+    waitsOn?: unknown,
+    overrides: object = {},
+  ): Promise<ApiResponse> {
     const body = waitsOn === undefined ? { ...BODY, ref } : { ...BODY, ref, waitsOn };
-    return this.after(this.apis[node]!.submit({ ...body, ...more }));
+    return this.after(this.apis[node]!.submit({ ...body, ...overrides }));
   }
 
   abort(node: number, ref: string): Promise<ApiResponse> {
@@ -116,10 +121,10 @@
   }
 
   /** The answer, and after how many milliseconds it came. */
-  async timed(asked: Promise<ApiResponse>): Promise<ApiResponse & { afterMs: number }> {
+  async timed(response: Promise<ApiResponse>): Promise<ApiResponse & { afterMs: number }> {
     const from = this.clock.now();
     let got: ApiResponse | null = null;
-    void asked.then((a) => (got = a));
+    void response.then((a) => (got = a));
     for (let ms = 0; got === null && ms < 10_000; ms += 10) await this.clock.advance(10);
     return { ...got!, afterMs: this.clock.now() - from };
   }
--- a/test/fakes/observe.ts
+++ b/test/fakes/observe.ts
@@ -10,10 +10,10 @@
   job: string,
   seconds: number,
 ): Promise<number> {
-  let most = 0;
+  let highest = 0;
   for (let i = 0; i < seconds * 4; i++) {
     await cluster.pass(0.25);
-    most = Math.max(most, cluster.on(job).length);
+    highest = Math.max(highest, cluster.on(job).length);
   }
-  return most;
+  return highest;
 }
--- a/test/fakes/operators.ts
+++ b/test/fakes/operators.ts
@@ -4,20 +4,20 @@
 import type { SimulatedCluster } from './simulated-cluster.js';
 
 /** For so many seconds a controller may not serve. */
-const MOST_SECONDS = 60;
+const MAX_WAIT_SECONDS = 60;
 
 /** A part of one controller; undefined: the controller is down, or has the part switched off. */
 export function extensionOf<Part extends Extension>(
-  world: SimulatedCluster,
+  cluster: SimulatedCluster,
   node: number,
-  kind: abstract new (...parts: never[]) => Part,
+  extensionClass: abstract new (...parts: never[]) => Part,
 ): Part | undefined {
-  const extensions = world.nodes[node]!.controller?.extensions ?? [];
-  return extensions.find((extension): extension is Part => extension instanceof kind);
+  const extensions = cluster.nodes[node]!.controller?.extensions ?? [];
+  return extensions.find((extension): extension is Part => extension instanceof extensionClass);
 }
 
 /** The interface of a part, such that what operators ask and are answered there shows at its border. */
-export function observed<Api extends object>(world: SimulatedCluster, node: number, api: Api): Api {
+export function traced<Api extends object>(cluster: SimulatedCluster, node: number, api: Api): Api {
   return new Proxy(api, {
     get: (target, name) => {
       const member: unknown = Reflect.get(target, name);
@@ -25,7 +25,13 @@
       return (...args: unknown[]): unknown => {
         const result: unknown = Reflect.apply(member, target, args);
         void Promise.resolve(result).then((answer) =>
-          world.onCrossing('operator', world.nodes[node]!.name, String(name), args, answer),
+          cluster.onBoundaryCrossing(
+            'operator',
+            cluster.nodes[node]!.name,
+            String(name),
+            args,
+            answer,
+          ),
         );
         return result;
       };
@@ -38,9 +44,9 @@
   cluster: SimulatedCluster,
   ask: () => Promise<ApiAnswer> | undefined,
 ): Promise<ApiAnswer> {
-  for (let i = 0; i < MOST_SECONDS; i++) {
-    const asked = ask();
-    const answer = asked ? await cluster.drive(asked) : null;
+  for (let i = 0; i < MAX_WAIT_SECONDS; i++) {
+    const request = ask();
+    const answer = request ? await cluster.drive(request) : null;
     if (answer && answer.status !== 503) return answer;
     await cluster.pass(1);
   }
--- a/test/fakes/production.ts
+++ b/test/fakes/production.ts
@@ -20,14 +20,15 @@
   hex: string;
 }
 
-const read = (name: string): unknown =>
+const readFixture = (name: string): unknown =>
   JSON.parse(
     readFileSync(new URL(`../../../../test/fixtures/${name}`, import.meta.url), 'utf8'),
   ) as unknown;
 
-export const productionStore = (): StoreSample => read('production-store.json') as StoreSample;
+export const productionStore = (): StoreSample =>
+  readFixture('production-store.json') as StoreSample;
 export const productionFrames = (): FrameSample[] =>
-  read('production-frames.json') as FrameSample[];
+  readFixture('production-frames.json') as FrameSample[];
 
 /** Fills a store with the sample, without the leader key: its holder has ended. */
 export function fillFromProduction(store: FakeStore): StoreSample {
--- a/test/fakes/program.ts
+++ b/test/fakes/program.ts
@@ -8,7 +8,7 @@
   redirectResponse,
   heartbeatResponse,
 } from '../../src/wire/worker-heartbeat.js';
-import type { Answered } from './worker.js';
+import type { ReportResponse } from './worker.js';
 
 /** How a version writes and reads frames between controllers. */
 export interface FrameCodec {
@@ -20,16 +20,17 @@
 export interface Program {
   readonly version: string;
   readonly frames: FrameCodec;
-  create(settings: Settings, runtime: Runtime, links: ControllerDependencies): Controller;
+  create(settings: Settings, runtime: Runtime, dependencies: ControllerDependencies): Controller;
   /** Answers a worker's report, from the bytes that arrive to those that leave. */
-  answerReport(controller: Controller, body: unknown): Promise<Answered>;
+  answerReport(controller: Controller, body: unknown): Promise<ReportResponse>;
 }
 
 /** The controller of this tree. */
 export const CURRENT: Program = {
   version: 'current',
   frames: { encode, Decoder },
-  create: (settings, runtime, links) => new Controller(settings, OPERATOR_DEFAULTS, runtime, links),
+  create: (settings, runtime, dependencies) =>
+    new Controller(settings, OPERATOR_DEFAULTS, runtime, dependencies),
   answerReport: async (controller, body) => {
     const report = parseHeartbeat(body);
     if (!report) return { status: 400, body: {} };
--- a/test/fakes/quota-checker.ts
+++ b/test/fakes/quota-checker.ts
@@ -2,7 +2,7 @@
 import * as shares from '@leverhatch/shares';
 import { QuotaTransferExtension } from '../../src/control/extensions/quota-transfer-extension.js';
 import { machines } from './fault-scenario.js';
-import { askUntilServed, extensionOf, observed } from './operators.js';
+import { askUntilServed, extensionOf, traced } from './operators.js';
 import type { SimulatedCluster } from './simulated-cluster.js';
 
 /** The machines of most tests of quota transfers: 64 GPUs in two zones. */
@@ -14,7 +14,7 @@
 }
 
 /** What the checker reads of a transfer's record. */
-interface SeenTransfer {
+interface TransferRecord {
   from: string;
   to: string;
   limit: Amounts;
@@ -23,7 +23,7 @@
 }
 
 /** Phases in which what was passed on counts for the receiver. */
-const HELD = ['draining', 'lent', 'done', 'returning'];
+const PHASES_HELD_BY_RECEIVER = ['draining', 'lent', 'done', 'returning'];
 
 /**
  * Checks quotas by what the workers run: no team may use more than the limit of the settings, less what the
@@ -34,67 +34,67 @@
   /** How often the manifest was written. */
   changes = 0;
 
-  constructor(private readonly world: SimulatedCluster) {
-    const before = world.store.onWrite;
-    world.store.onWrite = (key) => {
+  constructor(private readonly cluster: SimulatedCluster) {
+    const before = cluster.store.onWrite;
+    cluster.store.onWrite = (key) => {
       before(key);
       if (!key.startsWith('shares/')) return;
       if (key === 'shares/head') this.changes++;
-      this.observe();
+      this.updateTeamLimits();
     };
   }
 
-  private observe(): void {
+  private updateTeamLimits(): void {
     const limits = new Map<string, Amounts>();
-    for (const [name, { limit }] of this.world.teams) limits.set(name, { ...limit });
-    for (const [key, { value }] of this.world.store.keys) {
+    for (const [name, { limit }] of this.cluster.teams) limits.set(name, { ...limit });
+    for (const [key, { value }] of this.cluster.store.keys) {
       if (!key.startsWith('shares/moves/')) continue;
-      const transfer = value as SeenTransfer;
-      if (!HELD.includes(transfer.phase)) continue;
+      const transfer = value as TransferRecord;
+      if (!PHASES_HELD_BY_RECEIVER.includes(transfer.phase)) continue;
       for (const resource of ['cpus', 'gpus'] as const) {
         limits.get(transfer.from)![resource] -= transfer.passed[resource];
         limits.get(transfer.to)![resource] += transfer.passed[resource];
       }
     }
-    for (const [name, limit] of limits) this.world.teamLimits.set(name, limit);
+    for (const [name, limit] of limits) this.cluster.teamLimits.set(name, limit);
   }
 }
 
 /** Enables quota transfers at all controllers that start from now on. */
 export function withQuotaTransfers(
-  world: SimulatedCluster,
+  cluster: SimulatedCluster,
   policy: shares.Policy | null = null,
 ): QuotaChecker {
-  for (const node of world.nodes) {
+  for (const node of cluster.nodes) {
     node.extensions.set(
       'shares',
       (host) => new QuotaTransferExtension({ package: shares, policy }, host),
     );
   }
-  return new QuotaChecker(world);
+  return new QuotaChecker(cluster);
 }
 
 /** The operators' interface of one controller; undefined: it is down, or has quota transfers disabled. */
 export function quotaTransferApi(
-  world: SimulatedCluster,
+  cluster: SimulatedCluster,
   node: number,
 ): shares.QuotaTransferApi | undefined {
-  const api = extensionOf(world, node, QuotaTransferExtension)?.api;
-  return api && observed(world, node, api);
+  const api = extensionOf(cluster, node, QuotaTransferExtension)?.api;
+  return api && traced(cluster, node, api);
 }
 
 /** Asks one controller, and again while it does not serve. */
 export function askQuotaTransfers(
-  world: SimulatedCluster,
+  cluster: SimulatedCluster,
   node: number,
-  what: (api: shares.QuotaTransferApi) => Promise<ApiAnswer>,
+  request: (api: shares.QuotaTransferApi) => Promise<ApiAnswer>,
 ): Promise<ApiAnswer> {
-  return askUntilServed(world, () => {
-    const api = quotaTransferApi(world, node);
-    return api && what(api);
+  return askUntilServed(cluster, () => {
+    const api = quotaTransferApi(cluster, node);
+    return api && request(api);
   });
 }
 
 /** The phase in a transfer's record. */
-export const transferPhase = (world: SimulatedCluster, id: string): string | undefined =>
-  (world.store.get(`shares/moves/${id}`) as SeenTransfer | undefined)?.phase;
+export const transferPhase = (cluster: SimulatedCluster, id: string): string | undefined =>
+  (cluster.store.get(`shares/moves/${id}`) as TransferRecord | undefined)?.phase;
--- a/test/fakes/random.ts
+++ b/test/fakes/random.ts
@@ -6,9 +6,9 @@
 
   next(): number {
     this.state = (this.state + 0x6d2b79f5) | 0;
-    let task = Math.imul(this.state ^ (this.state >>> 15), 1 | this.state);
-    task = (task + Math.imul(task ^ (task >>> 7), 61 | task)) ^ task;
-    return ((task ^ (task >>> 14)) >>> 0) / 2 ** 32;
+    let mixed = Math.imul(this.state ^ (this.state >>> 15), 1 | this.state);
+    mixed = (mixed + Math.imul(mixed ^ (mixed >>> 7), 61 | mixed)) ^ mixed;
+    return ((mixed ^ (mixed >>> 14)) >>> 0) / 2 ** 32;
   }
 
   /** A number from `low` up to, not including, `high`. */
--- a/test/fakes/released-samples.ts
+++ b/test/fakes/released-samples.ts
@@ -78,15 +78,16 @@
   return { ...Object.fromEntries(renamed), kind: kinds[kind] ?? kind } as PeerMessage;
 }
 
-const read = (name: string): unknown =>
+const readFixture = (name: string): unknown =>
   JSON.parse(
     readFileSync(new URL(`../../../../test/fixtures/${name}`, import.meta.url), 'utf8'),
   ) as unknown;
 
 export const releasedStores = (): Record<'before' | 'after', ReleasedSample> =>
-  read('104c759-store.json') as Record<'before' | 'after', ReleasedSample>;
+  readFixture('104c759-store.json') as Record<'before' | 'after', ReleasedSample>;
 
-export const releasedFrames = (): FrameSample[] => read('104c759-frames.json') as FrameSample[];
+export const releasedFrames = (): FrameSample[] =>
+  readFixture('104c759-frames.json') as FrameSample[];
 
 /** Fills a store with a sample, without the leader key: its holder has ended. */
 export function fillFromReleased(store: FakeStore, sample: ReleasedSample): void {
--- a/test/fakes/released.ts
+++ b/test/fakes/released.ts
@@ -162,9 +162,9 @@
         {
           mesh: peers,
           peerTransport: peers,
-          store: translated(store, bundle),
-          cloud: translated(cloud, bundle),
-          workers: (address) => translated(workers(address), bundle),
+          store: withBundleErrors(store, bundle),
+          cloud: withBundleErrors(cloud, bundle),
+          workers: (address) => withBundleErrors(workers(address), bundle),
         },
       );
       const api = controller.jobApi ?? controller.desk!;
@@ -211,7 +211,7 @@
 }
 
 /** A bundle tells a request without an answer from other failures by a class of its own. */
-function translated(link: Transport, bundle: Bundle): Transport {
+function withBundleErrors(link: Transport, bundle: Bundle): Transport {
   return {
     request: async (...args): Promise<Reply> => {
       try {
--- a/test/fakes/rollout-scenario.ts
+++ b/test/fakes/rollout-scenario.ts
@@ -6,7 +6,7 @@
 import { writes } from './observe.js';
 import { askUntilServed } from './operators.js';
 import { RolloutChecker, rolloutApi, rolloutStatus, withRollouts } from './rollout-checker.js';
-import { SimulatedCluster, type JobTemplate, type MachineWish } from './simulated-cluster.js';
+import { SimulatedCluster, type JobTemplate, type MachineTemplate } from './simulated-cluster.js';
 
 /** Four machines with eight GPUs each: the two jobs have eight replicas of two GPUs, with room to spare. */
 const MACHINES = machines('aabb');
@@ -33,9 +33,9 @@
   next: { ref: string; body: object };
 }
 
-export interface StoryOptions {
+export interface RolloutScenarioOptions {
   seed?: number;
-  machines?: MachineWish[];
+  machines?: MachineTemplate[];
   /** Changes the simulation before any controller starts. */
   before?(cluster: SimulatedCluster): void;
   /** What differs of both jobs. */
@@ -55,11 +55,11 @@
 export function ask(
   cluster: SimulatedCluster,
   node: number,
-  what: (api: RolloutApi) => Promise<ApiAnswer>,
+  request: (api: RolloutApi) => Promise<ApiAnswer>,
 ): Promise<ApiAnswer> {
   return askUntilServed(cluster, () => {
     const api = rolloutApi(cluster, node);
-    return api && what(api);
+    return api && request(api);
   });
 }
 
@@ -79,10 +79,10 @@
   writes(body, 'rollouts/status/') && JSON.stringify(body).includes(`"phase":"${phase}"`);
 
 /** Three controllers, and the old version on all machines. */
-export async function begin(options: StoryOptions = {}): Promise<RolloutScenario> {
-  const wishes = options.machines ?? MACHINES;
-  const simulatedCluster = new SimulatedCluster(wishes, 3, options.seed ?? 0);
-  simulatedCluster.cloud.capacity = wishes.length;
+export async function begin(options: RolloutScenarioOptions = {}): Promise<RolloutScenario> {
+  const templates = options.machines ?? MACHINES;
+  const simulatedCluster = new SimulatedCluster(templates, 3, options.seed ?? 0);
+  simulatedCluster.cloud.capacity = templates.length;
   const models = withRollouts(simulatedCluster);
   const checker = new RolloutChecker(simulatedCluster, models, MAX_SURGE);
   options.before?.(simulatedCluster);
@@ -98,11 +98,17 @@
 }
 
 /** The rollout is asked for at one controller, then the new job is submitted. */
-export async function start(story: RolloutScenario, change: object = {}, node = 0): Promise<void> {
-  const { w: cluster, from, to } = story;
-  const answer = await ask(cluster, node, (api) => api.start({ ...REQUEST, from, to, ...change }));
+export async function start(
+  scenario: RolloutScenario,
+  overrides: object = {},
+  node = 0,
+): Promise<void> {
+  const { w: cluster, from, to } = scenario;
+  const answer = await ask(cluster, node, (api) =>
+    api.start({ ...REQUEST, from, to, ...overrides }),
+  );
   assert.equal(answer.status, 201, JSON.stringify(answer.body));
-  await submitNext(story);
+  await submitNext(scenario);
 }
 
 /** The user of the new job submits it, again and again until it is accepted. */
@@ -114,9 +120,9 @@
 }
 
 /** The user of the job that lost cancels it; everything else runs, and nothing was broken. */
-export async function finish(story: RolloutScenario, winner: 'from' | 'to'): Promise<void> {
-  const { w: cluster, checker } = story;
-  const loser = winner === 'from' ? story.to : story.from;
+export async function finish(scenario: RolloutScenario, winner: 'from' | 'to'): Promise<void> {
+  const { w: cluster, checker } = scenario;
+  const loser = winner === 'from' ? scenario.to : scenario.from;
   assert.equal(cluster.on(loser).length, 0, 'the losing version is gone');
   assert.equal(cluster.stored(loser), 'open', 'its user has not cancelled it');
   await cluster.cancel(loser);
--- a/test/fakes/rule-checker.ts
+++ b/test/fakes/rule-checker.ts
@@ -1,21 +1,21 @@
-import { jobRequestOf, whyRefused } from './job-request.js';
+import { jobRequestOf, rejectionReason } from './job-request.js';
 import { AnswerRules } from './rules/answers.js';
 import { CancellationRule } from './rules/cancellation.js';
-import { onMachine } from './rules/model.js';
+import { hasImage } from './rules/model.js';
 import type {
   Action,
   CheckerOptions,
   LateStart,
   MachineSeen,
-  Question,
-  Told,
+  UserRequest,
+  UserAnswer,
   Violation,
 } from './rules/model.js';
-import { Observed } from './rules/observed.js';
-import { SilenceRule } from './rules/silence.js';
-import { judgeOrder, judgePlace, judgeTwice } from './rules/starts.js';
-import { judgeQuota, judgeRoom } from './rules/usage.js';
-import { judgeWaiting } from './rules/waiting.js';
+import { ObservedState } from './rules/observed.js';
+import { UnansweredRule } from './rules/silence.js';
+import { checkDependencies, checkPlacement, checkDuplicate } from './rules/starts.js';
+import { checkQuota, checkCapacity } from './rules/usage.js';
+import { checkWaiting } from './rules/waiting.js';
 
 export type * from './rules/model.js';
 
@@ -25,15 +25,15 @@
  * `rules/`; what they are judged by is kept here.
  */
 export class RuleChecker {
-  private readonly seen: Observed;
+  private readonly seen: ObservedState;
   private readonly answers: AnswerRules;
-  private readonly silence: SilenceRule;
+  private readonly unanswered: UnansweredRule;
   private readonly cancellation: CancellationRule;
 
   constructor(options: CheckerOptions) {
-    this.seen = new Observed(options);
+    this.seen = new ObservedState(options);
     this.answers = new AnswerRules(this.seen);
-    this.silence = new SilenceRule(this.seen);
+    this.unanswered = new UnansweredRule(this.seen);
     this.cancellation = new CancellationRule(this.seen);
   }
 
@@ -47,41 +47,41 @@
 
   /** All faults are over from now on. */
   calm(): void {
-    this.seen.calmSince = this.seen.now;
-    for (const job of this.seen.all()) job.fittingSince = null;
+    this.seen.faultFreeSince = this.seen.now;
+    for (const job of this.seen.jobHistories()) job.placeableSince = null;
   }
 
   /** There is fault again. */
   trouble(): void {
-    this.seen.calmSince = null;
+    this.seen.faultFreeSince = null;
   }
 
   // ---- what users ask and are told
 
-  asked(action: Action, ref: string, node: string, body?: unknown): Question {
-    const question = { action, ref, node, askedAt: this.seen.now, answered: false };
+  asked(action: Action, ref: string, node: string, body?: unknown): UserRequest {
+    const request = { action, ref, node, sentAt: this.seen.now, answered: false };
     if (action === 'submit') this.submitted(ref, body);
     if (action === 'abort') {
       const job = this.seen.job(ref);
       job.abortAskedAt = Math.min(job.abortAskedAt, this.seen.now);
     }
-    return question;
+    return request;
   }
 
   private submitted(ref: string, body: unknown): void {
     const job = this.seen.job(ref);
     job.submitAskedAt = Math.min(job.submitAskedAt, this.seen.now);
     const request = jobRequestOf(body);
-    job.sound ||= whyRefused(body, this.seen.options.fleet) === null;
+    job.hasValidSubmission ||= rejectionReason(body, this.seen.options.fleet) === null;
     // A repeat may say anything: what counts is the job as it was accepted.
     if (request && job.acceptedAt === null) job.request = request;
   }
 
-  answered(q: Question, told: Told, body?: unknown): void {
-    if (q.answered) return;
-    q.answered = true;
-    this.silence.judge(q, told);
-    this.answers.judge(q, told, body);
+  answered(request: UserRequest, answer: UserAnswer, body?: unknown): void {
+    if (request.answered) return;
+    request.answered = true;
+    this.unanswered.check(request, answer);
+    this.answers.check(request, answer, body);
   }
 
   // ---- what happens on machines
@@ -90,10 +90,10 @@
   started(machine: MachineSeen, job: string, task: number): void {
     const history = this.seen.job(job);
     const machines = this.seen.options.machines();
-    judgeTwice(this.seen, machines, machine, `${job}/${task}`);
-    judgePlace(this.seen, machines, machine, history, task);
-    judgeQuota(this.seen, machines);
-    judgeOrder(this.seen, machine, history, task);
+    checkDuplicate(this.seen, machines, machine, `${job}/${task}`);
+    checkPlacement(this.seen, machines, machine, history, task);
+    checkQuota(this.seen, machines);
+    checkDependencies(this.seen, machine, history, task);
     this.cancellation.started(machine, history, task);
   }
 
@@ -103,7 +103,7 @@
     job.submitAskedAt = -Infinity;
     job.acceptedAt = -Infinity;
     job.final = { phase: 'done', at: -Infinity };
-    job.doneBefore = true;
+    job.doneBeforeStart = true;
   }
 
   /** A task has completed; of a gang all do together. */
@@ -120,13 +120,13 @@
   /** Judges the present moment: called at every step of a scenario and at its end. */
   check(): void {
     const machines = this.seen.options.machines();
-    judgeQuota(this.seen, machines);
+    checkQuota(this.seen, machines);
     for (const machine of machines) {
-      judgeRoom(this.seen, machine);
-      for (const task of machine.tasks) if (onMachine(task)) this.cancellation.judge(machine, task);
+      checkCapacity(this.seen, machine);
+      for (const task of machine.tasks) if (hasImage(task)) this.cancellation.check(machine, task);
     }
-    if (this.seen.calmSince !== null) {
-      for (const job of this.seen.all()) judgeWaiting(this.seen, machines, job);
+    if (this.seen.faultFreeSince !== null) {
+      for (const job of this.seen.jobHistories()) checkWaiting(this.seen, machines, job);
     }
   }
 }
--- a/test/fakes/rules/model.ts
+++ b/test/fakes/rules/model.ts
@@ -1,9 +1,9 @@
 /** What the rules are judged by: what users say and are told, and what really is on the machines. */
-import type { FleetFacts, JobRequest } from '../job-request.js';
+import type { FleetLimits, JobRequest } from '../job-request.js';
 
 export type TaskState = 'fetching' | 'gathering' | 'running' | 'flushing';
 
-export interface TaskSeen {
+export interface ObservedTask {
   job: string;
   task: number;
   state: TaskState;
@@ -18,7 +18,7 @@
   /** Its worker works, hears its answers and is not about to be taken away. */
   usable: boolean;
   /** All that has not ended, also on a machine that hangs or can't be reached. */
-  tasks: TaskSeen[];
+  tasks: ObservedTask[];
 }
 
 export type Rule =
@@ -47,22 +47,22 @@
 export type Action = 'submit' | 'query' | 'abort';
 
 /** One request of a user, from when it was sent. */
-export interface Question {
+export interface UserRequest {
   action: Action;
   ref: string;
   node: string;
-  askedAt: number;
+  sentAt: number;
   answered: boolean;
 }
 
 /** What a user got: `status` 0 stands for no answer in time or a connection that broke. */
-export interface Told {
+export interface UserAnswer {
   status: number;
   phase: string | null;
 }
 
 export interface CheckerOptions {
-  fleet: FleetFacts;
+  fleet: FleetLimits;
   cancelMs: number;
   now(): number;
   machines(): MachineSeen[];
@@ -74,17 +74,17 @@
   /** The first sound submission; null while there was none. */
   request: JobRequest | null;
   /** One of its submissions had to be accepted. */
-  sound: boolean;
+  hasValidSubmission: boolean;
   submitAskedAt: number;
   abortAskedAt: number;
   acceptedAt: number | null;
   final: { phase: 'done' | 'withdrawn'; at: number } | null;
   readonly completed: Set<number>;
-  doneBefore: boolean;
+  doneBeforeStart: boolean;
   /** Since when every question about it has failed; null while the last one was answered. */
   unansweredSince: number | null;
   /** Since when it has waited beside room that fits. */
-  fittingSince: number | null;
+  placeableSince: number | null;
 }
 
 /** A start after a cancellation was confirmed: not allowed, but within `cancel_s` not yet a breach. */
@@ -95,11 +95,15 @@
 }
 
 /** All its tasks are done; a service never is. */
-export const isComplete = ({ doneBefore, request, completed }: JobHistory): boolean =>
+export const isComplete = ({
+  doneBeforeStart: doneBefore,
+  request,
+  completed,
+}: JobHistory): boolean =>
   doneBefore || (!!request && request.shape !== 'service' && completed.size === request.pieces);
 
 /** A task counts from the moment it has its image. */
-export const onMachine = (t: TaskSeen): boolean => t.state !== 'fetching';
+export const hasImage = (t: ObservedTask): boolean => t.state !== 'fetching';
 
 export const spreadLimit = (request: JobRequest): number => Math.ceil(request.pieces / 2);
 
--- a/test/fakes/rules/observed.ts
+++ b/test/fakes/rules/observed.ts
@@ -4,15 +4,15 @@
   JobHistory,
   MachineSeen,
   Rule,
-  TaskSeen,
+  ObservedTask,
   Violation,
 } from './model.js';
 
 /** All that was seen so far, and the breaches found in it. Every rule reads it, none changes another's. */
-export class Observed {
+export class ObservedState {
   readonly violations: Violation[] = [];
   /** Since when there has been no fault; null while there is. */
-  calmSince: number | null = null;
+  faultFreeSince: number | null = null;
   private readonly jobs = new Map<string, JobHistory>();
   private readonly reported = new Set<string>();
 
@@ -23,7 +23,7 @@
   }
 
   /** All jobs that anybody has named. */
-  all(): Iterable<JobHistory> {
+  jobHistories(): Iterable<JobHistory> {
     return this.jobs.values();
   }
 
@@ -38,15 +38,15 @@
       job = {
         ref,
         request: null,
-        sound: false,
+        hasValidSubmission: false,
         submitAskedAt: Infinity,
         abortAskedAt: Infinity,
         acceptedAt: null,
         final: null,
         completed: new Set(),
-        doneBefore: false,
+        doneBeforeStart: false,
         unansweredSince: null,
-        fittingSince: null,
+        placeableSince: null,
       };
       this.jobs.set(ref, job);
     }
@@ -62,16 +62,16 @@
 
   // ---- pipelines
 
-  before(job: JobHistory): JobHistory[] {
+  dependenciesOf(job: JobHistory): JobHistory[] {
     return (job.request?.waitsOn ?? []).map((ref) => this.job(ref));
   }
 
   /** All jobs that it needs, directly or through others. */
-  ancestors(job: JobHistory): readonly JobHistory[] {
-    if (!job.request || job.request.waitsOn.length === 0) return NONE;
+  allDependenciesOf(job: JobHistory): readonly JobHistory[] {
+    if (!job.request || job.request.waitsOn.length === 0) return NO_JOBS;
     const found = new Set<JobHistory>();
     const add = (j: JobHistory): void => {
-      for (const other of this.before(j)) {
+      for (const other of this.dependenciesOf(j)) {
         if (found.has(other)) continue;
         found.add(other);
         add(other);
@@ -87,7 +87,7 @@
   zonesOf(
     machines: MachineSeen[],
     job: string,
-    counts: (t: TaskSeen) => boolean,
+    counts: (t: ObservedTask) => boolean,
   ): Map<string, Set<number>> {
     const zones = new Map<string, Set<number>>();
     for (const machine of machines) {
@@ -102,7 +102,7 @@
   }
 
   /** What the teams' tasks take together, of those that count. */
-  usedByTeam(machines: MachineSeen[], counts: (t: TaskSeen) => boolean): Map<string, Amounts> {
+  usedByTeam(machines: MachineSeen[], counts: (t: ObservedTask) => boolean): Map<string, Amounts> {
     const teams = new Map<string, Amounts>();
     for (const machine of machines) {
       for (const task of machine.tasks) {
@@ -118,7 +118,7 @@
   }
 
   /** Below zero where the machine holds more than it has room for. */
-  freeRoom(m: MachineSeen): { cpus: number; gpus: number; memoryGb: number } {
+  freeCapacity(m: MachineSeen): { cpus: number; gpus: number; memoryGb: number } {
     const free = { ...this.options.fleet.types.get(m.type)!.room };
     for (const task of m.tasks) {
       const request = this.requestOf(task.job);
@@ -131,4 +131,4 @@
   }
 }
 
-const NONE: readonly JobHistory[] = [];
+const NO_JOBS: readonly JobHistory[] = [];
--- a/test/fakes/rules/usage.ts
+++ b/test/fakes/rules/usage.ts
@@ -1,20 +1,20 @@
-import { onMachine, type MachineSeen } from './model.js';
-import type { Observed } from './observed.js';
+import { hasImage, type MachineSeen } from './model.js';
+import type { ObservedState } from './observed.js';
 
 /** The rule `quota`. */
-export function judgeQuota(seen: Observed, machines: MachineSeen[]): void {
-  for (const [team, used] of seen.usedByTeam(machines, onMachine)) {
-    const limit = seen.options.fleet.teams.get(team);
+export function checkQuota(observed: ObservedState, machines: MachineSeen[]): void {
+  for (const [team, used] of observed.usedByTeam(machines, hasImage)) {
+    const limit = observed.options.fleet.teams.get(team);
     if (!limit || used.cpus > limit.cpus + 1e-6 || used.gpus > limit.gpus + 1e-6) {
-      seen.report('quota', `${team}: ${used.cpus} CPUs, ${used.gpus} GPUs`);
+      observed.report('quota', `${team}: ${used.cpus} CPUs, ${used.gpus} GPUs`);
     }
   }
 }
 
 /** The rule `overfull`: what is on a machine fits on it. */
-export function judgeRoom(seen: Observed, m: MachineSeen): void {
-  const free = seen.freeRoom(m);
+export function checkCapacity(observed: ObservedState, machine: MachineSeen): void {
+  const free = observed.freeCapacity(machine);
   if (free.cpus < -1e-6 || free.gpus < -1e-6 || free.memoryGb < -1e-6) {
-    seen.report('overfull', `${m.id}: ${JSON.stringify(free)}`);
+    observed.report('overfull', `${machine.id}: ${JSON.stringify(free)}`);
   }
 }
--- a/test/fakes/sample-settings.ts
+++ b/test/fakes/sample-settings.ts
@@ -42,7 +42,7 @@
 `;
 
 /** A team whose work needs no GPUs, and one without a guarantee. */
-const DESK = `
+const EXTRA_TEAMS = `
 [[facts.teams]]
 name = "desk"
 cpus = 4.0
@@ -55,7 +55,7 @@
 export function settings(member = 'berth-0'): Settings {
   const text = SETTINGS.replace('berth-0', member).replace(
     '[facts.workers]',
-    `${DESK}[facts.workers]`,
+    `${EXTRA_TEAMS}[facts.workers]`,
   );
   return parseSettings(
     member === 'berth-1' ? text.replace('site = "a"', 'site = "b"') : text,
@@ -64,34 +64,34 @@
 }
 
 /** The sample's teams with this many times their guarantees and limits. */
-export function teamsTimes(scale: number): Map<string, Team> {
-  const times = ({ cpus, gpus }: Team['limit']): Team['limit'] => ({
+export function scaledTeams(scale: number): Map<string, Team> {
+  const scaleAmounts = ({ cpus, gpus }: Team['limit']): Team['limit'] => ({
     cpus: cpus * scale,
     gpus: gpus * scale,
   });
   const scaled = [...settings().teams.values()].map((team) => ({
     name: team.name,
-    guarantee: times(team.guarantee),
-    limit: times(team.limit),
+    guarantee: scaleAmounts(team.guarantee),
+    limit: scaleAmounts(team.limit),
   }));
   return new Map(scaled.map((team) => [team.name, team]));
 }
 
 /** The settings of one of several controllers that know each other. */
-export function settingsAmong(
+export function controllerSettings(
   member: string,
-  all: { name: string; zone: string }[],
+  controllers: { name: string; zone: string }[],
   shape: Omit<DeploymentShape, 'controllers'>,
 ): Settings {
-  const own = settings(member);
-  const peers = all
+  const sample = settings(member);
+  const peers = controllers
     .filter(({ name }) => name !== member)
     .map(({ name, zone }) => ({ member: name, zone, address: `${name}:1` }));
-  const { workers, machine, objectives = own.objectives } = shape;
+  const { workers, machine, objectives = sample.objectives } = shape;
   return {
-    ...own,
-    ...{ peers, workers, machine, objectives, zones: [...shape.zones], size: all.length },
-    zone: all.find(({ name }) => name === member)?.zone ?? own.zone,
-    state: { ...own.state, ...shape.state },
+    ...sample,
+    ...{ peers, workers, machine, objectives, zones: [...shape.zones], size: controllers.length },
+    zone: controllers.find(({ name }) => name === member)?.zone ?? sample.zone,
+    state: { ...sample.state, ...shape.state },
   };
 }
--- a/test/fakes/samples.ts
+++ b/test/fakes/samples.ts
@@ -20,7 +20,7 @@
 };
 
 /** An empty machine as a scheduling cycle sees it. */
-export function machine(id: string, view: Partial<MachineView> = {}): MachineView {
+export function machine(id: string, overrides: Partial<MachineView> = {}): MachineView {
   return {
     id,
     type: TYPE,
@@ -33,7 +33,7 @@
     tasksByJob: new Map(),
     replicas: 0,
     idleTimeoutMs: 40_000,
-    ...view,
+    ...overrides,
   };
 }
 
@@ -58,7 +58,7 @@
 };
 
 /** A job as a scheduling cycle sees it: all of its tasks wait. */
-export function jobView(id: string, spec: JobSpec, view: Partial<JobView> = {}): JobView {
+export function jobView(id: string, spec: JobSpec, overrides: Partial<JobView> = {}): JobView {
   return {
     id,
     spec,
@@ -74,14 +74,14 @@
     isAdmissible: true,
     isLastResortRetry: false,
     opportunisticConcurrency: null,
-    ...view,
+    ...overrides,
   };
 }
 
 /** What a scheduling cycle looks at where there is nothing but teams. */
 export function snapshotWith(
   teams: ReadonlyMap<string, TeamView>,
-  what: Partial<Snapshot> = {},
+  overrides: Partial<Snapshot> = {},
 ): Snapshot {
   return {
     machines: [],
@@ -95,7 +95,7 @@
     preemptionCandidates: [],
     movableReplicas: [],
     isGateClosed: false,
-    ...what,
+    ...overrides,
   };
 }
 
--- a/test/fakes/simulated-cluster.ts
+++ b/test/fakes/simulated-cluster.ts
@@ -5,17 +5,17 @@
 import { FakeCloud } from './cloud.js';
 import { SimulatedControllers, type LogLine, type SimulatedController } from './controllers.js';
 import { JobFactory, type JobTemplate } from './job-factory.js';
-import { SimulatedMachines, seenOn } from './machines.js';
-import { FakeWire } from './peer-transport.js';
-import { PERSIST_MS, PersistentUsers } from './persistent-users.js';
+import { SimulatedMachines, observeMachine } from './machines.js';
+import { FakePeerNetwork } from './peer-transport.js';
+import { RETRY_FOR_MS, PersistentUsers } from './persistent-users.js';
 import { SeededRandom } from './random.js';
 import { RuleChecker } from './rule-checker.js';
 import { sampleShape, type DeploymentShape } from './deployment-shape.js';
-import { teamsTimes } from './sample-settings.js';
+import { scaledTeams } from './sample-settings.js';
 import { FakeStore } from './store.js';
 import { Faults } from './faults.js';
 import { Users } from './users.js';
-import type { Answered, FakeWorker, FakeTask } from './worker.js';
+import type { ReportResponse, FakeWorker, FakeTask } from './worker.js';
 
 export type { LogLine, SimulatedController } from './controllers.js';
 export type { JobTemplate } from './job-factory.js';
@@ -23,16 +23,16 @@
 export { settings, SETTINGS } from './sample-settings.js';
 
 /** How many broken rules a failed scenario tells of. */
-const MOST_TOLD = 6;
+const MAX_REPORTED_VIOLATIONS = 6;
 
-const ENDS = ['done', 'withdrawn'];
+const FINAL_PHASES = ['done', 'withdrawn'];
 
 /** Between a controller and whom something passes. */
-export type Border = 'store' | 'cloud' | 'worker' | 'command' | 'peer' | 'user' | 'operator';
+export type Boundary = 'store' | 'cloud' | 'worker' | 'command' | 'peer' | 'user' | 'operator';
 
-type Room = { cpus: number; gpus: number; memoryGb: number };
+type Capacity = { cpus: number; gpus: number; memoryGb: number };
 
-export interface MachineWish {
+export interface MachineTemplate {
   yard: string;
   spot?: boolean;
   hull?: string;
@@ -43,7 +43,7 @@
   readonly clock = new FakeClock();
   readonly store = new FakeStore(this.clock);
   readonly cloud = new FakeCloud(this.clock, (id) => this.kill(id));
-  readonly wire = new FakeWire(this.clock, (from, to) => this.separated(from, to));
+  readonly wire = new FakePeerNetwork(this.clock, (from, to) => this.separated(from, to));
   readonly controllers: SimulatedControllers;
   readonly machines = new SimulatedMachines(this);
   readonly wishes = new JobFactory();
@@ -63,26 +63,26 @@
   readonly teamLimits = new Map<string, { cpus: number; gpus: number }>();
   readonly checker: RuleChecker;
   readonly users: Users;
-  private readonly persistent: PersistentUsers;
+  private readonly persistentUsers: PersistentUsers;
   readonly faults: Faults;
   /** All faults are over, and no more work is submitted. */
   settling = false;
   /** A task has just completed. */
   onDone: (piece: FakeTask) => void = () => undefined;
   /** A task that ran has just been told to stop. */
-  onHalted: (worker: FakeWorker, piece: FakeTask) => void = () => undefined;
+  onStopped: (worker: FakeWorker, piece: FakeTask) => void = () => undefined;
   /** Something has just crossed the border of a controller; see `behavior-trace.ts`. */
-  onCrossing: (border: Border, ...what: unknown[]) => void = () => undefined;
+  onBoundaryCrossing: (border: Boundary, ...what: unknown[]) => void = () => undefined;
   /** What else is looked at whenever the rules are checked. */
   readonly observers = new Set<() => void>();
   /** Users come through the load balancer, which avoids controllers that fail its probes. */
   balanced = false;
   /** Whether commands reach the workers' own addresses. */
   directOpen = true;
-  private readonly end = new AbortController();
+  private readonly closed = new AbortController();
 
   constructor(
-    machines: MachineWish[],
+    machines: MachineTemplate[],
     controllers: 2 | 3 | DeploymentShape = 2,
     readonly seed = 0,
     /** What the settings say of the store, where it differs from the sample. */
@@ -90,13 +90,13 @@
     /** How many times as much as in the sample the teams are guaranteed and may use. */
     teamScale = 1,
   ) {
-    this.teams = teamsTimes(teamScale);
+    this.teams = scaledTeams(teamScale);
     this.random = new SeededRandom(seed);
     for (const machine of machines)
       this.cloud.add(machine.yard, 0, machine.spot ?? false, machine.hull);
     this.shape = typeof controllers === 'number' ? sampleShape(controllers, state) : controllers;
     this.controllers = new SimulatedControllers(this, this.shape);
-    this.cloud.offerIn(this.shape.zones);
+    this.cloud.offerUsualTypeIn(this.shape.zones);
     for (const [name, { limit }] of this.teams) this.teamLimits.set(name, limit);
     this.checker = new RuleChecker({
       fleet: { types: this.types(), teams: this.teamLimits },
@@ -104,15 +104,15 @@
       now: () => this.clock.now(),
       machines: () => this.machines.seen(),
     });
-    this.users = new Users(this.clock, this.checker, (i) => this.controllers.front(i));
-    this.users.onExchange = (...what) => this.onCrossing('user', ...what);
-    this.wire.onSend = (...what) => this.onCrossing('peer', ...what);
-    this.persistent = new PersistentUsers(this, this.end.signal);
+    this.users = new Users(this.clock, this.checker, (i) => this.controllers.endpoint(i));
+    this.users.onExchange = (...what) => this.onBoundaryCrossing('user', ...what);
+    this.wire.onSend = (...what) => this.onBoundaryCrossing('peer', ...what);
+    this.persistentUsers = new PersistentUsers(this, this.closed.signal);
     this.faults = new Faults(this);
   }
 
-  private types(): Map<string, { room: Room; zones: string[] }> {
-    const types = new Map<string, { room: Room; zones: string[] }>();
+  private types(): Map<string, { room: Capacity; zones: string[] }> {
+    const types = new Map<string, { room: Capacity; zones: string[] }>();
     for (const hull of this.cloud.hulls) {
       const room = { cpus: hull.vcpus, gpus: hull.gpus, memoryGb: hull.memoryGb };
       types.set(hull.sku, { room, zones: hull.yards });
@@ -127,21 +127,25 @@
 
   async start(): Promise<void> {
     for (let i = 0; i < this.nodes.length; i++) this.boot(i);
-    void this.machines.bootWorkers(this.end.signal);
+    void this.machines.bootWorkers(this.closed.signal);
     await this.pass(6);
   }
 
   async close(): Promise<void> {
     this.checker.check();
     for (const node of this.nodes) node.stop.abort();
-    this.end.abort();
+    this.closed.abort();
     await this.clock.advance(100);
     const broken = this.checker.violations.map(
       (violation) => `${violation.at / 1000} s: ${violation.rule}: ${violation.what}`,
     );
-    assert.deepEqual(broken.slice(0, MOST_TOLD), []);
+    assert.deepEqual(broken.slice(0, MAX_REPORTED_VIOLATIONS), []);
     assert.deepEqual(this.broken, []);
-    assert.equal(this.controllers.unfinished.size, 0, 'every controller ends when it is told to');
+    assert.equal(
+      this.controllers.liveProcesses.size,
+      0,
+      'every controller ends when it is told to',
+    );
   }
 
   // ---- controllers
@@ -201,7 +205,7 @@
   }
 
   /** A heartbeat's way to a controller; also for copies that come late. */
-  deliver(node: number, report: object): Promise<Answered> {
+  deliver(node: number, report: object): Promise<ReportResponse> {
     return this.controllers.deliver(node, report);
   }
 
@@ -213,17 +217,17 @@
 
   /** What runs on workers from the beginning, by machine. */
   get onWorkers(): Map<string, FakeTask[]> {
-    return this.machines.onWorkers;
+    return this.machines.initialTasks;
   }
 
   /** The machines that hold tasks of a job. */
   holding(ref: string): FakeWorker[] {
-    return this.machines.holding(ref);
+    return this.machines.machinesWith(ref);
   }
 
   /** The tasks of a job that are on machines now. */
   on(ref: string): FakeTask[] {
-    return this.machines.on(ref);
+    return this.machines.tasksOf(ref);
   }
 
   running(ref: string): number {
@@ -241,7 +245,7 @@
     for (const needed of this.wishes.needs.get(piece.job)!) {
       if (this.stored(needed) !== 'done') this.broken.push(`too_early ${name}, needs ${needed}`);
     }
-    this.checker.started(seenOn(worker), piece.job, piece.task);
+    this.checker.started(observeMachine(worker), piece.job, piece.task);
   }
 
   // ---- time
@@ -254,13 +258,13 @@
     }
   }
 
-  async until(what: () => boolean, seconds: number, name: string): Promise<void> {
+  async until(condition: () => boolean, seconds: number, name: string): Promise<void> {
     for (let i = 0; i < seconds * 4; i++) {
-      if (what()) return;
+      if (condition()) return;
       await this.clock.advance(250);
       this.check();
     }
-    assert.ok(what(), `${name}: not within ${seconds} s`);
+    assert.ok(condition(), `${name}: not within ${seconds} s`);
   }
 
   /** An answer of one node, with time passing until it comes. */
@@ -274,9 +278,9 @@
   /** Lets time pass until something in the background has come about. */
   async drive<T>(promise: Promise<T>): Promise<T> {
     let ended = false;
-    const mark = (): void => void (ended = true);
-    promise.then(mark, mark);
-    await this.until(() => ended, (PERSIST_MS + 10_000) / 1000, 'answer');
+    const markEnded = (): void => void (ended = true);
+    promise.then(markEnded, markEnded);
+    await this.until(() => ended, (RETRY_FOR_MS + 10_000) / 1000, 'answer');
     return promise;
   }
 
@@ -310,27 +314,27 @@
 
   /** The same in the background of a scenario. */
   accepting(template: JobTemplate): Promise<string> {
-    return this.persistent.accepting(template);
+    return this.persistentUsers.submitUntilAccepted(template);
   }
 
   /** The same of a job that was wished for before. */
   acceptingWished(wished: { ref: string; body: object }): Promise<string> {
-    return this.persistent.acceptingWished(wished);
+    return this.persistentUsers.submitCreatedUntilAccepted(wished);
   }
 
   /** The same in the background of a scenario; answers what the job is called then. */
   cancelling(ref: string, node?: number): Promise<string> {
-    return this.persistent.cancelling(ref, node);
+    return this.persistentUsers.cancelUntilConfirmed(ref, node);
   }
 
   /** Users ask at all nodes for a job, and submit it again, within milliseconds. */
   queryEverywhere(ref: string): Promise<void> {
-    return this.persistent.queryEverywhere(ref);
+    return this.persistentUsers.queryEverywhere(ref);
   }
 
   /** Users go on asking for jobs, at any node, and now and then submit one again. */
   keepAsking(everyMs = 1500): Promise<void> {
-    return this.persistent.keepAsking(everyMs);
+    return this.persistentUsers.keepAsking(everyMs);
   }
 
   /** All faults are over: whatever was accepted ends, or runs as a service, or is cancelled. */
@@ -339,18 +343,19 @@
     this.faults.over();
     // A request that is still being repeated may change what has to end: it is waited for as well.
     const settled = (): boolean =>
-      !this.persistent.busy && [...this.accepted.keys()].every((ref) => this.isSettled(ref));
+      !this.persistentUsers.busy && [...this.accepted.keys()].every((ref) => this.isSettled(ref));
     await this.until(settled, seconds, 'all jobs end or run');
     // Users expect a job's last state from 3 s after its last task.
     await this.pass(4);
-    const told = [...this.accepted.keys()].map(async (ref) => {
+    const checks = [...this.accepted.keys()].map(async (ref) => {
       const answers = this.nodes.map((_node, i) => this.user(i).query(ref));
       const phases = (await Promise.all(answers)).map((a) => (a.body as { phase?: string }).phase);
-      const last = this.facts.get(ref)!.shape === 'service' ? ['running', 'withdrawn'] : ENDS;
+      const expected =
+        this.facts.get(ref)!.shape === 'service' ? ['running', 'withdrawn'] : FINAL_PHASES;
       assert.equal(new Set(phases).size, 1, `${ref}: ${phases.join()}`);
-      assert.ok(last.includes(phases[0] ?? ''), `${ref}: ${phases.join()}`);
+      assert.ok(expected.includes(phases[0] ?? ''), `${ref}: ${phases.join()}`);
     });
-    await this.drive(Promise.all(told));
+    await this.drive(Promise.all(checks));
   }
 
   private isSettled(ref: string): boolean {
--- a/test/fakes/store.ts
+++ b/test/fakes/store.ts
@@ -27,7 +27,7 @@
   writeRps?: number;
 }
 
-const MOST_TXN_BYTES = 64 * 1024;
+const MAX_TXN_BYTES = 64 * 1024;
 
 /** What happens to a request on its way: answered, refused, lost before or after it was executed. */
 export type Fate =
@@ -64,8 +64,8 @@
   private readonly leases = new Map<number, { ttl: number; until: number }>();
   private readonly history: { key: string; stamp: number; value?: unknown; gone?: true }[] = [];
   /** Open watches; each answers true once it has been answered. */
-  private changing = false;
-  private readonly followers = new Set<() => boolean>();
+  private watchCheckScheduled = false;
+  private readonly watches = new Set<() => boolean>();
   /** Transactions that reach the store later, after their sender has given up. */
   readonly late: (() => Reply)[] = [];
 
@@ -78,27 +78,27 @@
         const copy = body === null ? null : (JSON.parse(JSON.stringify(body)) as object);
         await this.clock.sleep(4, signal);
         signal?.throwIfAborted();
-        if (path.startsWith('/follow')) return this.follow(path, timeoutMs, signal, fate);
-        const what = this.down ? 'refuse' : fate(method, path, copy);
-        if (what === 'refuse') return { status: 503, body: { error: 'trouble' } };
-        if (what === 'rate') return { status: 429, body: {} };
+        if (path.startsWith('/follow')) return this.watch(path, timeoutMs, signal, fate);
+        const outcome = this.down ? 'refuse' : fate(method, path, copy);
+        if (outcome === 'refuse') return { status: 503, body: { error: 'trouble' } };
+        if (outcome === 'rate') return { status: 429, body: {} };
         const unanswered = async (): Promise<never> => {
           await this.clock.sleep(timeoutMs, signal);
           throw new NoResponseError('lost');
         };
-        if (what === 'lose request') return unanswered();
-        if (what === 'apply late') {
+        if (outcome === 'lose request') return unanswered();
+        if (outcome === 'apply late') {
           this.late.push(() => this.execute(method, path, copy));
           return unanswered();
         }
-        const lateMs = typeof what === 'object' ? what.applyAfterMs : this.slowMs;
-        if (typeof what === 'object' || this.slowMs >= timeoutMs) {
+        const lateMs = typeof outcome === 'object' ? outcome.applyAfterMs : this.slowMs;
+        if (typeof outcome === 'object' || this.slowMs >= timeoutMs) {
           void this.executeLater(lateMs, method, path, copy);
           return unanswered();
         }
         if (this.slowMs > 0) await this.clock.sleep(this.slowMs, signal);
         const reply = this.execute(method, path, copy);
-        if (what === 'lose answer') return unanswered();
+        if (outcome === 'lose answer') return unanswered();
         return reply;
       },
     };
@@ -147,7 +147,7 @@
   private remove(key: string): void {
     this.keys.delete(key);
     this.history.push({ key, stamp: this.revision, gone: true });
-    this.changed();
+    this.scheduleWatchCheck();
   }
 
   private execute(method: string, path: string, body: unknown): Reply {
@@ -199,7 +199,7 @@
         this.keys.set(change.write, stored);
         this.history.push({ key: change.write, stamp: this.revision, value: change.value });
         this.onWrite(change.write);
-        this.changed();
+        this.scheduleWatchCheck();
       } else if (change.delete !== undefined && this.keys.has(change.delete))
         this.remove(change.delete);
     }
@@ -213,7 +213,7 @@
       then.length > txnOps ||
       when.length > txnOps * 4 ||
       then.some((change) => change.write !== undefined && bytes(change.value) > valueBytes) ||
-      bytes({ when, then }) > MOST_TXN_BYTES
+      bytes({ when, then }) > MAX_TXN_BYTES
     );
   }
 
@@ -246,7 +246,7 @@
     };
   }
 
-  private async follow(
+  private async watch(
     path: string,
     timeoutMs: number,
     signal: AbortSignal | undefined,
@@ -256,58 +256,58 @@
     const prefix = url.searchParams.get('starts') ?? '';
     const since = Number(url.searchParams.get('since'));
     const holdMs = url.searchParams.get('holdMs') ?? '0';
-    const until = this.clock.now() + (/^\d+$/.test(holdMs) ? Number(holdMs) : 0);
+    const holdUntil = this.clock.now() + (/^\d+$/.test(holdMs) ? Number(holdMs) : 0);
     const deadline = this.clock.now() + timeoutMs;
     return new Promise((resolve, reject) => {
-      const answer = (): boolean => {
+      const tryAnswer = (): boolean => {
         if (signal?.aborted) reject(signal.reason as Error);
         else if (this.clock.now() >= deadline) reject(new NoResponseError('no answer'));
         else {
           const reachable = !this.down && fate('GET', path, null) === 'serve';
-          const news = reachable ? this.newsSince(since, prefix) : [];
-          if (!reachable || (news.length === 0 && this.clock.now() < until)) return false;
+          const news = reachable ? this.changesSince(since, prefix) : [];
+          if (!reachable || (news.length === 0 && this.clock.now() < holdUntil)) return false;
           resolve({ status: 200, body: { ledgerRev: this.revision, news } });
         }
         return true;
       };
-      if (answer()) return;
-      this.followers.add(answer);
-      if (this.followers.size === 1) void this.serveFollowers();
+      if (tryAnswer()) return;
+      this.watches.add(tryAnswer);
+      if (this.watches.size === 1) void this.pollWatches();
     });
   }
 
-  private newsSince(since: number, prefix: string): object[] {
-    const news: object[] = [];
+  private changesSince(since: number, prefix: string): object[] {
+    const changes: object[] = [];
     for (let i = this.history.length - 1; i >= 0 && this.history[i]!.stamp > since; i--) {
       const { key, stamp, value, gone } = this.history[i]!;
       if (!key.startsWith(prefix)) continue;
-      news.unshift(gone ? { delete: key, stamp } : { write: key, value, stamp });
+      changes.unshift(gone ? { delete: key, stamp } : { write: key, value, stamp });
     }
-    return news;
+    return changes;
   }
 
   /** Open watches are looked at when something has changed, and now and then for all else. */
-  private async serveFollowers(): Promise<void> {
-    while (this.followers.size > 0) {
-      await this.clock.sleep(FOLLOW_IDLE_MS);
+  private async pollWatches(): Promise<void> {
+    while (this.watches.size > 0) {
+      await this.clock.sleep(WATCH_POLL_MS);
       this.expire();
-      this.answerFollowers();
+      this.answerWatches();
     }
   }
 
-  private answerFollowers(): void {
-    for (const answer of this.followers) if (answer()) this.followers.delete(answer);
+  private answerWatches(): void {
+    for (const answer of this.watches) if (answer()) this.watches.delete(answer);
   }
 
-  private changed(): void {
-    if (this.changing) return;
-    this.changing = true;
-    void this.clock.sleep(FOLLOW_NEWS_MS).then(() => {
-      this.changing = false;
-      this.answerFollowers();
+  private scheduleWatchCheck(): void {
+    if (this.watchCheckScheduled) return;
+    this.watchCheckScheduled = true;
+    void this.clock.sleep(WATCH_CHANGE_DELAY_MS).then(() => {
+      this.watchCheckScheduled = false;
+      this.answerWatches();
     });
   }
 }
 
-const FOLLOW_IDLE_MS = 100;
-const FOLLOW_NEWS_MS = 10;
+const WATCH_POLL_MS = 100;
+const WATCH_CHANGE_DELAY_MS = 10;
--- a/test/fakes/three-zones.ts
+++ b/test/fakes/three-zones.ts
@@ -42,16 +42,18 @@
   await simulatedCluster.start();
   const work: Work = { replicas: [], pairs: [], sweeps: [] };
   for (let i = 0; i < size.services; i++) {
-    const wish = { pieces: REPLICAS, gpus: 2, runMs: 0, crew: 'speech', urgency: 'production' };
-    work.replicas.push(await simulatedCluster.accept({ ...wish, shape: 'service', apart: true }));
+    const template = { pieces: REPLICAS, gpus: 2, runMs: 0, crew: 'speech', urgency: 'production' };
+    work.replicas.push(
+      await simulatedCluster.accept({ ...template, shape: 'service', apart: true }),
+    );
   }
   for (let i = 0; i < size.pairs; i++) {
-    const wish = { pieces: 2, gpus: 8, vcpus: 40, runMs: 90_000, urgency: 'urgent' };
-    work.pairs.push(await simulatedCluster.accept({ ...wish, shape: 'gang', samePlace: true }));
+    const template = { pieces: 2, gpus: 8, vcpus: 40, runMs: 90_000, urgency: 'urgent' };
+    work.pairs.push(await simulatedCluster.accept({ ...template, shape: 'gang', samePlace: true }));
   }
   for (let i = 0; i < size.sweeps; i++) {
-    const wish = { pieces: SWEEP_TASKS, runMs: 40_000, urgency: 'best_effort' };
-    work.sweeps.push(await simulatedCluster.accept(wish));
+    const template = { pieces: SWEEP_TASKS, runMs: 40_000, urgency: 'best_effort' };
+    work.sweeps.push(await simulatedCluster.accept(template));
   }
   const all = [...work.replicas, ...work.pairs, ...work.sweeps];
   await simulatedCluster.until(
@@ -78,7 +80,7 @@
   replicas.every((job) => cluster.running(job) === REPLICAS);
 
 /** All replicas of a lost zone run in the others within a lease, a boot and what starting takes. */
-async function replicasRunElsewhere(
+async function untilReplicasRunElsewhere(
   cluster: SimulatedCluster,
   work: Work,
   zone: string,
@@ -90,7 +92,7 @@
 }
 
 /** Gangs and sweeps come to their end. */
-async function batchesEnd(cluster: SimulatedCluster, { pairs, sweeps }: Work): Promise<void> {
+async function untilBatchesEnd(cluster: SimulatedCluster, { pairs, sweeps }: Work): Promise<void> {
   const isDone = (job: string): boolean => cluster.stored(job) === 'done';
   await cluster.until(() => pairs.every(isDone), 200, 'the pairs are done');
   await cluster.until(() => sweeps.every(isDone), 60, 'the sweeps are done');
@@ -106,8 +108,8 @@
   if (cluster.leader >= 0) cluster.crash(cluster.leader);
   await cluster.pass(3);
   cluster.restartAll(THREE_ZONES.zones.filter((other) => other !== zone));
-  await replicasRunElsewhere(cluster, work, zone);
-  await batchesEnd(cluster, work);
+  await untilReplicasRunElsewhere(cluster, work, zone);
+  await untilBatchesEnd(cluster, work);
   assert.ok(work.pairs.every((pair) => cluster.holding(pair).length === 0));
   cluster.restartAll();
   await cluster.settle(150);
--- a/test/fakes/users.ts
+++ b/test/fakes/users.ts
@@ -3,7 +3,7 @@
 import type { Action, RuleChecker } from './rule-checker.js';
 
 /** One controller as its users see it. */
-export interface Front {
+export interface UserEndpoint {
   readonly name: string;
   /** Null while no process accepts connections there. */
   jobApi(): JobApi | null;
@@ -12,14 +12,14 @@
   /** For how long answers are held up on their way. */
   readonly heldMs: number;
   /** Resolves when a process that stands still goes on. */
-  thaw(): Promise<void>;
+  waitWhileFrozen(): Promise<void>;
 }
 
 /** What a user gets who gets nothing: the connection failed, broke or brought no answer in time. */
-const NOTHING: ApiResponse = { status: 0, body: {} };
+const NO_RESPONSE: ApiResponse = { status: 0, body: {} };
 
 /** How long users wait for an answer. */
-const PATIENCE_MS: Record<Action, number> = { submit: 5000, query: 2000, abort: 5000 };
+const TIMEOUT_MS: Record<Action, number> = { submit: 5000, query: 2000, abort: 5000 };
 
 /**
  * The only way of users to controllers: what they are told, when and at which node goes to the
@@ -33,7 +33,7 @@
   constructor(
     private readonly clock: FakeClock,
     private readonly checker: RuleChecker,
-    private readonly front: (node: number) => Front,
+    private readonly endpoint: (node: number) => UserEndpoint,
   ) {}
 
   /** The users' interface of one controller. */
@@ -57,30 +57,30 @@
     request: (api: JobApi) => Promise<ApiResponse>,
     body?: unknown,
   ): Promise<ApiResponse> {
-    const front = this.front(node);
-    const question = this.checker.asked(action, ref, front.name, body);
+    const endpoint = this.endpoint(node);
+    const checked = this.checker.asked(action, ref, endpoint.name, body);
     const done = new AbortController();
-    const given = this.clock.sleep(PATIENCE_MS[action], done.signal).then(() => NOTHING);
-    const answer = await Promise.race([this.reach(front, request), given]);
+    const timeout = this.clock.sleep(TIMEOUT_MS[action], done.signal).then(() => NO_RESPONSE);
+    const answer = await Promise.race([this.send(endpoint, request), timeout]);
     done.abort();
-    this.onExchange(front.name, action, body ?? ref, answer);
+    this.onExchange(endpoint.name, action, body ?? ref, answer);
     const { phase } = answer.body as { phase?: string };
-    this.checker.answered(question, { status: answer.status, phase: phase ?? null }, body);
+    this.checker.answered(checked, { status: answer.status, phase: phase ?? null }, body);
     return answer;
   }
 
-  private async reach(
-    front: Front,
+  private async send(
+    endpoint: UserEndpoint,
     request: (api: JobApi) => Promise<ApiResponse>,
   ): Promise<ApiResponse> {
-    const { alive } = front;
-    await front.thaw();
-    const api = front.jobApi();
-    if (!api || alive.aborted) return NOTHING;
+    const { alive } = endpoint;
+    await endpoint.waitWhileFrozen();
+    const api = endpoint.jobApi();
+    if (!api || alive.aborted) return NO_RESPONSE;
     const answer = await request(api);
-    await front.thaw();
-    if (front.heldMs > 0) await this.clock.sleep(front.heldMs);
-    return alive.aborted ? NOTHING : answer;
+    await endpoint.waitWhileFrozen();
+    if (endpoint.heldMs > 0) await this.clock.sleep(endpoint.heldMs);
+    return alive.aborted ? NO_RESPONSE : answer;
   }
 }
 
--- a/test/fakes/versions.ts
+++ b/test/fakes/versions.ts
@@ -11,7 +11,7 @@
   version === 'current' ? CURRENT : RELEASED[version];
 
 /** How long a controller is away when it ends. */
-const AWAY_S = 3;
+const RESTART_S = 3;
 
 /** How long work runs that is to outlast a scenario. */
 export const LONG_MS = 400_000;
@@ -29,7 +29,7 @@
 ): Promise<void> {
   cluster.crash(node);
   cluster.nodes[node]!.program = programOf(version);
-  await cluster.pass(AWAY_S);
+  await cluster.pass(RESTART_S);
   cluster.restart(node);
 }
 
@@ -37,7 +37,7 @@
 export const leading = (cluster: SimulatedCluster): string | null =>
   cluster.nodes[cluster.leader]?.program.version ?? null;
 
-const seeksOffice = (path: string, body: unknown): boolean =>
+const writesLeaderKey = (path: string, body: unknown): boolean =>
   path === '/txn' && JSON.stringify(body).includes('"write":"leader"');
 
 /** Office passes to this controller: the leader ends, and the others are refused the leader key. */
@@ -49,7 +49,7 @@
     const fate = node.fate;
     if (i === to) continue;
     node.fate = (method, path, body): Fate =>
-      seeksOffice(path, body) ? 'refuse' : fate(method, path, body);
+      writesLeaderKey(path, body) ? 'refuse' : fate(method, path, body);
   }
   if (from >= 0) cluster.crash(from);
   await cluster.until(
@@ -69,28 +69,29 @@
   gang: string;
 }
 
-const WISHES: Record<keyof LongWork, JobTemplate> = {
+const LONG_JOBS: Record<keyof LongWork, JobTemplate> = {
   array: { pieces: 90, gpus: 0, runMs: LONG_MS, crew: 'speech' },
   service: { shape: 'service', pieces: 3, runMs: 0, urgency: 'production' },
   gang: { shape: 'gang', pieces: 4, gpus: 2, runMs: LONG_MS, samePlace: true },
 };
 
 export async function startLongWork(cluster: SimulatedCluster): Promise<LongWork> {
-  const array = await cluster.accept(WISHES.array);
-  const service = await cluster.accept(WISHES.service);
-  const gang = await cluster.accept(WISHES.gang);
+  const array = await cluster.accept(LONG_JOBS.array);
+  const service = await cluster.accept(LONG_JOBS.service);
+  const gang = await cluster.accept(LONG_JOBS.gang);
   await cluster.until(() => allRun(cluster, { array, service, gang }), 60, 'all runs');
   return { array, service, gang };
 }
 
-const KINDS = Object.keys(WISHES) as (keyof LongWork)[];
+const LONG_JOB_NAMES = Object.keys(LONG_JOBS) as (keyof LongWork)[];
 
 export const allRun = (cluster: SimulatedCluster, work: LongWork): boolean =>
-  KINDS.every((kind) => cluster.running(work[kind]) === WISHES[kind].pieces);
+  LONG_JOB_NAMES.every((kind) => cluster.running(work[kind]) === LONG_JOBS[kind].pieces);
 
 /** How often tasks of this work have started. */
 export const startsOf = (cluster: SimulatedCluster, work: LongWork): number =>
-  cluster.starts.filter((name) => KINDS.some((kind) => name.startsWith(`${work[kind]}/`))).length;
+  cluster.starts.filter((name) => LONG_JOB_NAMES.some((kind) => name.startsWith(`${work[kind]}/`)))
+    .length;
 
 /** All nodes call a job the same. */
 export async function assertPhase(
--- a/test/fakes/worker.ts
+++ b/test/fakes/worker.ts
@@ -31,7 +31,7 @@
 }
 
 /** What the worker is told to run, and where it stands. */
-export interface WorkerSite {
+export interface WorkerConfig {
   id: string;
   hull: string;
   yard: string;
@@ -51,22 +51,22 @@
   /** How the worker learns what to run; null: no such job. */
   facts(job: string): JobFacts | null;
   /** Whether all tasks of this attempt have their image. */
-  assembled(job: string, attempt: number): boolean;
+  allHaveImages(job: string, attempt: number): boolean;
   onMachine(worker: FakeWorker, piece: FakeTask): void;
   onDone(piece: FakeTask): void;
   /** A task that ran was told to stop. */
-  onHalted?(worker: FakeWorker, piece: FakeTask): void;
+  onStopped?(worker: FakeWorker, piece: FakeTask): void;
   /** Sends a heartbeat on its way; rejects if no connection comes about. */
-  call(node: number, report: object, worker: FakeWorker): Promise<Answered>;
+  call(node: number, report: object, worker: FakeWorker): Promise<ReportResponse>;
 }
 
-export type Answered = { status: number; body: unknown };
+export type ReportResponse = { status: number; body: unknown };
 
 /** After how long a worker tries the next controller. */
 const RETRY_MS = 1000;
 
 /** How often a machine that hangs looks whether it may go on. */
-const HUNG_LOOK_MS = 100;
+const HUNG_POLL_MS = 100;
 
 /** A worker, written from the protocol: one report in flight, a lease, sessions and tokens. */
 export class FakeWorker {
@@ -86,57 +86,57 @@
   /** Every report as it was sent, for late copies. */
   readonly sent: object[] = [];
   private node = 0;
-  private leaseFrom: number;
+  private leaseStartedAt: number;
 
   /** Direct commands that came while it hung: they are carried out when it goes on. */
-  private readonly inbox: DirectCommand[] = [];
+  private readonly deferredCommands: DirectCommand[] = [];
 
   constructor(
-    private readonly site: WorkerSite,
+    private readonly config: WorkerConfig,
     private readonly clock: Clock,
     private readonly host: WorkerHost,
   ) {
-    this.leaseFrom = clock.now();
+    this.leaseStartedAt = clock.now();
   }
 
   get id(): string {
-    return this.site.id;
+    return this.config.id;
   }
 
   get hull(): string {
-    return this.site.hull;
+    return this.config.hull;
   }
 
   get yard(): string {
-    return this.site.yard;
+    return this.config.yard;
   }
 
   get driftwood(): boolean {
-    return this.site.driftwood;
+    return this.config.driftwood;
   }
 
   async run(signal: AbortSignal): Promise<void> {
     while (!signal.aborted && !this.dead) {
       // The lease of a hanging machine runs out like any other's: it never resumes past it.
       if (this.expired) this.nextSession();
-      const began = this.clock.now();
+      const startedAt = this.clock.now();
       const to = this.node;
       if (!this.hung) {
-        for (const command of this.inbox.splice(0)) this.direct(command);
-        this.work();
+        for (const command of this.deferredCommands.splice(0)) this.direct(command);
+        this.advanceTasks();
         await this.report();
       }
-      const lost = this.node !== to;
-      const took = this.clock.now() - began;
-      const pause = lost ? RETRY_MS : Math.max(1, this.site.reportMs - took);
-      await this.clock.sleep(this.hung ? HUNG_LOOK_MS : pause, signal);
+      const controllerChanged = this.node !== to;
+      const elapsedMs = this.clock.now() - startedAt;
+      const pause = controllerChanged ? RETRY_MS : Math.max(1, this.config.reportMs - elapsedMs);
+      await this.clock.sleep(this.hung ? HUNG_POLL_MS : pause, signal);
     }
   }
 
   body(): object {
     return {
       rig: this.id,
-      address: this.site.address ?? `${this.id}:9000`,
+      address: this.config.address ?? `${this.id}:9000`,
       hull: this.hull,
       yard: this.yard,
       driftwood: this.driftwood,
@@ -158,22 +158,22 @@
   restart(): void {
     this.nextSession();
     this.tick = this.baton = 0;
-    this.inbox.length = 0;
+    this.deferredCommands.length = 0;
   }
 
   /** A direct command; null: no answer. */
   direct(command: DirectCommand): { status: number; body: object } | null {
     if (this.dead || this.deaf) return null;
     if (this.hung) {
-      this.inbox.push(command);
+      this.deferredCommands.push(command);
       return null;
     }
-    const fits = command.baton >= this.baton && command.shift === this.shift;
-    if (fits) {
+    const accepted = command.baton >= this.baton && command.shift === this.shift;
+    if (accepted) {
       this.baton = command.baton;
       for (const order of command.orders) this.execute(order);
     }
-    return { status: fits ? 200 : 409, body: this.body() };
+    return { status: accepted ? 200 : 409, body: this.body() };
   }
 
   private async report(): Promise<void> {
@@ -181,47 +181,47 @@
     this.sent.push(body);
     const { shift } = this;
     const sentAt = this.clock.now();
-    const late = new AbortController();
-    const none = this.clock.sleep(4000, late.signal).then(() => null);
-    const way = this.mute
+    const timer = new AbortController();
+    const timeout = this.clock.sleep(4000, timer.signal).then(() => null);
+    const response = this.mute
       ? Promise.resolve(null)
       : this.host.call(this.node, body, this).catch(() => null);
-    const answer = await Promise.race([way, none]);
-    late.abort();
+    const answer = await Promise.race([response, timeout]);
+    timer.abort();
     if (this.dead || this.hung) return;
     if (answer && this.deaf) return;
     if (!answer || (answer.status !== 200 && answer.status !== 421)) {
-      this.node = (this.node + 1) % this.site.nodes.length;
+      this.node = (this.node + 1) % this.config.nodes.length;
       return;
     }
     if (answer.status === 421) {
-      const to = this.site.nodes.indexOf((answer.body as { foreman?: string }).foreman ?? '');
-      this.node = to >= 0 && to !== this.node ? to : (this.node + 1) % this.site.nodes.length;
+      const to = this.config.nodes.indexOf((answer.body as { foreman?: string }).foreman ?? '');
+      this.node = to >= 0 && to !== this.node ? to : (this.node + 1) % this.config.nodes.length;
       return;
     }
     const { baton, orders } = answer.body as { baton: number; orders: Record<string, unknown>[] };
     if (shift !== this.shift || baton < this.baton) return;
     this.baton = baton;
-    this.leaseFrom = sentAt;
+    this.leaseStartedAt = sentAt;
     for (const order of orders) this.execute(order);
-    this.work();
+    this.advanceTasks();
   }
 
   private execute(order: Record<string, unknown>): void {
     const [job, task] = String(order.piece).split('/') as [string, string];
     const attempt = Number(order.try);
     const same = (piece: FakeTask): boolean => piece.job === job && piece.task === Number(task);
-    const here = this.pieces.find((piece) => same(piece) && piece.attempt === attempt);
+    const held = this.pieces.find((piece) => same(piece) && piece.attempt === attempt);
     if (order.verb === 'forget') {
-      this.pieces = this.pieces.filter((piece) => piece !== here || piece.phase !== 'ended');
-    } else if (order.verb === 'launch' && !here) {
-      const cause = this.whyRefused(job, Number(task));
+      this.pieces = this.pieces.filter((piece) => piece !== held || piece.phase !== 'ended');
+    } else if (order.verb === 'launch' && !held) {
+      const cause = this.rejectionCause(job, Number(task));
       const phase = cause === null ? 'fetching' : 'ended';
       this.pieces.push({ job, task: Number(task), attempt, phase, cause, since: this.clock.now() });
-    } else if (order.verb === 'halt' && here) this.halt(here, Number(order.windDownS) * 1000);
+    } else if (order.verb === 'halt' && held) this.halt(held, Number(order.windDownS) * 1000);
   }
 
-  private whyRefused(job: string, task: number): string | null {
+  private rejectionCause(job: string, task: number): string | null {
     const running = this.pieces.filter((piece) => piece.phase !== 'ended');
     if (running.some((piece) => piece.job === job && piece.task === task)) return 'in_use';
     const facts = this.host.facts(job);
@@ -231,7 +231,7 @@
         (sum, piece) => sum + (this.host.facts(piece.job)?.[amount] ?? 0),
         0,
       );
-      if (used + facts[amount] > this.site.room[amount] + 1e-6) return 'no_room';
+      if (used + facts[amount] > this.config.room[amount] + 1e-6) return 'no_room';
     }
     return null;
   }
@@ -239,14 +239,14 @@
   private halt(piece: FakeTask, windDownMs: number): void {
     if (piece.phase === 'ended') return;
     const ran = piece.phase === 'running';
-    this.stopPiece(piece, windDownMs);
-    if (ran) this.host.onHalted?.(this, piece);
+    this.stopTask(piece, windDownMs);
+    if (ran) this.host.onStopped?.(this, piece);
   }
 
-  private stopPiece(piece: FakeTask, windDownMs: number): void {
+  private stopTask(piece: FakeTask, windDownMs: number): void {
     const saveMs = this.host.facts(piece.job)?.saveMs ?? 0;
-    const saves = piece.phase === 'running' || piece.phase === 'flushing';
-    if (saves && saveMs > 0 && windDownMs >= saveMs) {
+    const mustSave = piece.phase === 'running' || piece.phase === 'flushing';
+    if (mustSave && saveMs > 0 && windDownMs >= saveMs) {
       if (piece.phase === 'running') piece.since = this.clock.now();
       piece.phase = 'flushing';
       return;
@@ -257,17 +257,17 @@
 
   /** Its lease has run out: whatever was on it is killed at that moment, though it notices later. */
   get expired(): boolean {
-    return this.clock.now() - this.leaseFrom > this.site.leaseMs;
+    return this.clock.now() - this.leaseStartedAt > this.config.leaseMs;
   }
 
   private nextSession(): void {
     this.shift++;
     this.pieces = [];
-    this.leaseFrom = this.clock.now();
+    this.leaseStartedAt = this.clock.now();
   }
 
   /** Lets tasks go on as far as time allows. */
-  private work(): void {
+  private advanceTasks(): void {
     const now = this.clock.now();
     if (this.expired) return this.nextSession();
     for (const piece of this.pieces) {
@@ -283,7 +283,7 @@
         piece.since = now;
         this.host.onMachine(this, piece);
       }
-      if (piece.phase === 'gathering' && this.host.assembled(piece.job, piece.attempt)) {
+      if (piece.phase === 'gathering' && this.host.allHaveImages(piece.job, piece.attempt)) {
         piece.phase = 'running';
         piece.since = now;
       }
--- a/test/measurements/behavior-trace.ts
+++ b/test/measurements/behavior-trace.ts
@@ -86,12 +86,12 @@
 
 /** A good version takes over in steps; the leader ends in the middle of it. */
 async function rollout(observe: Observe): Promise<void> {
-  const story = await beginRollout({ seed: 1, before: observe });
-  await start(story, {}, 1);
-  await phaseIs(story.w, 'withdrawing');
-  await story.w.faults.endLeader(3);
-  await phaseIs(story.w, 'done');
-  await finish(story, 'to');
+  const scenario = await beginRollout({ seed: 1, before: observe });
+  await start(scenario, {}, 1);
+  await phaseIs(scenario.w, 'withdrawing');
+  await scenario.w.faults.endLeader(3);
+  await phaseIs(scenario.w, 'done');
+  await finish(scenario, 'to');
 }
 
 /** Jobs that need others, some of them cancelled, under leaders that end. */
@@ -145,7 +145,7 @@
 }
 
 /** Cheap machines that go with notice, a job with a mistake, work of low priority and many questions. */
-async function nightShift(observe: Observe): Promise<void> {
+async function mixedWorkload(observe: Observe): Promise<void> {
   const spot = { yard: 'a', spot: true };
   const simulatedCluster = new SimulatedCluster([...machines('aabb'), spot, spot], 3, 9);
   observe(simulatedCluster);
@@ -190,17 +190,17 @@
   { name: 'a version takes over in steps', play: rollout },
   { name: 'pipelines with a cancellation', play: pipelines },
   { name: 'controllers of an earlier version are upgraded', play: upgrade },
-  { name: 'notice, failures, low priority and questions', play: nightShift },
+  { name: 'notice, failures, low priority and questions', play: mixedWorkload },
 ];
 
 /** Plays one simulation; answers the hash over what crossed the borders, and how much did. */
 async function traceOf({ name, play }: Simulation): Promise<string> {
   const hash = createHash('sha256');
   let crossings = 0;
-  const observe = (world: SimulatedCluster): void => {
-    world.onCrossing = (border, ...what) => {
+  const observe = (cluster: SimulatedCluster): void => {
+    cluster.onBoundaryCrossing = (border, ...what) => {
       crossings++;
-      hash.update(`${world.clock.now()} ${border} ${JSON.stringify(what)}\n`);
+      hash.update(`${cluster.clock.now()} ${border} ${JSON.stringify(what)}\n`);
     };
   };
   let end = '';
--- a/test/measurements/mixed-builds.ts
+++ b/test/measurements/mixed-builds.ts
@@ -11,7 +11,7 @@
 import { promisify } from 'node:util';
 import { systemClock } from '@leverhatch/core/clock';
 import type { JobTemplate } from '../fakes/job-factory.js';
-import { Loopback, programOf, type Process } from '../fakes/loopback.js';
+import { Loopback, programPath, type ControllerProcess } from '../fakes/loopback.js';
 
 const MACHINES = 8;
 const TEAMS = [
@@ -19,7 +19,7 @@
   { name: 'speech', gpus: 16, gpusMax: 16 },
 ];
 
-const SWITCHES = `<shares><enabled>yes</enabled></shares><rollout>
+const OPERATOR_SETTINGS = `<shares><enabled>yes</enabled></shares><rollout>
   <probe>http://{address}/replicas/{job}/{task}/{attempt}</probe>
   <probeSeconds>0.6</probeSeconds>
   <probesPerSecond>100</probesPerSecond>
@@ -111,8 +111,8 @@
   readonly lines: string[] = [];
   failed = 0;
   private readonly warnings: string[] = [];
-  private readonly fleet = new Loopback(MACHINES, TEAMS, SWITCHES, {
-    onLogLine: (own, line) => this.warnings.push(`${own.name} ${line}`),
+  private readonly fleet = new Loopback(MACHINES, TEAMS, OPERATOR_SETTINGS, {
+    onLogLine: (controller, line) => this.warnings.push(`${controller.name} ${line}`),
   });
   private readonly starts = new StartChecker(this.fleet);
   private readonly jobs = new Map<JobName, string>();
@@ -149,11 +149,11 @@
 
   private async start(): Promise<void> {
     const { leader, follower } = this.scenario;
-    await this.fleet.start(3, [programOf(leader), null, null]);
+    await this.fleet.start(3, [programPath(leader), null, null]);
     const [first, ...others] = this.fleet.controllers;
     await this.until(() => this.fleet.leader === first, 'the first controller leads');
     for (const other of others) {
-      other.program = programOf(follower);
+      other.program = programPath(follower);
       this.fleet.spawn(other);
     }
     for (const ref of FORMER_JOBS) {
@@ -350,26 +350,26 @@
     const former = fleet.leader!;
     const { restartedWith } = this.scenario;
     const ended = restartedWith === undefined ? [former] : fleet.controllers;
-    for (const own of ended) fleet.kill(own);
+    for (const controller of ended) fleet.kill(controller);
     const key = JSON.stringify(fleet.store.get('leader'));
     this.restart(restartedWith === undefined ? [] : ended, restartedWith);
     const isNew = (): boolean =>
       fleet.leader !== undefined && JSON.stringify(fleet.store.get('leader')) !== key;
     await this.until(isNew, 'a controller of the other build leads');
-    const leads = fleet.leader!;
-    const expected = programOf(restartedWith ?? this.scenario.follower);
-    const names = `${former.name}, ${leads.name}`;
-    this.check(leads.program === expected, 'a controller of the other build takes over', names);
+    const newLeader = fleet.leader!;
+    const expected = programPath(restartedWith ?? this.scenario.follower);
+    const names = `${former.name}, ${newLeader.name}`;
+    this.check(newLeader.program === expected, 'a controller of the other build takes over', names);
     await systemClock.sleep(SETTLE_MS);
     this.checkKept(before, 'a change of leader costs no task');
     // The one that was killed comes back beside the new leader.
     this.restart(restartedWith === undefined ? ended : []);
   }
 
-  private restart(processes: readonly Process[], checkout?: string): void {
-    for (const own of processes) {
-      if (checkout !== undefined) own.program = programOf(checkout);
-      this.fleet.spawn(own);
+  private restart(processes: readonly ControllerProcess[], checkout?: string): void {
+    for (const controller of processes) {
+      if (checkout !== undefined) controller.program = programPath(checkout);
+      this.fleet.spawn(controller);
     }
   }
 
@@ -410,7 +410,7 @@
   private async recordsAreRead(): Promise<void> {
     const errors = this.warnings.filter((line) => /"level":(50|60|"error"|"fatal")/.test(line));
     this.check(errors.length === 0, 'no controller logs an error', errors.join(' ') || 'none');
-    const node = this.fleet.controllers.findIndex((own) => own === this.fleet.leader);
+    const node = this.fleet.controllers.findIndex((controller) => controller === this.fleet.leader);
     const { leader, follower, restartedWith } = this.scenario;
     for (const words of [
       ['shares', 'show', '--json'],
@@ -445,9 +445,9 @@
   },
 ];
 
-const trials = SCENARIOS.map((scenario) => new MixedBuilds(scenario));
-await Promise.all(trials.map((trial) => trial.play()));
-for (const { lines } of trials) for (const line of lines) console.log(line);
-const failed = trials.reduce((sum, trial) => sum + trial.failed, 0);
+const runs = SCENARIOS.map((scenario) => new MixedBuilds(scenario));
+await Promise.all(runs.map((trial) => trial.play()));
+for (const { lines } of runs) for (const line of lines) console.log(line);
+const failed = runs.reduce((sum, trial) => sum + trial.failed, 0);
 console.log(failed === 0 ? 'every check holds' : `${failed} checks do not hold`);
 process.exit(failed === 0 ? 0 : 1);
--- a/test/measurements/rollout.ts
+++ b/test/measurements/rollout.ts
@@ -21,15 +21,15 @@
 const STEPS = [0.1, 0.5, 1];
 const JUDGE_S = 20;
 const FETCH_MS = 2000;
-const MOST_S = 3600;
+const MAX_SECONDS = 3600;
 const REQUESTS_PER_REPLICA = 25;
 
-type Way = 'rollout' | 'new beside old' | 'new after old';
+type Method = 'rollout' | 'new beside old' | 'new after old';
 
 interface Result {
   machines: number;
   replicas: number;
-  way: Way;
+  way: Method;
   /** From the request until only the new version is placed. */
   doneS: number;
   level: number;
@@ -53,7 +53,7 @@
   surge: number;
 }
 
-async function scene(machines: number): Promise<Scene> {
+async function startScene(machines: number): Promise<Scene> {
   const yards = Array.from({ length: machines }, (_, i) => ({ yard: i % 2 ? 'a' : 'b' }));
   const scale = machines / MACHINES_OF_SAMPLE;
   const simulatedCluster = new SimulatedCluster(yards, 3, 0, { rps: 2000, writeRps: 500 }, scale);
@@ -85,18 +85,18 @@
 }
 
 /** Looks every quarter of a second at what serves and what is placed. */
-class Meter {
+class ReplicaMeter {
   lowest = Infinity;
   surgeReplicaSeconds = 0;
   private readonly from: string;
 
-  constructor(private readonly s: Scene) {
-    this.from = s.from;
-    s.w.observers.add(() => this.look());
+  constructor(private readonly scene: Scene) {
+    this.from = scene.from;
+    scene.w.observers.add(() => this.sample());
   }
 
-  private look(): void {
-    const { w: cluster, models, next, replicas } = this.s;
+  private sample(): void {
+    const { w: cluster, models, next, replicas } = this.scene;
     const serving = models.serving(this.from) + models.serving(next.ref);
     this.lowest = Math.min(this.lowest, serving);
     const placed = cluster.on(this.from).length + cluster.on(next.ref).length;
@@ -104,11 +104,11 @@
   }
 }
 
-async function measure(machines: number, way: Way): Promise<Result> {
+async function measure(machines: number, way: Method): Promise<Result> {
   const began = performance.now();
-  const played = await scene(machines);
-  const { w: cluster, models, from, next, replicas, surge } = played;
-  const meter = new Meter(played);
+  const scene = await startScene(machines);
+  const { w: cluster, models, from, next, replicas, surge } = scene;
+  const meter = new ReplicaMeter(scene);
   let rolloutWrites = 0;
   let transitions = 0;
   const before = cluster.store.onWrite;
@@ -127,14 +127,14 @@
     await cluster.drive(cluster.acceptingWished(next));
     await cluster.until(
       () => rolloutStatus(cluster, 'r')?.phase === 'done',
-      MOST_S,
+      MAX_SECONDS,
       'the rollout is done',
     );
   } else if (way === 'new beside old') {
     await cluster.drive(cluster.acceptingWished(next));
     await cluster.until(
       () => models.serving(next.ref) === replicas,
-      MOST_S,
+      MAX_SECONDS,
       'the new version serves',
     );
     await cluster.cancel(from);
@@ -144,14 +144,14 @@
   }
   const over = (): boolean =>
     models.serving(next.ref) === replicas && cluster.on(from).length === 0;
-  await cluster.until(over, MOST_S, 'only the new version is placed');
+  await cluster.until(over, MAX_SECONDS, 'only the new version is placed');
   const doneS = (cluster.clock.now() - askedAt) / 1000;
   const { lowest, surgeReplicaSeconds } = meter;
   const result: Result = {
     ...{ machines, replicas, way, doneS, level: replicas, lowest, surgeReplicaSeconds },
     leastSurgeReplicaSeconds: way === 'rollout' ? (replicas * FETCH_MS) / 1000 : null,
     ...{ transitions, rolloutWrites },
-    probesPerSecond: Math.round(models.asked / doneS),
+    probesPerSecond: Math.round(models.probesSent / doneS),
     realSeconds: Math.round((performance.now() - began) / 1000),
   };
   if (way !== 'new after old') await cluster.cancel(from);
@@ -173,9 +173,9 @@
 }
 
 async function detect(timesSlower: number): Promise<Detection> {
-  const played = await scene(MACHINES_OF_SAMPLE);
-  const { w: cluster, models, from, next, replicas, surge } = played;
-  const meter = new Meter(played);
+  const scene = await startScene(MACHINES_OF_SAMPLE);
+  const { w: cluster, models, from, next, replicas, surge } = scene;
+  const meter = new ReplicaMeter(scene);
   models.models.set(next.ref, {
     readyMs: 500,
     latencyMs: () => 100 * timesSlower,
@@ -191,7 +191,7 @@
   const turned = ['rolling-back', 'rolled-back', 'done'];
   await cluster.until(
     () => turned.includes(rolloutStatus(cluster, 'r')?.phase ?? ''),
-    MOST_S,
+    MAX_SECONDS,
     'it turns',
   );
   const noticedS = (cluster.clock.now() - servesAt) / 1000;
@@ -199,7 +199,7 @@
   const ends = ['rolled-back', 'done'];
   await cluster.until(
     () => ends.includes(rolloutStatus(cluster, 'r')?.phase ?? ''),
-    MOST_S,
+    MAX_SECONDS,
     'it ends',
   );
   const { phase } = rolloutStatus(cluster, 'r')!;
@@ -263,7 +263,7 @@
 
 const sizes = process.argv.slice(2).map(Number);
 const results: Result[] = [];
-const WAYS: Way[] = ['rollout', 'new beside old', 'new after old'];
+const WAYS: Method[] = ['rollout', 'new beside old', 'new after old'];
 for (const machines of sizes.length > 0 ? sizes : [8, 100]) {
   for (const way of WAYS) {
     results.push(await measure(machines, way));
--- a/test/measurements/shares.ts
+++ b/test/measurements/shares.ts
@@ -13,7 +13,7 @@
 /** The sample's teams may use as much as eight of its machines hold, together somewhat more. */
 const MACHINES_OF_SAMPLE = 8;
 const RUN_MS = 3_600_000;
-const AWAY_S = 3;
+const RESTART_S = 3;
 
 interface Times {
   machines: number;
@@ -38,12 +38,12 @@
 }
 
 /** A tuning run on every machine. */
-async function scene(machines: number, switchedOn: boolean): Promise<Scene> {
+async function startScene(machines: number, transfersEnabled: boolean): Promise<Scene> {
   const scale = machines / MACHINES_OF_SAMPLE;
   const yards = Array.from({ length: machines }, (_, i) => ({ yard: i % 2 ? 'a' : 'b' }));
   const simulatedCluster = new SimulatedCluster(yards, 3, 0, { rps: 2000, writeRps: 500 }, scale);
   simulatedCluster.cloud.capacity = machines;
-  if (switchedOn) withQuotaTransfers(simulatedCluster);
+  if (transfersEnabled) withQuotaTransfers(simulatedCluster);
   await simulatedCluster.start();
   const tuning = await simulatedCluster.submit({
     pieces: machines * 8,
@@ -59,7 +59,7 @@
 }
 
 /** The receiver's replicas: more than its guarantee before, within it afterwards. */
-async function claim(
+async function startReceiverReplicas(
   { w: cluster, scale, tuning }: Scene,
   askedAt: number,
 ): Promise<Partial<Times>> {
@@ -73,10 +73,10 @@
   return { firstReplicaMs, allReplicasMs, replicas, stopped: before - cluster.running(tuning) };
 }
 
-async function byMove(machines: number): Promise<Times> {
+async function measureTransfer(machines: number): Promise<Times> {
   const began = performance.now();
-  const played = await scene(machines, true);
-  const { w: cluster, scale } = played;
+  const scene = await startScene(machines, true);
+  const { w: cluster, scale } = scene;
   let shareWrites = 0;
   const before = cluster.store.onWrite;
   cluster.store.onWrite = (key) => {
@@ -93,17 +93,17 @@
     .then(() => {
       doneAt = cluster.clock.now();
     });
-  const times = await claim(played, askedAt);
+  const times = await startReceiverReplicas(scene, askedAt);
   await done;
   await cluster.close();
   return finish({ machines, way: 'move', shareWrites, doneMs: doneAt! - askedAt }, times, began);
 }
 
 /** As before this part: the settings are changed and the controllers restarted one by one. */
-async function byRestart(machines: number): Promise<Times> {
+async function measureRestart(machines: number): Promise<Times> {
   const began = performance.now();
-  const played = await scene(machines, false);
-  const { w: cluster, scale } = played;
+  const scene = await startScene(machines, false);
+  const { w: cluster, scale } = scene;
   const askedAt = cluster.clock.now();
   const teams = new Map(cluster.teams);
   for (const [name, sign] of [['speech', -1] as const, ['vision', 1] as const]) {
@@ -119,7 +119,7 @@
   cluster.teams = teams;
   for (let i = 0; i < cluster.nodes.length; i++) {
     cluster.crash(i);
-    await cluster.pass(AWAY_S);
+    await cluster.pass(RESTART_S);
     cluster.restart(i);
     await cluster.until(
       () => cluster.leader >= 0 && (cluster.nodes[i]!.controller?.ready() ?? false),
@@ -128,7 +128,7 @@
     );
   }
   const doneMs = cluster.clock.now() - askedAt;
-  const times = await claim(played, askedAt);
+  const times = await startReceiverReplicas(scene, askedAt);
   await cluster.close();
   return finish({ machines, way: 'restart', shareWrites: 0, doneMs }, times, began);
 }
@@ -145,7 +145,7 @@
 // ---- draining against the least possible
 
 const CASES = 3000;
-const MOST_TASKS = 12;
+const MAX_TASKS = 12;
 
 const lossOf = (tasks: readonly DrainCandidate[]): number =>
   tasks.reduce((sum, task) => sum + task.lostWorkMs, 0);
@@ -170,13 +170,13 @@
 /** Random jobs of one priority; what is compared is the loss alone. */
 function drainCase(seed: number): { wanted: number; candidates: DrainCandidate[] } {
   const generator = xoroshiro128plus(seed);
-  const upTo = (from: number, to: number): number => uniformInt(generator, from, to);
+  const randomBetween = (from: number, to: number): number => uniformInt(generator, from, to);
   const candidates: DrainCandidate[] = [];
-  for (let job = 0; candidates.length < MOST_TASKS - 4 && job < 5; job++) {
-    const need = { cpus: 0, gpus: upTo(1, 4) };
-    const wholeGang = upTo(0, 2) === 0;
-    for (let task = 0; task < upTo(1, 4); task++) {
-      const lostWorkMs = upTo(1, 100) * 1000;
+  for (let job = 0; candidates.length < MAX_TASKS - 4 && job < 5; job++) {
+    const need = { cpus: 0, gpus: randomBetween(1, 4) };
+    const wholeGang = randomBetween(0, 2) === 0;
+    for (let task = 0; task < randomBetween(1, 4); task++) {
+      const lostWorkMs = randomBetween(1, 100) * 1000;
       candidates.push({
         job: `j${job}`,
         task,
@@ -187,8 +187,8 @@
       });
     }
   }
-  const most = candidates.reduce((sum, candidate) => sum + candidate.resources.gpus, 0);
-  return { wanted: upTo(1, most), candidates };
+  const total = candidates.reduce((sum, candidate) => sum + candidate.resources.gpus, 0);
+  return { wanted: randomBetween(1, total), candidates };
 }
 
 /** What is lost by draining, in percent of the least possible. */
@@ -215,8 +215,8 @@
 const sizes = process.argv.slice(2).map(Number);
 const results: Times[] = [];
 for (const machines of sizes.length > 0 ? sizes : [8, 100]) {
-  results.push(await byMove(machines));
-  results.push(await byRestart(machines));
+  results.push(await measureTransfer(machines));
+  results.push(await measureRestart(machines));
   console.error(JSON.stringify(results.slice(-2)));
 }
 console.log(JSON.stringify({ results, drain: drainLoss() }, null, 2));
