--- a/test/fakes/clock.ts
+++ b/test/fakes/clock.ts
@@ -10,7 +10,7 @@
 const isBefore = (a: Timer, b: Timer): boolean =>
   a.at < b.at || (a.at === b.at && a.order < b.order);
 
-/** Timers by when they fire, as a binary heap: a scenario of thousands of machines has as many. */
+/** Timers ordered by due time, in a binary heap: a scenario can have thousands of them. */
 class TimerQueue {
   private readonly heap: Timer[] = [];
 
@@ -26,7 +26,7 @@
     heap[index] = timer;
   }
 
-  /** The first timer that is not over; it stays in the queue. */
+  /** Returns the earliest unfinished timer without removing it. */
   peek(): Timer | undefined {
     while (this.heap[0]?.finished) this.removeFirst();
     return this.heap[0];
@@ -49,7 +49,7 @@
   }
 }
 
-/** Time that only moves when a scenario says so. */
+/** A clock that advances only when a scenario tells it to. */
 export class FakeClock implements Clock {
   private time = 0;
   private order = 0;
@@ -78,7 +78,7 @@
     });
   }
 
-  /** Lets `ms` pass, with everything that is due on the way, in order. */
+  /** Advances the time by `ms` and fires the timers that become due, in order. */
   async advance(ms: number): Promise<void> {
     const until = this.time + ms;
     await flushPromises();
@@ -93,7 +93,7 @@
   }
 }
 
-/** Runs all that is ready to run: promises do not take time, only timers do. */
+/** Runs pending promise callbacks, which take no simulated time; only timers do. */
 async function flushPromises(): Promise<void> {
   for (let i = 0; i < 3; i++) await new Promise((resolve) => setImmediate(resolve));
 }
--- a/test/fakes/cloud.ts
+++ b/test/fakes/cloud.ts
@@ -36,7 +36,7 @@
   yards: ['a', 'b'],
 };
 
-/** A type with half the room of the usual one, for scenarios of jobs that allow one type only. */
+/** A type with half the capacity of g8, for scenarios with jobs that allow only one type. */
 export const G4: MachineTypeEntry = {
   ...G8,
   sku: 'g4',
@@ -46,21 +46,22 @@
   price: 11,
 };
 
-/** A cloud that rents machines, usually of one type, in two zones. */
+/** A fake cloud that rents out machines, by default of one type in two zones. */
 export class FakeCloud {
   readonly hulls: MachineTypeEntry[] = [G8];
   readonly hosts = new Map<string, Host>();
+  /** The machines of each rental by its `charter`, which makes repeated requests idempotent. */
   readonly rentals = new Map<string, string[]>();
   down = false;
   capacity = 40;
-  /** How long machines take to boot. */
+  /** The boot time of a machine. */
   bootMs = 40_000;
   spotCapacity = 0;
-  /** Only the first page of a list is served. */
+  /** Serves only the first page of a machine list; later pages fail. */
   failLaterPages = false;
-  /** Machines that the list does not show, though they are there. */
+  /** Existing machines that are missing from the machine list. */
   readonly unlisted = new Set<string>();
-  /** How many names each return and each rental carried. */
+  /** The number of machines in each return and rental request. */
   readonly calls: { path: string; count: number }[] = [];
   private next = 1;
 
@@ -69,7 +70,7 @@
     private readonly onReturned: (id: string) => void,
   ) {}
 
-  /** The usual type is to be had in these zones. */
+  /** Offers the g8 type in these zones. */
   offerUsualTypeIn(zones: readonly string[]): void {
     this.hulls[0] = { ...G8, yards: [...zones] };
   }
@@ -87,7 +88,7 @@
       request: async (method, path, body, timeoutMs, signal) => {
         await this.clock.sleep(80, signal);
         signal?.throwIfAborted();
-        if (timeoutMs < 80) throw new NoResponseError('too slow');
+        if (timeoutMs < 80) throw new NoResponseError('no response within the timeout');
         if (this.down) return { status: 503, body: { error: 'trouble' } };
         return this.execute(method, path, body);
       },
--- a/test/fakes/controllers.ts
+++ b/test/fakes/controllers.ts
@@ -24,32 +24,32 @@
 export interface SimulatedController {
   name: string;
   zone: string;
-  /** The version that its next process runs. */
+  /** The controller version that the next process runs. */
   program: Program;
   controller: Controller | null;
   stop: AbortController;
   fate(method: string, path: string, body: unknown): Fate;
-  /** False while workers cannot reach it. */
+  /** Whether workers can reach it. */
   open: boolean;
-  /** False while users cannot reach it. */
+  /** Whether users can reach it. */
   usersOpen: boolean;
-  /** Optional parts that its next process has switched on, by name. */
+  /** Extensions that are enabled in the next process, by name. */
   readonly extensions: Map<string, CreateExtension>;
-  /** Until when it stands still while its clocks run on. */
+  /** The time until which the process is frozen; the clock advances meanwhile. */
   frozenUntil: number;
-  /** For how long its answers to users and workers are held up on their way. */
+  /** The delay of its responses to users and workers. */
   heldMs: number;
-  /** How much later than it should each of its timers fires and each message is seen; 0: in time. */
+  /** The delay of each of its timers and received messages; 0 means none. */
   processingDelayMs(): number;
 }
 
-/** The controllers of a scenario: processes that start, stand still and end, and their connections. */
+/** The controllers of a scenario, which can start, freeze and crash, and their connections. */
 export class SimulatedControllers {
   readonly nodes: SimulatedController[] = [];
-  /** The zones cannot reach each other; both reach the store. */
+  /** Whether the zones are partitioned from each other; all of them still reach the store. */
   apart = false;
   private processCount = 0;
-  /** Controllers of the present version whose processes have not come to their end. */
+  /** Processes of the current version whose `run` has not returned yet, by their stop signal. */
   readonly liveProcesses = new Set<AbortController>();
 
   constructor(
@@ -78,7 +78,7 @@
     };
   }
 
-  /** The controllers that a load balancer would take for healthy; all if none is. */
+  /** The controllers that pass a load balancer's health checks, or all if none does. */
   healthy(): number[] {
     const all = [...this.nodes.keys()];
     const healthy = all.filter((i) => {
@@ -88,7 +88,7 @@
     return healthy.length > 0 ? healthy : all;
   }
 
-  /** One controller as its users see it. */
+  /** The user-facing endpoint of one controller. */
   endpoint(i: number): UserEndpoint {
     const node = this.nodes[i]!;
     return {
@@ -128,8 +128,8 @@
         store: this.tracedTransport(
           'store',
           node,
-          this.cluster.store.link((member, peer, b) =>
-            this.storeOutcome(node, stop.signal, member, peer, b),
+          this.cluster.store.link((method, path, body) =>
+            this.storeOutcome(node, stop.signal, method, path, body),
           ),
         ),
         cloud: this.tracedTransport('cloud', node, this.cluster.cloud.link()),
@@ -151,7 +151,7 @@
     );
     node.controller = controller;
     const finished = controller.run(stop.signal);
-    // A released version is what it is; of ours each has to come to its end once it is told to.
+    // Released versions cannot be fixed; each process of this tree must end when it is stopped.
     if (node.program !== CURRENT) return;
     this.liveProcesses.add(stop);
     void finished.finally(() => this.liveProcesses.delete(stop));
@@ -171,7 +171,7 @@
     };
   }
 
-  /** What becomes of a request of one process to the store. */
+  /** Decides the outcome of a request from one process to the store. */
   private storeOutcome(
     node: SimulatedController,
     processSignal: AbortSignal,
@@ -180,16 +180,18 @@
     body: unknown,
   ): Fate {
     if (processSignal.aborted) return 'refuse';
-    const own = node.fate(method, path, body);
+    const controllerOutcome = node.fate(method, path, body);
     const index = this.nodes.indexOf(node);
-    return own === 'serve' ? this.cluster.faults.storeOutcome(index, method, path, body) : own;
+    return controllerOutcome === 'serve'
+      ? this.cluster.faults.storeOutcome(index, method, path, body)
+      : controllerOutcome;
   }
 
   private isDirectlyReachable(node: SimulatedController, worker: FakeWorker): boolean {
     return this.cluster.directOpen && this.reaches(node, worker);
   }
 
-  /** Whether the network lets a controller reach a machine. */
+  /** Whether a controller can reach a machine over the network. */
   reaches(node: SimulatedController, worker: FakeWorker): boolean {
     return !(this.apart && worker.yard !== this.zoneOf(node));
   }
@@ -202,22 +204,22 @@
     return this.nodes.find((node) => node.name === name)?.zone;
   }
 
-  /** It stands still from now on: what comes to it meanwhile it sees afterwards. */
+  /** Freezes a controller; it handles messages that arrive meanwhile afterwards. */
   freeze(i: number, ms: number): void {
     this.nodes[i]!.frozenUntil = this.cluster.clock.now() + ms;
   }
 
   private async waitWhileFrozen(node: SimulatedController): Promise<void> {
     while (this.cluster.clock.now() < node.frozenUntil) {
-      // A moment more, or rounding could leave a wait of no length.
+      // One more millisecond: with rounding the sleep could have no length.
       await this.cluster.clock.sleep(node.frozenUntil - this.cluster.clock.now() + 1);
     }
   }
 
-  /** It comes to what is due: at once, or later if it is slow or stands still. */
+  /** Waits for the processing delay, and while the controller is frozen. */
   private async waitUntilResponsive(node: SimulatedController): Promise<void> {
-    const lateMs = node.processingDelayMs();
-    if (lateMs > 0) await this.cluster.clock.sleep(lateMs);
+    const delayMs = node.processingDelayMs();
+    if (delayMs > 0) await this.cluster.clock.sleep(delayMs);
     await this.waitWhileFrozen(node);
   }
 
@@ -232,7 +234,9 @@
     };
   }
 
-  /** Requests leave at once; their answers are seen when the controller moves again. */
+  /**
+   * Traces the requests and replies of a transport. A slow or frozen controller sees replies late.
+   */
   private tracedTransport(
     boundary: 'store' | 'cloud',
     node: SimulatedController,
@@ -262,7 +266,7 @@
     };
   }
 
-  /** Ends a controller as a kill would: nothing is handed over. */
+  /** Kills a controller: it hands nothing over. */
   crash(i: number): void {
     const node = this.nodes[i]!;
     node.fate = () => 'lose request';
@@ -276,7 +280,7 @@
     this.boot(i);
   }
 
-  /** Whether two controllers are in zones that cannot reach each other now. */
+  /** Whether two controllers are in zones that are partitioned from each other now. */
   separated(from: string, to: string): boolean {
     return this.apart && this.zoneOfName(from) !== this.zoneOfName(to);
   }
@@ -286,7 +290,7 @@
     return this.nodes.findIndex((node) => node.name === holder?.member);
   }
 
-  /** A heartbeat's way to a controller; also for copies that come late. */
+  /** Delivers a heartbeat, or a late copy of one, to a controller and returns the response. */
   async deliver(node: number, report: object): Promise<ReportResponse> {
     const { controller, program } = this.nodes[node]!;
     await this.waitUntilResponsive(this.nodes[node]!);
--- a/test/fakes/deployment-shape.ts
+++ b/test/fakes/deployment-shape.ts
@@ -1,7 +1,7 @@
 import type { Settings } from '../../src/settings/deploy.js';
 import { settings } from './sample-settings.js';
 
-/** How a scenario's deployment differs from the sample: its controllers, its zones and its timing. */
+/** The deployment settings that scenarios vary: controllers, zones, timing and limits. */
 export interface DeploymentShape {
   /** The zone of each controller. */
   controllers: readonly string[];
@@ -9,13 +9,13 @@
   workers: Settings['workers'];
   state: Partial<Settings['state']>;
   machine: Settings['machine'];
-  /** What operators want of job classes; without it as in the sample. */
+  /** Objectives per job class; defaults to those of the sample settings. */
   objectives?: Settings['objectives'];
 }
 
 const sample = settings();
 
-/** The sample with two or three controllers; the second one is in zone b. */
+/** The sample settings with two or three controllers, the second of them in zone b. */
 export function sampleShape(
   controllers: 2 | 3,
   state: Partial<Settings['state']> = {},
@@ -24,7 +24,7 @@
   return { controllers: ['a', 'b', 'a'].slice(0, controllers), zones, workers, state, machine };
 }
 
-/** Five controllers in three zones, with slow reports, long leases, little processor time and small limits. */
+/** Five controllers in three zones, with rare heartbeats, long leases, little CPU, small limits. */
 export const THREE_ZONES: DeploymentShape = {
   controllers: ['a', 'b', 'c', 'a', 'b'],
   zones: ['a', 'b', 'c'],
--- a/test/fakes/fault-scenario.ts
+++ b/test/fakes/fault-scenario.ts
@@ -2,18 +2,18 @@
 import type { Settings } from '../../src/settings/deploy.js';
 import { SimulatedCluster, type MachineTemplate } from './simulated-cluster.js';
 
-/** Two faults or more that meet, as a short scenario. */
+/** A short scenario in which two or more faults overlap. */
 export interface FaultScenario {
   name: string;
-  /** Four machines in two zones unless it says otherwise. */
+  /** Defaults to four machines in two zones. */
   machines?: MachineTemplate[];
-  /** Three unless it says otherwise. */
+  /** Defaults to three. */
   controllers?: 2 | 3;
-  /** For each of them it is played once, at other moments. */
+  /** Runs the scenario once per seed, with different timing; defaults to 1 and 2. */
   seeds?: number[];
-  /** What the settings say of the store, where it differs from the sample. */
+  /** Store settings that differ from the sample. */
   state?: Partial<Settings['state']>;
-  /** What is so before any controller starts. */
+  /** Prepares the cluster before any controller starts. */
   before?(cluster: SimulatedCluster): void;
   play(cluster: SimulatedCluster, seed: number): Promise<void>;
 }
@@ -21,8 +21,8 @@
 export const machines = (zones: string): MachineTemplate[] => [...zones].map((yard) => ({ yard }));
 
 /**
- * Plays each meeting under the checker of all rules, with users that ask for their jobs all the
- * while. When its faults are over, whatever was accepted and not cancelled has to run.
+ * Runs each scenario under the rule checker while users keep querying their jobs. Once the faults
+ * are over, every job that was accepted and not cancelled must end or run.
  */
 export function runScenarios(scenarios: FaultScenario[]): void {
   for (const scenario of scenarios) {
@@ -41,7 +41,7 @@
           await scenario.play(simulatedCluster, seed);
           await simulatedCluster.settle();
         } catch (error) {
-          // A broken rule says more than what it led to.
+          // A rule violation says more than the error that followed from it.
           await simulatedCluster.close();
           throw error;
         }
--- a/test/fakes/fault-search.ts
+++ b/test/fakes/fault-search.ts
@@ -10,25 +10,25 @@
 import type { FakeWorker } from './worker.js';
 import { SimulatedCluster, type JobTemplate } from './simulated-cluster.js';
 
-/** Starts a fault on victims of its choice, for so many seconds; what it returns ends it. */
+/** Starts a fault on victims that it picks, and returns a function that ends the fault. */
 type InjectFault = (cluster: SimulatedCluster, random: SeededRandom, seconds: number) => () => void;
 
-/** How long a heartbeat without an answer is waited for, with some more. */
+/** Longer than a worker waits for the response to a heartbeat. */
 const NO_ANSWER_MS = 6000;
 const LEASE_SECONDS = 10;
-/** The pause between the beginnings of a fault that returns. */
+/** The interval between the starts of a recurring fault. */
 const RECURRENCE_SECONDS = 20;
-/** All faults are over this long after work began, if none returns. */
+/** Without recurring faults, all faults are over this long after the start of the work. */
 const FAULTS_END_SECONDS = 30;
 
 const isWrite = ({ path, body }: StoreRequest): boolean =>
   path === '/txn' && (body as { then: unknown[] }).then.length > 0;
 
-/** Also questions after changes, and comparisons without any. */
+/** Includes watches, and transactions that only compare. */
 const isRead = (request: StoreRequest): boolean =>
   request.method === 'GET' || (request.path === '/txn' && !isWrite(request));
 
-/** Mostly the leader. */
+/** Picks a controller, usually the leader. */
 function pickController(cluster: SimulatedCluster, random: SeededRandom): number {
   const { leader } = cluster;
   if (leader >= 0 && random.next() < 0.6) return leader;
@@ -42,7 +42,7 @@
   return some.length > 0 ? some : alive.slice(0, 1);
 }
 
-/** A fault on one controller's way to the store. */
+/** A fault in one controller's requests to the store. */
 function storeFault(fate: (request: StoreRequest) => Fate): InjectFault {
   return (cluster, random) => {
     const victim = pickController(cluster, random);
@@ -80,7 +80,7 @@
   };
 }
 
-/** Messages between controllers get lost in one direction only. */
+/** Messages between controllers are lost in one direction only. */
 function oneWayLoss(isLost: (from: string, to: string, victim: string) => boolean): InjectFault {
   return (cluster, random) => {
     const victim = cluster.nodes[pickController(cluster, random)]!.name;
@@ -101,20 +101,20 @@
 }
 
 const FAULTS: Record<string, InjectFault> = {
-  'a controller ends': (cluster, random) =>
+  'a controller crashes': (cluster, random) =>
     crashControllers(cluster, [pickController(cluster, random)]),
-  'all controllers end': (cluster) => crashControllers(cluster, [...cluster.nodes.keys()]),
+  'all controllers crash': (cluster) => crashControllers(cluster, [...cluster.nodes.keys()]),
   'the store is down': (cluster) => {
     cluster.faults.outage();
     return () => cluster.faults.outageOver();
   },
   'the store refuses one controller': storeFault(() => 'refuse'),
-  'a controller reaches the store, and hears no answer': storeFault(() => 'lose answer'),
-  'a controller does not reach the store': storeFault(() => 'lose request'),
-  'the store refuses changes': storeFaultForAll((request) =>
+  'a controller gets no responses from the store': storeFault(() => 'lose answer'),
+  'a controller cannot reach the store': storeFault(() => 'lose request'),
+  'the store refuses writes': storeFaultForAll((request) =>
     isWrite(request) ? 'refuse' : 'serve',
   ),
-  'the store refuses the changes of one controller': storeFault((request) =>
+  'the store refuses the writes of one controller': storeFault((request) =>
     isWrite(request) ? 'refuse' : 'serve',
   ),
   'the store refuses reads': storeFaultForAll((request) => (isRead(request) ? 'refuse' : 'serve')),
@@ -125,38 +125,40 @@
     cluster.store.slowMs = random.between(200, 900);
     return () => void (cluster.store.slowMs = 0);
   },
-  'changes are carried out late': shareFault('lateWrites', 0.3),
-  'answers of the store are lost': shareFault('lostAnswers', 0.4),
-  'one controller is heard by none of the others': oneWayLoss(
+  'writes are applied late': shareFault('lateWrites', 0.3),
+  'responses of the store are lost': shareFault('lostAnswers', 0.4),
+  'messages from one controller to the others are lost': oneWayLoss(
     (from, _to, victim) => from === victim,
   ),
-  'one controller hears none of the others': oneWayLoss((_from, to, victim) => to === victim),
-  'reports reach a controller, its answers get lost': (cluster, random) => {
+  'messages to one controller from the others are lost': oneWayLoss(
+    (_from, to, victim) => to === victim,
+  ),
+  'a controller receives heartbeats, but its responses time out': (cluster, random) => {
     const node = cluster.nodes[pickController(cluster, random)]!;
     node.heldMs = NO_ANSWER_MS;
     return () => void (node.heldMs = 0);
   },
   'a controller is slow': (cluster, random) => {
     const node = cluster.nodes[pickController(cluster, random)]!;
-    const mostMs = random.between(1000, 3000);
-    node.processingDelayMs = () => random.between(mostMs / 2, mostMs);
+    const maxDelayMs = random.between(1000, 3000);
+    node.processingDelayMs = () => random.between(maxDelayMs / 2, maxDelayMs);
     return () => void (node.processingDelayMs = () => 0);
   },
-  'a controller stands still': (cluster, random, seconds) => {
+  'a controller is frozen': (cluster, random, seconds) => {
     cluster.freeze(pickController(cluster, random), seconds * 1000);
     return () => undefined;
   },
-  'machines hear no answers': workerFault('deaf'),
-  'machines reach nobody': workerFault('mute'),
+  'machines receive no responses': workerFault('deaf'),
+  'machines reach no controller': workerFault('mute'),
   'machines hang': workerFault('hung'),
-  'the whole fleet is held up, and reports at once': (cluster) => {
+  'the whole fleet is silent, then reports at once': (cluster) => {
     const fleet = [...cluster.workers.values()];
     for (const worker of fleet) worker.mute = true;
     return () => {
       for (const worker of fleet) worker.mute = false;
     };
   },
-  'workers start anew within their lease': (cluster, random) => {
+  'workers restart within their lease': (cluster, random) => {
     for (const worker of pickWorkers(cluster, random)) worker.restart();
     return () => undefined;
   },
@@ -165,7 +167,7 @@
     if (victim !== undefined && cluster.cloud.hosts.delete(victim)) cluster.kill(victim);
     return () => undefined;
   },
-  'the cloud loses machines and lists them again': (cluster, random) => {
+  'machines are missing from the cloud list for a while': (cluster, random) => {
     const victims = pickWorkers(cluster, random);
     for (const { id } of victims) cluster.cloud.unlisted.add(id);
     const silent = random.next() < 0.5;
@@ -179,14 +181,14 @@
     cluster.cloud.down = true;
     return () => void (cluster.cloud.down = false);
   },
-  'the zones are cut apart': (cluster) => {
+  'the zones are partitioned': (cluster) => {
     cluster.split(true);
     return () => cluster.split(false);
   },
-  'copies of reports come late': shareFault('lateReports', 0.4),
-  'reports are kept for the next leader': shareFault('reportsForNext', 0.4),
-  'direct commands come late': shareFault('lateCommands', 0.6),
-  'what runs is cancelled at once': (cluster) => {
+  'copies of heartbeats arrive late': shareFault('lateReports', 0.4),
+  'heartbeats are replayed to the next leader': shareFault('reportsForNext', 0.4),
+  'direct commands arrive late': shareFault('lateCommands', 0.6),
+  'all running jobs are cancelled at once': (cluster) => {
     for (const ref of cluster.accepted.keys()) {
       if (cluster.on(ref).length > 0) void cluster.cancelling(ref).catch(() => undefined);
     }
@@ -196,20 +198,20 @@
 
 interface PlannedFault {
   name: string;
-  /** Seconds after work has begun. */
+  /** Seconds after the start of the work. */
   from: number;
   durationSeconds: number;
   times: number;
 }
 
-/** Two or three faults, at moments of the first quarter of a minute; some return. */
+/** Plans two or three faults that start within the first 10 seconds; some recur. */
 export function planFaults(random: SeededRandom): PlannedFault[] {
   const names = Object.keys(FAULTS);
   const count = random.next() < 0.5 ? 2 : 3;
   return Array.from({ length: count }, () => {
     const times = random.next() < 0.15 ? 3 : 1;
     const from = random.between(0, 10);
-    // Shorter and longer than a lease of a leader, of a worker, and than `cancel_s`.
+    // Values shorter and longer than the leases of leader and workers, and than `cancel_s`.
     const durationSeconds =
       random.pick([0.5, 2, 5, 9, 13, FAULTS_END_SECONDS - 10]) * random.between(0.8, 1.2);
     return {
@@ -236,7 +238,7 @@
   }
 }
 
-/** Small jobs come, some are cancelled, and users look closely at what ends. */
+/** Submits small jobs, cancels some, and queries some of those that complete at all nodes. */
 async function submitSmallJobs(cluster: SimulatedCluster, random: SeededRandom): Promise<void> {
   cluster.onDone = (piece) => void (random.next() < 0.3 && cluster.queryEverywhere(piece.job));
   while (!cluster.settling) {
@@ -258,7 +260,7 @@
   void cluster.queryEverywhere(ref);
 }
 
-/** Work of every kind; with `full` the team is at its limit. */
+/** Submits work of every kind; with `teamAtLimit` the team reaches its limit. */
 async function submitInitialWork(cluster: SimulatedCluster, teamAtLimit: boolean): Promise<void> {
   await cluster.accept({
     shape: 'service',
@@ -276,7 +278,7 @@
 
 const TEAMS = ['vision', 'speech'];
 
-/** Operators move shares back and forth, for good and as loans, and take some of them back. */
+/** Operators transfer quotas in both directions, for good or as loans, and cancel some. */
 async function transferQuotas(cluster: SimulatedCluster, random: SeededRandom): Promise<void> {
   for (let i = 0; !cluster.settling; i++) {
     const from = random.pick(TEAMS);
@@ -302,7 +304,7 @@
   }
 }
 
-/** Every move that was stored is over, or all of it is passed on until a later time. */
+/** Whether no stored transfer is requested, draining, lent or returning. */
 const allTransfersSettled = (cluster: SimulatedCluster): boolean =>
   [...cluster.store.keys]
     .filter(([key]) => key.startsWith('shares/moves/'))
@@ -320,7 +322,7 @@
 };
 const ROLLOUT_MAX_SURGE = 1;
 
-/** A version of a service is rolled out; operators pause it, let it go on, and may take it back. */
+/** Rolls out a new version of a service, which operators pause, resume and may roll back. */
 class RolloutUnderFaults {
   private readonly checker: RolloutChecker;
   private from: string | null = null;
@@ -340,7 +342,7 @@
     this.from = await this.w.accept({ ...ROLLOUT_SERVICE, crate: 'v1' });
   }
 
-  /** In the background, while faults go on. */
+  /** Runs in the background during the faults. */
   async operate(): Promise<void> {
     const { w: cluster, random, from, next } = this;
     const request = { id: 'r', from, to: next.ref, ...SHORT_ROLLOUT };
@@ -360,7 +362,7 @@
     return rolloutApi(this.w, Math.floor(this.random.next() * this.w.nodes.length));
   }
 
-  /** It comes to its end, whatever happened; the user of the job that lost cancels that. */
+  /** Waits until the rollout has ended; the user of the replaced job then cancels it. */
   async finish(): Promise<void> {
     const { w: cluster, from, next } = this;
     const phase = (): string => rolloutStatus(cluster, 'r')?.phase ?? '';
@@ -393,19 +395,19 @@
   { readyMs: 500, latencyMs: () => 100, errorRate: 0.2 },
 ];
 
-/** What goes on beside the faults. */
+/** What runs beside the faults. */
 export interface SearchOptions {
-  /** Shares are moved all the while. */
+  /** Quotas are transferred throughout. */
   quotaTransfers?: boolean;
-  /** A version is rolled out. */
+  /** A new version is rolled out. */
   rollout?: boolean;
-  /** Five controllers in three zones with slow reports, in place of the sample's. */
+  /** Uses five controllers in three zones with infrequent heartbeats instead of the sample. */
   threeZones?: boolean;
-  /** Is told of the simulation before anything happens in it. */
+  /** Receives the simulation before it starts. */
   observe?(cluster: SimulatedCluster): void;
 }
 
-/** Plays one short simulation; throws what went wrong, with its plan. */
+/** Runs one short simulation; an error names the planned faults and what went wrong. */
 export async function simulateSeed(
   seed: number,
   {
@@ -442,7 +444,7 @@
     await cluster.until(
       () => over,
       FAULTS_END_SECONDS + 3 * RECURRENCE_SECONDS,
-      'troubles are over',
+      'all faults are over',
     );
     await cluster.pass(random.between(0, LEASE_SECONDS));
     if (rollout) {
@@ -451,11 +453,15 @@
     }
     await cluster.settle(SETTLE_SECONDS);
     if (withTransfers)
-      await cluster.until(() => allTransfersSettled(cluster), SETTLE_SECONDS, 'all moves are over');
+      await cluster.until(
+        () => allTransfersSettled(cluster),
+        SETTLE_SECONDS,
+        'all quota transfers are settled',
+      );
     await cluster.close();
     rollout?.check();
   } catch (error) {
-    // A broken rule says more than what it led to.
+    // A rule violation says more than the error that followed from it.
     const broken = await cluster.close().catch((error: unknown) => `${String(error)}; `);
     throw new Error(describeFailure(seed, plannedFaults, `${broken ?? ''}${String(error)}`), {
       cause: error,
@@ -463,7 +469,7 @@
   }
 }
 
-/** A machine boots, and what waited for it runs. */
+/** Enough for a machine to boot and for the jobs that wait for it to run. */
 const SETTLE_SECONDS = 150;
 
 function describeFailure(seed: number, faults: PlannedFault[], message: string): string {
--- a/test/fakes/faults.ts
+++ b/test/fakes/faults.ts
@@ -5,30 +5,30 @@
 
 type DirectCommand = Parameters<FakeWorker['direct']>[0];
 
-/** When copies of heartbeats arrive again: from 2 s to well over a lease later. */
+/** The delay of copies of heartbeats: from 2 s to well over a lease. */
 const COPY_DELAY_MS = [2000, 18_000] as const;
-/** When transactions without an answer are carried out. */
+/** The delay after which late transactions are applied. */
 const WRITE_DELAY_MS = [2000, 12_000] as const;
-/** For how long direct commands are held up. */
+/** The delay of late direct commands. */
 const COMMAND_DELAY_MS = [2000, 16_000] as const;
-/** The pauses after a leader became leader between which heartbeats kept for it arrive. */
+/** The pauses between the replays of kept heartbeats to a new leader. */
 const REPLAY_PAUSES_MS = [5, 10, 10, 20, 40, 100, 300];
 
-/** What a share of something meets; 0: none of it. */
+/** The fraction of requests that each fault affects; 0 means none. */
 interface FaultShares {
-  /** Transactions that get no answer and are carried out seconds later. */
+  /** Transactions that get no response and are applied seconds later. */
   lateWrites: number;
-  /** Transactions that are carried out at once and whose answers are lost. */
+  /** Transactions that are applied at once and whose responses are lost. */
   lostAnswers: number;
-  /** Reports of which a copy arrives again later. */
+  /** Heartbeats of which a copy arrives later. */
   lateReports: number;
-  /** Reports of which a copy is kept for the next leader. */
+  /** Heartbeats of which a copy is kept for the next leader. */
   reportsForNext: number;
-  /** Direct commands that are held up, unanswered, and carried out once. */
+  /** Direct commands that get no response and are executed once, later. */
   lateCommands: number;
 }
 
-/** A request of a controller to the store. */
+/** A request from a controller to the store. */
 export interface StoreRequest {
   node: number;
   method: string;
@@ -37,8 +37,8 @@
 }
 
 /**
- * The faults that scenarios are told in. All of them begin when they are called and last until
- * `over`, unless they say for how long.
+ * The faults that scenarios inject. Each starts when its method is called and lasts until `over`,
+ * unless the method takes a duration.
  */
 export class Faults {
   readonly share: FaultShares = {
@@ -48,10 +48,10 @@
     reportsForNext: 0,
     lateCommands: 0,
   };
-  /** Copies of reports go to all controllers, not only to where the report went. */
+  /** Sends late copies of heartbeats to all controllers, not only to the first receiver. */
   copiesEverywhere = false;
   private keptReports: object[] = [];
-  /** What else may become of requests to the store; the first that is not `serve` counts. */
+  /** Further faults of store requests; the first result other than `serve` applies. */
   readonly storeFaults = new Set<(request: StoreRequest) => Fate>();
 
   constructor(private readonly cluster: SimulatedCluster) {
@@ -62,17 +62,17 @@
 
   // ---- the state service
 
-  /** It is down for everybody. */
+  /** Makes the store unavailable to all controllers. */
   outage(): void {
     this.cluster.store.down = true;
   }
 
-  /** It serves again after an outage. */
+  /** Ends a store outage. */
   outageOver(): void {
     this.cluster.store.restore();
   }
 
-  /** It refuses one controller alone. */
+  /** Makes the store refuse the requests of one controller. */
   refuse(node: number): void {
     this.cluster.nodes[node]!.fate = () => 'refuse';
   }
@@ -81,7 +81,7 @@
     this.cluster.nodes[node]!.fate = () => 'serve';
   }
 
-  /** The fate of a request that nothing else has decided. */
+  /** The outcome of a store request for which the controller has no fault of its own. */
   storeOutcome(node: number, method: string, path: string, body: unknown): Fate {
     for (const fault of this.storeFaults) {
       const outcome = fault({ node, method, path, body });
@@ -98,48 +98,48 @@
 
   // ---- controllers
 
-  /** A controller loses the store and the other controllers, not its workers and users. */
+  /** Cuts a controller off from the store and its peers, not from workers and users. */
   isolate(node: number): void {
     this.refuse(node);
     this.cluster.wire.cut.add(this.cluster.nodes[node]!.name);
   }
 
-  /** It reaches all again. */
+  /** Ends the isolation of a controller. */
   rejoin(node: number): void {
     this.serve(node);
     this.cluster.wire.cut.delete(this.cluster.nodes[node]!.name);
   }
 
-  /** Controllers refuse each other's connections. */
+  /** Cuts all connections between controllers. */
   refusePeers(): void {
     for (const node of this.cluster.nodes) this.cluster.wire.cut.add(node.name);
   }
 
-  /** Messages of these kinds get lost between controllers. */
+  /** Loses messages of these kinds between controllers. */
   loseMessages(...kinds: PeerMessage['kind'][]): void {
     this.cluster.wire.loses = (_from, _to, message) => kinds.includes(message.kind);
   }
 
-  /** A controller's answers to users and workers are held up. */
+  /** Delays a controller's responses to users and workers. */
   holdAnswers(node: number, ms: number): void {
     this.cluster.nodes[node]!.heldMs = ms;
   }
 
-  /** A controller ends and comes back after so many seconds. */
+  /** Kills a controller and starts it again after `afterS` seconds. */
   async restart(node: number, afterS: number): Promise<void> {
     this.cluster.crash(node);
     await this.cluster.pass(afterS);
     this.cluster.restart(node);
   }
 
-  /** All controllers end at once and come back after so many seconds. */
+  /** Kills all controllers at once and starts them again after `afterS` seconds. */
   async restartAll(afterS: number): Promise<void> {
     for (const [i] of this.cluster.nodes.entries()) this.cluster.crash(i);
     await this.cluster.pass(afterS);
     for (const [i] of this.cluster.nodes.entries()) this.cluster.restart(i);
   }
 
-  /** The leader ends and comes back a little later; answers which it was. */
+  /** Kills the leader and starts it again after `backAfterS` seconds; returns its index. */
   async endLeader(backAfterS: number): Promise<number> {
     const { leader } = this.cluster;
     if (leader >= 0) await this.restart(leader, backAfterS);
@@ -148,7 +148,7 @@
 
   // ---- machines
 
-  /** Machines hang, and go on after so many seconds. */
+  /** Makes machines hang for `seconds`. */
   hang(workers: FakeWorker[], seconds: number): void {
     for (const worker of workers) worker.hung = true;
     void this.cluster.clock.sleep(seconds * 1000).then(() => {
@@ -156,22 +156,22 @@
     });
   }
 
-  /** Machines reach nobody and nobody reaches them. */
+  /** Cuts machines off in both directions. */
   cutOff(workers: FakeWorker[]): void {
     for (const worker of workers) worker.mute = worker.deaf = true;
   }
 
-  /** The reports of these machines arrive; answers and direct commands get lost. */
+  /** Loses responses and direct commands to these machines; their heartbeats arrive. */
   deafen(workers: FakeWorker[]): void {
     for (const worker of workers) worker.deaf = true;
   }
 
-  /** These machines reach no controller, while direct commands reach them. */
+  /** Loses the heartbeats of these machines; direct commands reach them. */
   mute(workers: FakeWorker[]): void {
     for (const worker of workers) worker.mute = true;
   }
 
-  /** A direct command's way to a worker; null: no answer. */
+  /** Delivers a direct command to a worker; null means no response. */
   async direct(
     worker: FakeWorker,
     command: DirectCommand,
@@ -186,9 +186,9 @@
     return null;
   }
 
-  // ---- reports that come again
+  // ---- repeated heartbeats
 
-  /** Makes the copies of a heartbeat that has just been sent. */
+  /** Creates the copies of a heartbeat that has just been sent, as the fault shares say. */
   copyReport(node: number, report: object): void {
     const { lateReports, reportsForNext } = this.share;
     const { clock, random } = this.cluster;
@@ -202,7 +202,7 @@
     });
   }
 
-  /** A copy of a heartbeat reaches every controller now. */
+  /** Delivers a copy of a heartbeat to every controller now. */
   everywhere(report: object): void {
     for (const [i] of this.cluster.nodes.entries()) this.deliver(i, report);
   }
@@ -211,7 +211,7 @@
     void this.cluster.deliver(node, report).catch(() => undefined);
   }
 
-  /** What was kept arrives, the oldest first, again and again while the leader finds its way. */
+  /** Delivers the kept heartbeats, oldest first, several times while the new leader takes over. */
   private async replayToNewLeader(): Promise<void> {
     const kept = this.keptReports.splice(0);
     for (const ms of REPLAY_PAUSES_MS) {
@@ -220,14 +220,14 @@
     }
   }
 
-  /** Keeps copies of reports for the next leader, which gets them first of all. */
+  /** Keeps copies of heartbeats for the next leader, which gets them before any others. */
   keepForNext(reports: object[]): void {
     this.keptReports.push(...reports);
   }
 
   // ---- the end of all faults
 
-  /** Everything is as it should be again; what has been sent may still arrive. */
+  /** Ends all faults; messages that are already on their way may still arrive. */
   over(): void {
     const { cluster } = this;
     if (cluster.store.down) cluster.store.restore();
--- a/test/fakes/job-factory.ts
+++ b/test/fakes/job-factory.ts
@@ -15,19 +15,19 @@
   hulls?: string[];
   vcpus?: number;
   waitsOn?: string[];
-  /** How often its tasks are ready to be saved, and how long that takes. */
+  /** The checkpoint interval of its tasks, and the time that saving takes. */
   snapshotEveryS?: number;
   stowS?: number;
   /** The image of its tasks. */
   crate?: string;
-  /** It has a mistake: its tasks fail on every machine after running for so long. */
+  /** The job is broken: its tasks fail on every machine after running for this long. */
   failsAfterMs?: number;
 }
 
-/** Makes submissions, and remembers what is true of their jobs. */
+/** Creates submissions, and records how the fake workers run their jobs. */
 export class JobFactory {
   readonly facts = new Map<string, JobFacts>();
-  /** The jobs that each job needs. */
+  /** The dependencies of each job. */
   readonly needs = new Map<string, string[]>();
   /** The image of each job. */
   readonly images = new Map<string, string>();
@@ -72,7 +72,7 @@
     return { ref, body };
   }
 
-  /** What was wished for under this id. */
+  /** Returns the submission that was created with this id. */
   created(ref: string): { ref: string; body: object } {
     return { ref, body: this.bodies.get(ref)! };
   }
--- a/test/fakes/job-request.ts
+++ b/test/fakes/job-request.ts
@@ -1,4 +1,4 @@
-/** A submission as the protocol describes it, read without the help of the code under test. */
+/** A submission as the protocol defines it, parsed independently of the code under test. */
 export interface JobRequest {
   crew: string;
   shape: 'array' | 'gang' | 'service';
@@ -19,7 +19,7 @@
   gpus: number;
 }
 
-/** What can be rented, and what teams may use. */
+/** The machine types that can be rented, and the limits of the teams. */
 export interface FleetLimits {
   types: Map<string, { room: Amounts & { memoryGb: number }; zones: string[] }>;
   teams: Map<string, Amounts>;
@@ -38,7 +38,7 @@
   (v: unknown): boolean =>
     names.includes(v as string);
 
-/** What each field of a submission must look like. */
+/** The validity check of each field of a submission. */
 const FIELDS: Record<string, (v: unknown) => boolean> = {
   ref: (v) => typeof v === 'string' && /^req-\d+$/.test(v),
   lane: isText,
@@ -63,7 +63,7 @@
   waitsOn: orNull(isTextList),
 };
 
-/** Why a body is malformed; null if it is not. */
+/** Why a body is malformed; null if it is well formed. */
 function malformedReason(body: unknown): string | null {
   if (typeof body !== 'object' || body === null || Array.isArray(body)) return 'not an object';
   for (const [name, isValid] of Object.entries(FIELDS)) {
@@ -72,7 +72,7 @@
   return null;
 }
 
-/** The job that a body describes; null if it is malformed. */
+/** Parses the body of a submission; null if it is malformed. */
 export function jobRequestOf(body: unknown): JobRequest | null {
   if (malformedReason(body) !== null) return null;
   const request = body as Partial<JobRequest>;
@@ -84,7 +84,7 @@
   };
 }
 
-/** Why a submission must not be accepted; null if it must. */
+/** Why a submission must be rejected; null if it must be accepted. */
 export function rejectionReason(body: unknown, fleet: FleetLimits): string | null {
   const malformed = malformedReason(body);
   const request = jobRequestOf(body);
--- a/test/fakes/loopback.ts
+++ b/test/fakes/loopback.ts
@@ -20,13 +20,13 @@
 const REPORT_MS = 1000;
 const HOST = '127.0.0.1';
 
-/** What the operators' file switches on, beside the listener. */
+/** The default content of the operators' settings file, beside the listener. */
 const QUOTA_TRANSFERS_ENABLED = '<shares><enabled>yes</enabled></shares>';
 
-/** A probe's path: job, task and attempt. */
+/** The path of a probe: job, task and attempt. */
 const PROBE_PATH = /^\/replicas\/([^/]+)\/(\d+)\/(\d+)$/;
 
-/** Longer than any watch of the store may wait. */
+/** Longer than any watch request to the store may wait. */
 const STORE_TIMEOUT_MS = 30_000;
 
 export interface LoopbackTeam {
@@ -35,10 +35,10 @@
   gpusMax: number;
 }
 
-/** The program of this tree, as the tests compile it. */
+/** The controller program of this tree, as compiled for the tests. */
 const OWN_PROGRAM = new URL('../../src/main.js', import.meta.url).pathname;
 
-/** The program of a checkout, as its deploy file builds it. */
+/** The path of a checkout's controller program, as its deploy file builds it. */
 export const programPath = (checkout: string): string => join(checkout, 'target', 'main.cjs');
 
 export interface ControllerProcess {
@@ -46,19 +46,19 @@
   address: string;
   peerAddress: string;
   operatorsAddress: string;
-  /** What it runs when it is started next. */
+  /** The program that the next start runs. */
   program: string;
   child: ChildProcess | null;
 }
 
 export interface LoopbackOptions {
-  /** Lines of the log of all processes at level `warn` and above; without it errors go to this process's output. */
+  /** Receives log lines of all processes from level `warn` on; without it errors go to stderr. */
   onLogLine?: (controller: ControllerProcess, line: string) => void;
 }
 
 /**
- * A small fleet of real processes: controllers as operators start them, over TCP, with this
- * repository's fakes for the state service, the cloud and the workers, in real time.
+ * A small fleet in real time: controllers run as separate processes and talk over TCP to the fakes
+ * of the state service, the cloud and the workers in this process.
  */
 export class Loopback {
   readonly store = new FakeStore(systemClock);
@@ -83,16 +83,19 @@
   constructor(
     private readonly machines: number,
     private readonly teams: readonly LoopbackTeam[],
-    /** What the operators' file switches on. */
+    /** The content of the operators' settings file, beside the listener. */
     private readonly operatorSettings = QUOTA_TRANSFERS_ENABLED,
     private readonly options: LoopbackOptions = {},
   ) {
     this.cloud.capacity = machines;
-    // Every worker and fake listens to it.
+    // Every worker and fake adds a listener; more than ten would cause a warning.
     setMaxListeners(0, this.closed.signal);
   }
 
-  /** Starts everything. `programs`: what each controller runs, without it this tree's; null: it is not started yet. */
+  /**
+   * Starts the fleet. `programs` gives the program of each controller, by default that of this
+   * tree; a controller with null is not started yet.
+   */
   async start(controllers: number, programs?: readonly (string | null)[]): Promise<void> {
     const state = await this.serve(this.store.link(() => 'serve'));
     const cloud = await this.serve(this.cloud.link());
@@ -120,7 +123,7 @@
     for (let i = 0; i < this.machines; i++) await this.addWorker(i % 2 ? 'b' : 'a');
   }
 
-  /** One fake behind HTTP; answers its address. */
+  /** Serves one fake over HTTP and returns its address. */
   private async serve(service: Transport): Promise<string> {
     const server = createServer((request, response) => {
       const parts: Buffer[] = [];
@@ -197,7 +200,7 @@
     );
   }
 
-  /** Starts a process, also one that was killed. */
+  /** Starts a controller process, or restarts a killed one. */
   spawn(controller: ControllerProcess): void {
     const { onLogLine } = this.options;
     const files = [this.file(`${controller.name}.toml`), this.file(`${controller.name}.xml`)];
@@ -258,7 +261,7 @@
     return { status: 200, body: answer };
   }
 
-  /** A machine stops with all that is on it. */
+  /** Stops a machine and its tasks. */
   die(worker: FakeWorker): void {
     worker.dead = true;
     this.cloud.hosts.delete(worker.id);
@@ -267,7 +270,7 @@
     server.closeAllConnections();
   }
 
-  /** The tasks of a job that are on machines now. */
+  /** The number of running tasks of a job. */
   on(ref: string): number {
     let tasks = 0;
     for (const { pieces, dead } of this.workers) {
@@ -277,7 +280,7 @@
     return tasks;
   }
 
-  /** One request of a user to one controller; null: no answer. */
+  /** Sends one user request to one controller; null means no response. */
   request(
     node: number,
     method: 'GET' | 'POST',
@@ -289,12 +292,12 @@
     );
   }
 
-  /** A user submits at one controller, and at the next while one does not serve. */
+  /** Submits a job, at one controller after another until one accepts it. */
   submit(template: JobTemplate, first = 0): Promise<string> {
     return this.submitWished(this.wishes.create(template), first);
   }
 
-  /** The same of a job that was wished for before. */
+  /** Like `submit`, for a submission that was created before. */
   async submitWished({ ref, body }: { ref: string; body: object }, first = 0): Promise<string> {
     for (let i = first; !this.closed.signal.aborted; i++) {
       const to = this.controllerTransports[i % this.controllerTransports.length]!;
@@ -306,7 +309,7 @@
     throw new Error('the fleet is closed');
   }
 
-  /** An operator's command, with the addresses of all controllers. */
+  /** Runs an operator command with the addresses of all controllers. */
   async operate(part: CommandPart, ...words: string[]): Promise<{ code: number; said: string }> {
     const said: string[] = [];
     const print = (text: string): void => void said.push(text);
@@ -321,7 +324,7 @@
     return this.controllers.find(({ name }) => name === holder?.member);
   }
 
-  /** Ends a process as a crash would. */
+  /** Kills a process, as in a crash. */
   kill(controller: ControllerProcess): void {
     controller.child?.kill('SIGKILL');
     controller.child = null;
--- a/test/fakes/machines.ts
+++ b/test/fakes/machines.ts
@@ -3,15 +3,15 @@
 import type { MachineSeen, ObservedTask } from './rule-checker.js';
 import type { SimulatedCluster } from './simulated-cluster.js';
 
-/** The machines of a scenario, and what really is on them. */
+/** The machines of a scenario, and the tasks that are actually on them. */
 export class SimulatedMachines {
   readonly workers = new Map<string, FakeWorker>();
-  /** What runs on workers from the beginning, by machine. */
+  /** Tasks that workers already have when they start, by machine. */
   readonly initialTasks = new Map<string, FakeTask[]>();
 
   constructor(private readonly cluster: SimulatedCluster) {}
 
-  /** The machines that hold tasks of a job. */
+  /** The live machines with unfinished tasks of a job. */
   machinesWith(ref: string): FakeWorker[] {
     return [...this.workers.values()].filter(
       (worker) =>
@@ -19,7 +19,7 @@
     );
   }
 
-  /** The tasks of a job that are on machines now. */
+  /** The unfinished tasks of a job on live machines. */
   tasksOf(ref: string): FakeTask[] {
     return [...this.workers.values()]
       .filter((worker) => !worker.dead)
@@ -36,7 +36,7 @@
     if (worker) worker.dead = true;
   }
 
-  /** Machines that are up get their workers. */
+  /** Starts a worker on each machine as soon as it has booted. */
   async bootWorkers(signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
       for (const host of this.cluster.cloud.hosts.values()) {
@@ -95,7 +95,7 @@
   }
 }
 
-/** What really is on a machine. */
+/** The actual state of a machine. */
 export function observeMachine(worker: FakeWorker): MachineSeen {
   const tasks: ObservedTask[] = [];
   for (const { job, task, phase } of worker.expired ? [] : worker.pieces) {
--- a/test/fakes/model-servers.ts
+++ b/test/fakes/model-servers.ts
@@ -2,47 +2,47 @@
 import type { Replica, ReplicaProbe } from '@leverhatch/rollout';
 import type { FakeWorker, FakeTask } from './worker.js';
 
-/** How the replicas of one job serve. */
+/** How the replicas of one job behave. */
 export interface Model {
-  /** From when it runs until it answers; Infinity: it never does. */
+  /** The time from the start of a replica until it answers; Infinity means never. */
   readyMs: number;
-  /** The median latency, by how many replicas of its job serve beside it. */
+  /** The median latency, given the number of replicas of the job that serve. */
   latencyMs(serving: number): number;
-  /** Of its requests, the share that fails. */
+  /** The fraction of requests that fail. */
   errorRate: number;
 }
 
-/** What becomes of a probe. */
+/** The outcome of a probe. */
 export type ProbeFate = 'answer' | 'silence' | 'late' | 'malformed' | 'former attempt';
 
-/** The shape of every distribution of latencies, as multiples of its median. */
+/** The latency distribution of every model, as multiples of its median. */
 const LATENCY_MULTIPLES = [0.5, 0.6, 0.7, 0.8, 0.9, 1, 1.1, 1.3, 1.6, 2.2];
 
 const US_PER_MS = 1000;
 const HEALTHY_MODEL: Model = { readyMs: 500, latencyMs: () => 100, errorRate: 0 };
 
-/** For so long it is not counted again who shares them. */
+/** How long the count of serving replicas is cached. */
 const LOAD_CACHE_MS = 250;
 
-/** Where the fake model servers run: what the simulation knows of replicas. */
+/** What the model servers need to know about the simulation that they run in. */
 export interface ModelHost {
   now(): number;
   sleep(ms: number): Promise<void>;
-  /** The machine of that name; undefined: there is none. */
+  /** The worker of a machine; undefined if there is none. */
   worker(id: string): FakeWorker | undefined;
   workers(): Iterable<FakeWorker>;
   image(job: string): string;
 }
 
-/** Model servers beside the fake workers: they answer probes for the tasks that run there. */
+/** Fake model servers, which answer probes for the tasks that run on the fake workers. */
 export class ModelServers {
-  /** How the replicas of a job serve, where that is not well. */
+  /** The models of jobs that do not use the healthy default. */
   readonly models = new Map<string, Model>();
-  /** What becomes of probes; the first that is not `answer` counts. */
+  /** Faults of probes; the first result other than `answer` applies. */
   readonly faults = new Set<(replica: Replica) => ProbeFate>();
-  /** Probes that were sent. */
+  /** The number of probes sent. */
   probesSent = 0;
-  /** Requests of users to all replicas together. */
+  /** User requests per second over all replicas. */
   requestsPerSecond = 400;
   private readonly answeredAt = new Map<string, number>();
   private load = { at: -Infinity, byJob: new Map<string, number>() };
@@ -53,13 +53,13 @@
     return this.models.get(job) ?? HEALTHY_MODEL;
   }
 
-  /** Whether requests of users to this replica are answered now. */
+  /** Whether this replica answers user requests now. */
   isServing(worker: FakeWorker, piece: FakeTask): boolean {
     if (worker.dead || worker.hung || worker.expired || piece.phase !== 'running') return false;
     return this.host.now() - piece.since >= this.modelOf(piece.job).readyMs;
   }
 
-  /** How many replicas of a job serve now. */
+  /** The number of replicas of a job that serve now. */
   serving(job: string): number {
     let count = 0;
     for (const worker of this.host.workers()) {
@@ -70,7 +70,7 @@
     return count;
   }
 
-  /** The way of one controller to the replicas. */
+  /** The probe that one controller uses, given which workers it can reach. */
   probe(reaches: (worker: FakeWorker) => boolean): ReplicaProbe {
     return {
       ask: async (replica, timeoutMs) => {
@@ -98,7 +98,7 @@
     return 'answer';
   }
 
-  /** What the model server says of the task that runs there under that number; null: nothing. */
+  /** The response of the model server of one task attempt; null means none. */
   answer(
     worker: FakeWorker,
     { job, task, attempt }: Pick<Replica, 'job' | 'task' | 'attempt'>,
@@ -121,7 +121,7 @@
     };
   }
 
-  /** How many replicas of each job serve, as it was counted lately. */
+  /** The number of serving replicas of each job, at most `LOAD_CACHE_MS` old. */
   private get cachedLoad(): ReadonlyMap<string, number> {
     const now = this.host.now();
     if (now - this.load.at < LOAD_CACHE_MS) return this.load.byJob;
--- a/test/fakes/nodes.ts
+++ b/test/fakes/nodes.ts
@@ -8,7 +8,7 @@
 import { FakeStore, type Fate } from './store.js';
 import { fakeRandom, settings } from './simulated-cluster.js';
 
-/** How long the nodes keep a user who submits or cancels, and one who asks. */
+/** How long the nodes hold a submission or cancellation, and a query. */
 export const SUBMIT_MS = 4000;
 export const POLL_MS = 1600;
 
@@ -20,14 +20,14 @@
   body: { when: { k: string }[]; then: { write?: string; value?: unknown }[] } | null;
 }
 
-/** Several nodes that answer users above one store, with no leader, workers or cloud. */
+/** Several nodes that answer users from one store, without a leader, workers or a cloud. */
 export class Nodes {
   readonly clock = new FakeClock();
   readonly store = new FakeStore(this.clock);
   readonly sent: SentRequest[] = [];
-  /** What happens to a request of a node on its way. */
+  /** Decides the outcome of a node's request to the store. */
   fate: (sent: SentRequest) => Fate = () => 'serve';
-  /** What the leader says of open jobs, and by how much timers are late. */
+  /** The number of open jobs that the leader reports, and the lag of timers. */
   openJobs = 0;
   lagMs = 0;
   private readonly apis: JobApi[] = [];
@@ -36,13 +36,13 @@
   constructor(
     count: number,
     private readonly limits: Partial<Settings['state']> = {},
-    /** How many controllers the settings name. */
+    /** The number of controllers in the settings. */
     private readonly size = settings().size,
   ) {
     for (let i = 0; i < count; i++) this.restart(i);
   }
 
-  /** The node begins anew, with nothing in memory. */
+  /** Restarts the node with empty memory. */
   restart(node: number): void {
     const sample = settings();
     const changed = { ...sample, size: this.size, state: { ...sample.state, ...this.limits } };
@@ -88,7 +88,7 @@
     return this.after(this.aborting(node, ref));
   }
 
-  /** The same without letting time pass. */
+  /** Like `submit`, without advancing the clock. */
   submitting(node: number, ref: string): Promise<ApiResponse> {
     return this.apis[node]!.submit({ ...BODY, ref });
   }
@@ -106,12 +106,12 @@
     return answer.status === 200 ? (answer.body as { phase: string }).phase : String(answer.status);
   }
 
-  /** Writes a job's record as a leader does when the job is over. */
+  /** Writes the record of an ended job, as a leader does. */
   finish(ref: string, phase: 'done' | 'cancelled'): void {
     this.put(`jobs/${ref}`, { w: 'leader', phase, tasks: 1 });
   }
 
-  /** Jobs of one task that are accepted and open. */
+  /** Stores records of accepted, open jobs with one task each. */
   acceptAll(refs: string[]): void {
     for (const ref of refs) this.put(`jobs/${ref}`, { w: 'w', phase: 'open', tasks: 1 });
   }
@@ -120,13 +120,13 @@
     this.store.write(key, value);
   }
 
-  /** The answer, and after how many milliseconds it came. */
-  async timed(response: Promise<ApiResponse>): Promise<ApiResponse & { afterMs: number }> {
+  /** Returns the response, and the milliseconds until it arrived. */
+  async timed(pending: Promise<ApiResponse>): Promise<ApiResponse & { afterMs: number }> {
     const from = this.clock.now();
-    let got: ApiResponse | null = null;
-    void response.then((a) => (got = a));
-    for (let ms = 0; got === null && ms < 10_000; ms += 10) await this.clock.advance(10);
-    return { ...got!, afterMs: this.clock.now() - from };
+    let response: ApiResponse | null = null;
+    void pending.then((a) => (response = a));
+    for (let ms = 0; response === null && ms < 10_000; ms += 10) await this.clock.advance(10);
+    return { ...response!, afterMs: this.clock.now() - from };
   }
 
   async after<T>(promise: Promise<T>): Promise<T> {
--- a/test/fakes/observe.ts
+++ b/test/fakes/observe.ts
@@ -1,10 +1,10 @@
 import type { SimulatedCluster } from './simulated-cluster.js';
 
-/** Whether a transaction writes a key that begins like this. */
+/** Whether a transaction writes a key with this prefix. */
 export const writes = (body: unknown, key: string): boolean =>
   JSON.stringify(body ?? null).includes(`"write":"${key}`);
 
-/** Lets time pass; answers the most tasks of a job that were on machines at once. */
+/** Advances the time; returns the highest number of a job's tasks on machines at once. */
 export async function mostOn(
   cluster: SimulatedCluster,
   job: string,
--- a/test/fakes/operators.ts
+++ b/test/fakes/operators.ts
@@ -3,10 +3,10 @@
 import type { Extension } from '../../src/control/extensions/extension.js';
 import type { SimulatedCluster } from './simulated-cluster.js';
 
-/** For so many seconds a controller may not serve. */
+/** The longest time for which a controller may be unavailable. */
 const MAX_WAIT_SECONDS = 60;
 
-/** A part of one controller; undefined: the controller is down, or has the part switched off. */
+/** An extension of one controller; undefined if it is disabled or the controller is down. */
 export function extensionOf<Part extends Extension>(
   cluster: SimulatedCluster,
   node: number,
@@ -16,7 +16,7 @@
   return extensions.find((extension): extension is Part => extension instanceof extensionClass);
 }
 
-/** The interface of a part, such that what operators ask and are answered there shows at its border. */
+/** Wraps the API of an extension, so that operators' requests and responses are traced. */
 export function traced<Api extends object>(cluster: SimulatedCluster, node: number, api: Api): Api {
   return new Proxy(api, {
     get: (target, name) => {
@@ -39,7 +39,7 @@
   });
 }
 
-/** Asks each second until the controller serves; `ask` answers undefined while it is down. */
+/** Retries every second until the controller serves; `ask` returns undefined while it is down. */
 export async function askUntilServed(
   cluster: SimulatedCluster,
   ask: () => Promise<ApiAnswer> | undefined,
@@ -50,5 +50,5 @@
     if (answer && answer.status !== 503) return answer;
     await cluster.pass(1);
   }
-  return assert.fail('never served');
+  return assert.fail('the controller never served the request');
 }
--- a/test/fakes/peer-transport.ts
+++ b/test/fakes/peer-transport.ts
@@ -4,41 +4,42 @@
 import type { FakeClock } from './clock.js';
 import { CURRENT, type FrameCodec } from './program.js';
 
-/** The version of frames that production read before the current ones. */
+/** The latest frame version that the previous production version reads. */
 const PREVIOUS_VERSION = 3;
 
-/** For how long a controller whose connection was closed is not heard. */
+/** How long no messages arrive over a closed connection until it is opened again. */
 const RECONNECT_MS = 1000;
 
 interface Endpoint {
   messages: Subject<{ from: string; message: PeerMessage }>;
   frames: FrameCodec;
-  /** Until when nothing comes from a peer, since a frame of it could not be read. */
+  /** Until when the connection from a peer is closed because of an unreadable frame. */
   closedUntil: Map<string, number>;
 }
 
-/** The wire between controllers: real frames, with a delay, and cuts. */
+/** The network between controllers: encoded frames, with delays, losses and cuts. */
 export class FakePeerNetwork {
   private readonly endpoints = new Map<string, Endpoint>();
+  /** Controllers that are cut off from all others. */
   readonly cut = new Set<string>();
-  /** Whether a message gets lost between two that are not cut off; none does unless a scenario says so. */
+  /** Whether a message is lost between controllers that are not cut off; by default none is. */
   loses: (from: string, to: string, message: PeerMessage) => boolean = () => false;
-  /** How long a message takes, in milliseconds. */
+  /** The delivery delay of a message in milliseconds. */
   delayMs: (from: string, to: string) => number = () => 2;
-  /** Resolves when a controller that stands still goes on; what is sent to it waits until then. */
+  /** Resolves when a frozen controller continues; messages to it wait until then. */
   waitWhileFrozen: (name: string) => Promise<void> = () => Promise.resolve();
-  /** A controller sends a frame. */
+  /** Called when a controller sends a frame. */
   onSend: (from: string, to: string, hex: string) => void = () => undefined;
   private readonly starts = new Map<string, number>();
-  /** When each controller last heard each other one; null: the connection has been closed. */
+  /** When each controller last received a message from each other one; null once closed. */
   private readonly lastHeard = new Map<string, number | null>();
-  /** Controllers of the version before, which close a connection that brings a later frame. */
+  /** Controllers of the previous version, which cannot read frames of a later version. */
   readonly previousVersion = new Set<string>();
   readonly unreadable: PeerMessage[] = [];
 
   constructor(
     private readonly clock: FakeClock,
-    /** Whether two controllers are in zones that cannot reach each other now. */
+    /** Whether two controllers are in zones that are partitioned from each other now. */
     private readonly separated: (from: string, to: string) => boolean = () => false,
   ) {}
 
@@ -60,7 +61,7 @@
         this.onSend(name, to, bytes.toString('hex'));
         void this.clock.sleep(this.delayMs(name, to)).then(async () => {
           await this.waitWhileFrozen(to);
-          // A message from an earlier life of the process does not come from this one.
+          // Messages that were sent before a restart of the sender are dropped.
           if (sender !== endpoint || this.cut.has(name) || this.cut.has(to)) return;
           if (this.separated(name, to) || this.loses(name, to, decodeAsCurrent(bytes))) return;
           if (this.previousVersion.has(to) && bytes.readUInt8(2) > PREVIOUS_VERSION) {
@@ -73,7 +74,7 @@
     };
   }
 
-  /** What cannot be read closes the connection that brought it; another is opened a little later. */
+  /** An unreadable frame closes its connection, which is opened again after `RECONNECT_MS`. */
   private receive(from: string, to: string, message: PeerMessage, bytes: Buffer): void {
     const endpoint = this.endpoints.get(to);
     const now = this.clock.now();
@@ -82,7 +83,7 @@
     try {
       messages = new endpoint.frames.Decoder().push(bytes);
     } catch (error) {
-      // This tree has to read what any version sends it.
+      // The current version must read the frames of every version.
       if (endpoint.frames === CURRENT.frames) throw error;
       this.unreadable.push(message);
       endpoint.closedUntil.set(from, now + RECONNECT_MS);
@@ -101,6 +102,6 @@
   }
 }
 
-/** A frame of any version, as this tree reads it. */
+/** Decodes a frame of any version with the codec of the current version. */
 const decodeAsCurrent = (bytes: Buffer): PeerMessage =>
   new CURRENT.frames.Decoder().push(bytes)[0]!;
--- a/test/fakes/persistent-users.ts
+++ b/test/fakes/persistent-users.ts
@@ -3,34 +3,34 @@
 import type { JobTemplate } from './job-factory.js';
 import type { SimulatedCluster } from './simulated-cluster.js';
 
-/** For how many jobs users ask at once. */
+/** The maximum number of requests per round of `keepAsking`. */
 const MAX_REQUESTS_PER_ROUND = 8;
 
-/** For how long users repeat a request, in milliseconds. */
+/** How long users retry a request. */
 export const RETRY_FOR_MS = 60_000;
 
-/** Users that repeat their requests, at any node, until they are answered. */
+/** Users that retry their requests, at any node, until they succeed. */
 export class PersistentUsers {
-  /** How many requests are being repeated now. */
+  /** The number of requests that are being retried. */
   private pendingRequests = 0;
 
   constructor(
     private readonly cluster: SimulatedCluster,
-    /** Ends with the scenario. */
+    /** Aborted at the end of the scenario. */
     private readonly closed: AbortSignal,
   ) {}
 
-  /** Some request has no final answer yet: what it asks for may still come about. */
+  /** Whether a request has no final response yet and may still take effect. */
   get busy(): boolean {
     return this.pendingRequests > 0;
   }
 
-  /** A user submits until the job is accepted. */
+  /** Retries a submission until the job is accepted. */
   submitUntilAccepted(template: JobTemplate): Promise<string> {
     return this.submitCreatedUntilAccepted(this.cluster.wish(template));
   }
 
-  /** The same of a job that has its id already. */
+  /** Like `submitUntilAccepted`, for a submission that was created before. */
   async submitCreatedUntilAccepted({ ref, body }: { ref: string; body: object }): Promise<string> {
     await this.retryCounted(
       () => this.cluster.user(this.anyNode()).submit(body),
@@ -40,7 +40,7 @@
     return ref;
   }
 
-  /** A user cancels until it is confirmed; answers what the job is called then. */
+  /** Retries a cancellation until it is confirmed; returns the phase in the response. */
   async cancelUntilConfirmed(ref: string, node?: number): Promise<string> {
     const request = (): Promise<ApiResponse> =>
       this.cluster.user(node ?? this.anyNode()).abort(ref);
@@ -48,7 +48,7 @@
     return (answer.body as { phase: string }).phase;
   }
 
-  /** Users ask at all nodes for a job, and submit it again, within milliseconds. */
+  /** Queries a job at all nodes, and submits it again, several times within milliseconds. */
   async queryEverywhere(ref: string): Promise<void> {
     for (const waitMs of [0, 2, 10, 50]) {
       await this.cluster.clock.sleep(waitMs);
@@ -60,7 +60,7 @@
     }
   }
 
-  /** Repeats a request every second as users do, for up to a minute. */
+  /** Retries a request every second for up to a minute, and counts it as pending meanwhile. */
   private async retryCounted(
     request: () => Promise<ApiResponse>,
     what: string,
@@ -94,7 +94,7 @@
     return Math.floor(this.cluster.random.next() * this.cluster.nodes.length);
   }
 
-  /** Users go on asking for jobs, at any node, and now and then submit one again. */
+  /** Keeps querying random jobs at random nodes, and sometimes submits one again. */
   async keepAsking(everyMs = 1500): Promise<void> {
     const { closed: signal } = this;
     while (!signal.aborted) {
--- a/test/fakes/ports.ts
+++ b/test/fakes/ports.ts
@@ -3,8 +3,8 @@
 const HOST = '127.0.0.1';
 
 /**
- * Blocks of ports below those that the system hands out by itself (32768 and up): a listener on
- * port 0, or a connection's own end, never takes one between its choice and its use.
+ * Blocks of ports below the system's ephemeral range (32768 and up), so that no listener on port 0
+ * and no outgoing connection takes a port between its choice and its use.
  */
 const FIRST_PORT = 20_000;
 const BLOCK_PORTS = 32;
@@ -26,8 +26,8 @@
 }
 
 /**
- * Ports for processes that start later. Whoever listens on the first port of a block owns the
- * block, so that test files that run beside each other never share one.
+ * Ports for processes that start later. The listener on the first port of a block owns the block,
+ * so that test files that run in parallel never share one.
  */
 export class PortBlock {
   private next = 1;
@@ -47,7 +47,7 @@
     throw new Error('no block of ports is free');
   }
 
-  /** The next port of the block that nobody else listens on. */
+  /** Returns the next free port of the block. */
   async port(): Promise<number> {
     while (this.next < BLOCK_PORTS) {
       const port = this.first + this.next++;
--- a/test/fakes/production.ts
+++ b/test/fakes/production.ts
@@ -2,13 +2,13 @@
 import type { FakeStore } from './store.js';
 
 /**
- * Samples of what the version in production writes (`production` in deploy/service.toml), made by
- * running it against its own fakes: an array of 150 tasks of which some are done, three replicas, a
- * running gang, a job that is done and one that is cancelled, a gang that holds the gate while
- * machines are on order, and the key of a zone delegate.
+ * A sample of the records that the production version writes (`production` in deploy/service.toml),
+ * recorded against its own fakes: an array of 150 tasks of which some are done, three replicas, a
+ * running gang, a done job and a cancelled one, a gang that holds the gate while its machines are
+ * being rented, and the key of a zone delegate.
  */
 interface StoreSample {
-  /** Time of day of the sample. */
+  /** The wall-clock time of the sample. */
   wall: number;
   keys: Record<string, { value: object; stamp: number }>;
   jobs: Record<'array' | 'service' | 'gang' | 'done' | 'cancelled' | 'waiting', string>;
@@ -30,7 +30,7 @@
 export const productionFrames = (): FrameSample[] =>
   readFixture('production-frames.json') as FrameSample[];
 
-/** Fills a store with the sample, without the leader key: its holder has ended. */
+/** Fills a store with the sample, except for the leader key, whose holder no longer runs. */
 export function fillFromProduction(store: FakeStore): StoreSample {
   const sample = productionStore();
   for (const [key, { value }] of Object.entries(sample.keys)) {
--- a/test/fakes/program.ts
+++ b/test/fakes/program.ts
@@ -10,22 +10,22 @@
 } from '../../src/wire/worker-heartbeat.js';
 import type { ReportResponse } from './worker.js';
 
-/** How a version writes and reads frames between controllers. */
+/** How a version encodes and decodes the frames between controllers. */
 export interface FrameCodec {
   encode(message: PeerMessage): Buffer;
   Decoder: new () => { push(chunk: Buffer): PeerMessage[] };
 }
 
-/** One version of the controller, as a scenario runs it: this tree's, or an earlier one. */
+/** A controller version that scenarios can run: that of this tree, or an earlier one. */
 export interface Program {
   readonly version: string;
   readonly frames: FrameCodec;
   create(settings: Settings, runtime: Runtime, dependencies: ControllerDependencies): Controller;
-  /** Answers a worker's report, from the bytes that arrive to those that leave. */
+  /** Parses a worker's heartbeat, passes it to the controller and encodes the response. */
   answerReport(controller: Controller, body: unknown): Promise<ReportResponse>;
 }
 
-/** The controller of this tree. */
+/** The controller version of this tree. */
 export const CURRENT: Program = {
   version: 'current',
   frames: { encode, Decoder },
--- a/test/fakes/quota-checker.ts
+++ b/test/fakes/quota-checker.ts
@@ -5,7 +5,7 @@
 import { askUntilServed, extensionOf, traced } from './operators.js';
 import type { SimulatedCluster } from './simulated-cluster.js';
 
-/** The machines of most tests of quota transfers: 64 GPUs in two zones. */
+/** The eight machines of most quota transfer tests: 64 GPUs in two zones. */
 export const EIGHT = [...machines('aaaa'), ...machines('bbbb')];
 
 interface Amounts {
@@ -13,7 +13,7 @@
   gpus: number;
 }
 
-/** What the checker reads of a transfer's record. */
+/** The fields of a transfer record that the checker reads. */
 interface TransferRecord {
   from: string;
   to: string;
@@ -22,22 +22,22 @@
   phase: string;
 }
 
-/** Phases in which what was passed on counts for the receiver. */
+/** Phases in which the passed quota counts for the receiver. */
 const PHASES_HELD_BY_RECEIVER = ['draining', 'lent', 'done', 'returning'];
 
 /**
- * Checks quotas by what the workers run: no team may use more than the limit of the settings, less what the
- * store says it has passed on, plus what was passed to it. It has no code in common with the package, and sets
- * the limits by which the rule `quota` is checked at every step.
+ * Sets the team limits by which the rule `quota` is checked against the workers' tasks at every
+ * step: the limit of the settings, less the quota that the stored transfers have passed on, plus
+ * the quota passed to the team. It shares no code with the package under test.
  */
 export class QuotaChecker {
-  /** How often the manifest was written. */
+  /** The number of writes of the manifest. */
   changes = 0;
 
   constructor(private readonly cluster: SimulatedCluster) {
-    const before = cluster.store.onWrite;
+    const previousOnWrite = cluster.store.onWrite;
     cluster.store.onWrite = (key) => {
-      before(key);
+      previousOnWrite(key);
       if (!key.startsWith('shares/')) return;
       if (key === 'shares/head') this.changes++;
       this.updateTeamLimits();
@@ -60,7 +60,7 @@
   }
 }
 
-/** Enables quota transfers at all controllers that start from now on. */
+/** Enables quota transfers in all controllers that start from now on. */
 export function withQuotaTransfers(
   cluster: SimulatedCluster,
   policy: shares.Policy | null = null,
@@ -74,7 +74,7 @@
   return new QuotaChecker(cluster);
 }
 
-/** The operators' interface of one controller; undefined: it is down, or has quota transfers disabled. */
+/** The quota transfer API of a controller; undefined if it is down or has transfers disabled. */
 export function quotaTransferApi(
   cluster: SimulatedCluster,
   node: number,
@@ -83,7 +83,7 @@
   return api && traced(cluster, node, api);
 }
 
-/** Asks one controller, and again while it does not serve. */
+/** Sends a request to one controller, and retries while it does not serve. */
 export function askQuotaTransfers(
   cluster: SimulatedCluster,
   node: number,
--- a/test/fakes/random.ts
+++ b/test/fakes/random.ts
@@ -1,6 +1,6 @@
 import type { Random } from '@leverhatch/core/random';
 
-/** A reproducible source of numbers in [0, 1): mulberry32. */
+/** A seeded generator of numbers in [0, 1), by the mulberry32 algorithm. */
 export class SeededRandom {
   constructor(private state: number) {}
 
@@ -11,7 +11,7 @@
     return ((mixed ^ (mixed >>> 14)) >>> 0) / 2 ** 32;
   }
 
-  /** A number from `low` up to, not including, `high`. */
+  /** A number in [low, high). */
   between(low: number, high: number): number {
     return low + (high - low) * this.next();
   }
@@ -21,7 +21,7 @@
   }
 }
 
-/** Numbers and names as one process draws them; the same ones for the same name and seed. */
+/** The random source of one process, reproducible for the same name and seed. */
 export function fakeRandom(name: string, seed = 0): Random {
   let count = seed;
   return { next: () => ((count * 7919 + 13) % 1000) / 1000, unique: () => `${name}-${++count}` };
--- a/test/fakes/released-samples.ts
+++ b/test/fakes/released-samples.ts
@@ -3,15 +3,16 @@
 import type { FakeStore } from './store.js';
 
 /**
- * Samples of what 104c759 writes, made by running it against its own fakes with smaller limits
- * announced: once with a second controller that has written no member record (`before`: run records
- * are indexed), once with both (`after`: they are ranged). In each: an array of 150 tasks of which 20
- * are done, three replicas, a running gang, a job that is done and one that is cancelled, a gang that
- * waits for some of these, a job whose list of dependencies has pieces of its own, a job cancelled
- * with the one it named, a gang that waits for machines on order, and the key of a zone delegate.
+ * Samples of the records that 104c759 writes, recorded against its own fakes with smaller limits
+ * announced: `before`, where the second controller has written no member record and run records are
+ * indexed, and `after`, where both have and run records are ranged. Each has an array of 150 tasks
+ * of which 20 are done, three replicas, a running gang, a done job and a cancelled one, a gang that
+ * depends on some of these, a job whose dependencies are stored in records of their own, a job that
+ * was cancelled with its dependency, a gang whose machines are being rented, and the key of a zone
+ * delegate.
  */
 export interface ReleasedSample {
-  /** Time of day of the sample. */
+  /** The wall-clock time of the sample. */
   wall: number;
   keys: Record<string, { value: object; stamp: number }>;
   jobs: Record<
@@ -27,7 +28,7 @@
     | 'waiting',
     string
   >;
-  /** Jobs that were done beforehand, all needed by `fanIn`, whose records the sample leaves out. */
+  /** Jobs done before the sample, dependencies of `fanIn`, whose records the sample leaves out. */
   beforehand: { first: string; count: number };
 }
 
@@ -37,7 +38,7 @@
   hex: string;
 }
 
-/** Kinds of messages by the names that earlier versions give them; the wire carries their numbers. */
+/** Message kinds by their names in earlier versions; the wire carries only their numbers. */
 const KINDS_OF_6FF30A8: Record<string, PeerMessage['kind']> = {
   beat: 'leaderHeartbeat',
   heartbeat: 'leaderHeartbeat',
@@ -53,7 +54,7 @@
   vouch: 'reinstatementVote',
 };
 
-/** 104c759 has no votes on reinstatement, and uses these names for queries of cancellations. */
+/** 104c759 has no reinstatement votes, and uses their names for cancellation queries. */
 export const KINDS_OF_104C759: Record<string, PeerMessage['kind']> = {
   ...KINDS_OF_6FF30A8,
   askVouch: 'cancellationsRequest',
@@ -68,7 +69,7 @@
   serves: 'available',
 };
 
-/** A message of an earlier version under the names that this tree gives its kind and fields. */
+/** Renames the kind and fields of an earlier version's message to the current names. */
 export function inCurrentNames(
   message: Record<string, unknown>,
   kinds = KINDS_OF_6FF30A8,
@@ -89,7 +90,7 @@
 export const releasedFrames = (): FrameSample[] =>
   readFixture('104c759-frames.json') as FrameSample[];
 
-/** Fills a store with a sample, without the leader key: its holder has ended. */
+/** Fills a store with a sample, except for the leader key, whose holder no longer runs. */
 export function fillFromReleased(store: FakeStore, sample: ReleasedSample): void {
   const { first, count } = sample.beforehand;
   const number = Number(first.slice('req-'.length));
--- a/test/fakes/released.ts
+++ b/test/fakes/released.ts
@@ -7,13 +7,13 @@
 import type { PeerMessage } from '../../src/peer/frames.js';
 import type { FrameCodec, Program } from './program.js';
 
-/** The versions from which an upgrade to this tree is supported, by commit. */
+/** The versions from which upgrades to this tree are supported, by commit. */
 export type Release = '78ff1b1' | '104c759';
 export const RELEASES: readonly Release[] = ['78ff1b1', '104c759'];
 
 /**
- * What the released constructors take. These types are frozen with the bundles: where this tree
- * renames something, the compiler shows that the adapter below has to map it.
+ * The parameters of the released constructors. These types are frozen with the bundles: when this
+ * tree renames a field, the compiler reports that the adapter below must map it.
  */
 interface ReleasedSettings {
   member: string;
@@ -79,7 +79,7 @@
 }
 
 interface ReleasedLinks {
-  /** The name of the wire between controllers in 78ff1b1, and in 104c759. */
+  /** The peer transport, named `mesh` in 78ff1b1 and `peerTransport` in 104c759. */
   mesh: ReleasedPeers;
   peerTransport: ReleasedPeers;
   store: Transport;
@@ -98,7 +98,7 @@
   run(signal: AbortSignal): Promise<void>;
   report(report: unknown): ReleasedOutcome | Promise<ReleasedOutcome>;
   ready(): boolean;
-  /** The interface of users in 78ff1b1, and in 104c759. */
+  /** The user API, named `desk` in 78ff1b1 and `jobApi` in 104c759. */
   desk?: ReleasedJobApi;
   jobApi?: ReleasedJobApi;
 }
@@ -107,7 +107,7 @@
   | { kind: 'orders'; token: number; orders: unknown[] }
   | { kind: 'elsewhere'; leader: string | null };
 
-/** What scripts/bundle-production.mjs exports of a version. */
+/** The exports of a bundle that scripts/bundle-production.mjs makes of a version. */
 interface Bundle extends FrameCodec {
   Controller: new (
     settings: ReleasedSettings,
@@ -122,7 +122,7 @@
   redirectAnswer(leader: string | null): object;
   parseJob(value: unknown): { spec?: object; at?: number } | null;
   parseRental(value: unknown): object | null;
-  /** What a leader makes of the run records that it reads; only of 104c759. */
+  /** How a leader restores jobs from run records; only in 104c759. */
   Job: new (id: string, spec: object, at: unknown, version: number, perRecord: number) => object;
   readRuns(
     entries: { key: string; value: unknown; version: number }[],
@@ -141,7 +141,7 @@
 const load = async (release: Release): Promise<Bundle> =>
   (await import(new URL(`${FIXTURES}controllers/${release}.mjs`, import.meta.url).href)) as Bundle;
 
-/** The modules of the released versions. */
+/** The bundles of the released versions. */
 export const BUNDLES: Record<Release, Bundle> = {
   '78ff1b1': await load('78ff1b1'),
   '104c759': await load('104c759'),
@@ -187,7 +187,7 @@
   };
 }
 
-/** The settings under the names that the released versions give them. */
+/** Maps the settings to the names that the released versions use. */
 function releasedSettings({ workers, objectives, ...settings }: Settings): ReleasedSettings {
   const { heartbeatIntervalMs, ...others } = workers;
   return {
@@ -210,7 +210,7 @@
   };
 }
 
-/** A bundle tells a request without an answer from other failures by a class of its own. */
+/** Maps the error for a missing response to the bundle's own error class. */
 function withBundleErrors(link: Transport, bundle: Bundle): Transport {
   return {
     request: async (...args): Promise<Reply> => {
@@ -223,7 +223,7 @@
   };
 }
 
-/** The released versions, as programs that scenarios can run. */
+/** The released versions as programs that scenarios can run. */
 export const RELEASED: Record<Release, Program> = {
   '78ff1b1': programOf('78ff1b1'),
   '104c759': programOf('104c759'),
--- a/test/fakes/rollout-checker.ts
+++ b/test/fakes/rollout-checker.ts
@@ -5,13 +5,13 @@
 import type { FakeWorker, FakeTask } from './worker.js';
 import type { SimulatedCluster } from './simulated-cluster.js';
 
-/** How replicas are probed in scenarios. */
+/** The default probe settings of scenarios. */
 export const PROBING = { intervalMs: 1000, perSecond: 200 };
 
-/** For so long after a fault nobody can know of it: a proof is fresh, and a stop is on its way. */
+/** How long a fault can go unnoticed, while readiness proofs are fresh and stops are under way. */
 const DETECTION_DELAY_MS = 5000;
 
-/** Of the records the checker reads only which jobs are meant, the level, and what was allowed. */
+/** The fields of a rollout's status record that the checker reads. */
 interface RolloutRecord {
   id: string;
   from: string;
@@ -20,7 +20,7 @@
   replicas: number;
 }
 
-/** Phases in which the level is held. */
+/** Phases in which the required number of replicas must serve. */
 const PHASES_WITH_REQUIRED_REPLICAS = new Set([
   'surging',
   'judging',
@@ -35,42 +35,43 @@
 }
 
 /**
- * Judges rollouts by what the fake workers and model servers do: at each moment as many replicas
- * serve as the level says, less what faults took; nothing is stopped that the level needs; and no more is
- * placed than the level and the surge. It shares no code with the package.
+ * Checks rollouts by the state of the fake workers and model servers: at least the required number
+ * of replicas serves at any time, less those lost to faults; no replica is stopped that is needed
+ * for that number; and no more replicas are placed than required plus surge. It shares no code with
+ * the package under test.
  */
 export class RolloutChecker {
   readonly broken = new Set<string>();
-  /** The least that served at any moment while a level was held, in all rollouts. */
+  /** The lowest number of serving replicas at any time during all rollouts. */
   lowest = Infinity;
   private readonly serving = new Map<string, ServingReplica>();
   private readonly started = new Set<string>();
   private readonly stopped = new Set<string>();
   private readonly faults: { at: number; job: string }[] = [];
-  /** Since when the level of a rollout is reached, by id. */
+  /** When the required number of replicas last served, by rollout. */
   private readonly reachedAt = new Map<string, number>();
 
   constructor(
     private readonly cluster: SimulatedCluster,
     private readonly models: ModelServers,
-    /** How many replicas may be placed beyond the level. */
+    /** How many replicas may be placed beyond the required number. */
     private readonly maxSurge: number,
   ) {
-    const before = cluster.onStopped;
+    const previousOnStopped = cluster.onStopped;
     cluster.onStopped = (worker, piece) => {
-      before(worker, piece);
+      previousOnStopped(worker, piece);
       this.onStopped(worker, piece);
     };
     cluster.observers.add(() => this.observeServing());
-    const written = cluster.store.onWrite;
+    const previousOnWrite = cluster.store.onWrite;
     cluster.store.onWrite = (key) => {
-      written(key);
+      previousOnWrite(key);
       if (key.startsWith('rollouts/status/'))
         this.onStatus(cluster.store.get(key) as RolloutRecord);
     };
   }
 
-  /** There is a level to hold from the first surge on, when all old replicas were proven. */
+  /** The required number applies from the first surge on, when all old replicas are proven. */
   private onStatus({ id, phase }: RolloutRecord): void {
     if (phase === 'surging') this.started.add(id);
   }
@@ -86,17 +87,17 @@
     return this.cluster.stored(job) !== 'open';
   }
 
-  /** A replica is told to stop: those that stay have to reach the level. */
+  /** Checks that enough replicas remain when one is told to stop. */
   private onStopped(worker: FakeWorker, piece: FakeTask): void {
     this.stopped.add(keyOf(worker, piece));
     const { job, task } = piece;
     const status = this.statuses().find(({ from, to }) => job === from || job === to);
-    // What is drained from a machine that goes away is lost to the machine.
+    // A replica that is drained from a machine about to be taken away counts as lost.
     if (!status || this.isCancelled(job) || worker.warningS !== null) return;
     const { from, to, replicas } = status;
     if (this.isCancelled(from) || this.isCancelled(to)) return;
     const remaining = this.models.serving(from) + this.models.serving(to);
-    // What was lost before that had to be known: it excuses no stop.
+    // Earlier losses had to be known by now and do not justify a stop.
     const lostToFaults = this.faultsSince(status, this.cluster.clock.now() - DETECTION_DELAY_MS);
     if (remaining >= replicas - lostToFaults) return;
     this.report(
@@ -104,7 +105,7 @@
     );
   }
 
-  /** Faults that are not made good yet, or that nobody can know of. */
+  /** Faults that are not repaired yet, or that may still be unnoticed. */
   private recentFaults(status: RolloutRecord): number {
     const now = this.cluster.clock.now();
     const reachedAt = this.reachedAt.get(status.id) ?? now;
@@ -158,7 +159,7 @@
 const keyOf = (worker: FakeWorker, { job, task, attempt }: FakeTask): string =>
   `${worker.id}#${worker.shift} ${job}/${task}/${attempt}`;
 
-/** Model servers beside the workers of a scenario, and rollouts switched on at controllers that start from now on. */
+/** Adds model servers to a cluster, and enables rollouts in controllers that start from now on. */
 export function withRollouts(cluster: SimulatedCluster, probing = PROBING): ModelServers {
   const models = new ModelServers({
     now: () => cluster.clock.now(),
@@ -177,7 +178,7 @@
   return models;
 }
 
-/** How operators ask one controller about rollouts; undefined: it is down, or has them switched off. */
+/** The rollout API of a controller; undefined if it is down or has rollouts disabled. */
 export function rolloutApi(
   cluster: SimulatedCluster,
   node: number,
@@ -186,7 +187,7 @@
   return api && traced(cluster, node, api);
 }
 
-/** The status that the record of a rollout says. */
+/** The status record of a rollout. */
 export const rolloutStatus = (
   cluster: SimulatedCluster,
   id: string,
--- a/test/fakes/rollout-scenario.ts
+++ b/test/fakes/rollout-scenario.ts
@@ -8,12 +8,12 @@
 import { RolloutChecker, rolloutApi, rolloutStatus, withRollouts } from './rollout-checker.js';
 import { SimulatedCluster, type JobTemplate, type MachineTemplate } from './simulated-cluster.js';
 
-/** Four machines with eight GPUs each: the two jobs have eight replicas of two GPUs, with room to spare. */
+/** Four machines with eight GPUs each, for two jobs of eight replicas with two GPUs each. */
 const MACHINES = machines('aabb');
 export const REPLICAS = 8;
 export const MAX_SURGE = 2;
 
-/** Short windows, so that scenarios are. */
+/** A rollout with short windows, which keeps scenarios short. */
 export const REQUEST = {
   id: 'r1',
   steps: [0.25, 1],
@@ -36,9 +36,9 @@
 export interface RolloutScenarioOptions {
   seed?: number;
   machines?: MachineTemplate[];
-  /** Changes the simulation before any controller starts. */
+  /** Prepares the cluster before any controller starts. */
   before?(cluster: SimulatedCluster): void;
-  /** What differs of both jobs. */
+  /** Overrides for the templates of both jobs. */
   wish?: JobTemplate;
 }
 
@@ -51,7 +51,7 @@
   urgency: 'production',
 };
 
-/** Asks one controller, and again while it does not serve. */
+/** Sends a request to one controller, and retries while it does not serve. */
 export function ask(
   cluster: SimulatedCluster,
   node: number,
@@ -78,7 +78,7 @@
 export const writesPhase = (body: unknown, phase: string): boolean =>
   writes(body, 'rollouts/status/') && JSON.stringify(body).includes(`"phase":"${phase}"`);
 
-/** Three controllers, and the old version on all machines. */
+/** Starts three controllers and the old version of the service. */
 export async function begin(options: RolloutScenarioOptions = {}): Promise<RolloutScenario> {
   const templates = options.machines ?? MACHINES;
   const simulatedCluster = new SimulatedCluster(templates, 3, options.seed ?? 0);
@@ -97,7 +97,7 @@
   return { w: simulatedCluster, models, checker, from, to: next.ref, next };
 }
 
-/** The rollout is asked for at one controller, then the new job is submitted. */
+/** Requests the rollout at one controller, then submits the new job. */
 export async function start(
   scenario: RolloutScenario,
   overrides: object = {},
@@ -111,7 +111,7 @@
   await submitNext(scenario);
 }
 
-/** The user of the new job submits it, again and again until it is accepted. */
+/** Submits the new job, with retries until it is accepted. */
 export async function submitNext({
   w: cluster,
   next,
@@ -119,12 +119,16 @@
   await cluster.drive(cluster.acceptingWished(next));
 }
 
-/** The user of the job that lost cancels it; everything else runs, and nothing was broken. */
+/** Cancels the losing job, and checks that all else runs and no check of the rollout failed. */
 export async function finish(scenario: RolloutScenario, winner: 'from' | 'to'): Promise<void> {
   const { w: cluster, checker } = scenario;
   const loser = winner === 'from' ? scenario.to : scenario.from;
   assert.equal(cluster.on(loser).length, 0, 'the losing version is gone');
-  assert.equal(cluster.stored(loser), 'open', 'its user has not cancelled it');
+  assert.equal(
+    cluster.stored(loser),
+    'open',
+    'the user of the losing version has not cancelled it yet',
+  );
   await cluster.cancel(loser);
   await cluster.settle();
   await cluster.close();
--- a/test/fakes/rule-checker.ts
+++ b/test/fakes/rule-checker.ts
@@ -20,9 +20,9 @@
 export type * from './rules/model.js';
 
 /**
- * All rules of the protocol, judged from outside: by what users were told at any node, and by what
- * really is on the machines. It knows nothing of the controllers' records. Each rule has a module in
- * `rules/`; what they are judged by is kept here.
+ * Checks all rules of the protocol as a black box: by the responses that users got from any node,
+ * and by the tasks that are actually on the machines, without the controllers' records. The rules
+ * are in the modules of `rules/`; this class passes observations to them.
  */
 export class RuleChecker {
   private readonly seen: ObservedState;
@@ -45,35 +45,35 @@
     return this.cancellation.startsAfterCancel;
   }
 
-  /** All faults are over from now on. */
+  /** Tells the checker that all faults are over. */
   calm(): void {
     this.seen.faultFreeSince = this.seen.now;
     for (const job of this.seen.jobHistories()) job.placeableSince = null;
   }
 
-  /** There is fault again. */
+  /** Tells the checker that there are faults again. */
   trouble(): void {
     this.seen.faultFreeSince = null;
   }
 
-  // ---- what users ask and are told
+  // ---- user requests and responses
 
   asked(action: Action, ref: string, node: string, body?: unknown): UserRequest {
     const request = { action, ref, node, sentAt: this.seen.now, answered: false };
     if (action === 'submit') this.submitted(ref, body);
     if (action === 'abort') {
       const job = this.seen.job(ref);
-      job.abortAskedAt = Math.min(job.abortAskedAt, this.seen.now);
+      job.cancelRequestedAt = Math.min(job.cancelRequestedAt, this.seen.now);
     }
     return request;
   }
 
   private submitted(ref: string, body: unknown): void {
     const job = this.seen.job(ref);
-    job.submitAskedAt = Math.min(job.submitAskedAt, this.seen.now);
+    job.firstSubmittedAt = Math.min(job.firstSubmittedAt, this.seen.now);
     const request = jobRequestOf(body);
     job.hasValidSubmission ||= rejectionReason(body, this.seen.options.fleet) === null;
-    // A repeat may say anything: what counts is the job as it was accepted.
+    // A repeated submission may differ; the job stays as it was accepted.
     if (request && job.acceptedAt === null) job.request = request;
   }
 
@@ -84,9 +84,9 @@
     this.answers.check(request, answer, body);
   }
 
-  // ---- what happens on machines
+  // ---- events on machines
 
-  /** A task has its image and is on its machine from now on. */
+  /** Called when a task has its image and so counts as on its machine. */
   started(machine: MachineSeen, job: string, task: number): void {
     const history = this.seen.job(job);
     const machines = this.seen.options.machines();
@@ -97,16 +97,16 @@
     this.cancellation.started(machine, history, task);
   }
 
-  /** A job that was accepted and done before the scenario began. */
+  /** Records a job that was accepted and done before the scenario started. */
   doneBefore(ref: string): void {
     const job = this.seen.job(ref);
-    job.submitAskedAt = -Infinity;
+    job.firstSubmittedAt = -Infinity;
     job.acceptedAt = -Infinity;
     job.final = { phase: 'done', at: -Infinity };
     job.doneBeforeStart = true;
   }
 
-  /** A task has completed; of a gang all do together. */
+  /** Called when a task has completed; all tasks of a gang complete together. */
   completed(job: string, task: number): void {
     const history = this.seen.job(job);
     const { request } = history;
@@ -115,9 +115,9 @@
     else history.completed.add(task);
   }
 
-  // ---- looked at again and again
+  // ---- repeated checks
 
-  /** Judges the present moment: called at every step of a scenario and at its end. */
+  /** Checks the current state; called at every step of a scenario and at its end. */
   check(): void {
     const machines = this.seen.options.machines();
     checkQuota(this.seen, machines);
--- a/test/fakes/rules/answers.ts
+++ b/test/fakes/rules/answers.ts
@@ -3,13 +3,13 @@
 import type { ObservedState } from './observed.js';
 
 /**
- * The rules on what users are told: `forgotten` (by an answer), `invented`, `not_done`, `went_back`,
+ * The rules on answers to users: `forgotten` (by an answer), `invented`, `not_done`, `went_back`,
  * `accepted_unsound`, `refused_sound` and `orphaned`.
  */
 export class AnswerRules {
   constructor(private readonly observed: ObservedState) {}
 
-  /** One answer of a node to one question, with the body that was submitted. */
+  /** Checks the answer of a node to one request, whose body is given for submissions. */
   check(request: UserRequest, answer: UserAnswer, body?: unknown): void {
     const job = this.observed.job(request.ref);
     if (answer.status === 404) this.checkUnknown(request, job);
@@ -47,7 +47,7 @@
     }
   }
 
-  /** All jobs that a submission names were accepted, as far as users were told. */
+  /** Whether users were told that all dependencies of a submission were accepted. */
   private dependenciesAccepted(body: unknown): boolean {
     return jobRequestOf(body)!.waitsOn.every((ref) => this.observed.job(ref).acceptedAt !== null);
   }
@@ -59,7 +59,7 @@
     body: unknown,
   ): void {
     const isFirstAnswer = job.acceptedAt === null;
-    if (job.submitAskedAt === Infinity) {
+    if (job.firstSubmittedAt === Infinity) {
       this.observed.report(
         'invented',
         `${request.action} ${request.ref} at ${request.node}: ${answer.phase}`,
@@ -67,12 +67,11 @@
       return;
     }
     if (isFirstAnswer && !job.hasValidSubmission) {
-      const reason =
-        rejectionReason(body, this.observed.options.fleet) ?? 'never soundly submitted';
+      const reason = rejectionReason(body, this.observed.options.fleet) ?? 'no valid submission';
       this.observed.report('accepted_unsound', `${request.ref} at ${request.node}: ${reason}`);
     }
     for (const other of isFirstAnswer ? this.observed.dependenciesOf(job) : []) {
-      if (other.submitAskedAt < Infinity) continue;
+      if (other.firstSubmittedAt < Infinity) continue;
       this.observed.report(
         'accepted_unsound',
         `${request.ref} at ${request.node}: nobody submitted ${other.ref}`,
@@ -105,11 +104,11 @@
     this.checkFinal(request, job, 'withdrawn');
   }
 
-  /** Its user cancelled it, or one that it needs. */
+  /** Whether a user cancelled the job or one of its dependencies. */
   private mayBeWithdrawn(job: JobHistory, visited: Set<string>): boolean {
     if (visited.has(job.ref)) return false;
     visited.add(job.ref);
-    if (job.abortAskedAt <= this.observed.now) return true;
+    if (job.cancelRequestedAt <= this.observed.now) return true;
     return this.observed.dependenciesOf(job).some((other) => this.mayBeWithdrawn(other, visited));
   }
 
@@ -124,7 +123,7 @@
   }
 
   private checkOpen(request: UserRequest, job: JobHistory, answer: UserAnswer): void {
-    // A question that was asked before may be answered after: only later ones show what is known.
+    // A request sent before the final answer may be answered after it; only later requests count.
     if (job.final && job.final.at <= request.sentAt) {
       this.observed.report(
         'went_back',
--- a/test/fakes/rules/cancellation.ts
+++ b/test/fakes/rules/cancellation.ts
@@ -1,7 +1,7 @@
 import type { JobHistory, LateStart, MachineSeen, ObservedTask } from './model.js';
 import type { ObservedState } from './observed.js';
 
-/** The rule `ran_cancelled`, and starts after a cancellation that do not break it yet. */
+/** The rule `ran_cancelled`; also records every start after a cancellation. */
 export class CancellationRule {
   readonly startsAfterCancel: LateStart[] = [];
 
@@ -18,14 +18,14 @@
     }
   }
 
-  /** A task that is on a machine. */
+  /** Checks a task that is on a machine. */
   check(machine: MachineSeen, task: ObservedTask): void {
     const since = this.cancelledAt(this.observed.job(task.job));
     if (since === null || this.observed.now - since <= this.observed.options.cancelMs) return;
     this.observed.report('ran_cancelled', `${task.job}/${task.task} still on ${machine.id}`);
   }
 
-  /** When a user was told that the job, or one that it needs, is cancelled. */
+  /** When a user was first told that the job or one of its dependencies is cancelled. */
   private cancelledAt(job: JobHistory): number | null {
     let first = job.final?.phase === 'withdrawn' ? job.final.at : Infinity;
     for (const { final } of this.observed.allDependenciesOf(job)) {
--- a/test/fakes/rules/model.ts
+++ b/test/fakes/rules/model.ts
@@ -1,4 +1,4 @@
-/** What the rules are judged by: what users say and are told, and what really is on the machines. */
+/** The observations that the rules check: user requests and answers, and the machines' tasks. */
 import type { FleetLimits, JobRequest } from '../job-request.js';
 
 export type TaskState = 'fetching' | 'gathering' | 'running' | 'flushing';
@@ -9,15 +9,15 @@
   state: TaskState;
 }
 
-/** One machine as it really is, whatever the controllers believe. */
+/** The actual state of a machine, which may differ from what the controllers assume. */
 export interface MachineSeen {
   id: string;
   type: string;
   zone: string;
   spot: boolean;
-  /** Its worker works, hears its answers and is not about to be taken away. */
+  /** Its worker runs, can communicate in both directions and is not about to be taken away. */
   usable: boolean;
-  /** All that has not ended, also on a machine that hangs or can't be reached. */
+  /** All tasks that have not ended, also on a machine that hangs or cannot be reached. */
   tasks: ObservedTask[];
 }
 
@@ -46,7 +46,7 @@
 
 export type Action = 'submit' | 'query' | 'abort';
 
-/** One request of a user, from when it was sent. */
+/** One request of a user. */
 export interface UserRequest {
   action: Action;
   ref: string;
@@ -55,7 +55,7 @@
   answered: boolean;
 }
 
-/** What a user got: `status` 0 stands for no answer in time or a connection that broke. */
+/** The answer that a user got; `status` 0 means no answer in time or a broken connection. */
 export interface UserAnswer {
   status: number;
   phase: string | null;
@@ -68,33 +68,33 @@
   machines(): MachineSeen[];
 }
 
-/** All that was seen of one job from outside. */
+/** All observations of one job. */
 export interface JobHistory {
   ref: string;
-  /** The first sound submission; null while there was none. */
+  /** The last well-formed submission until it was accepted; null if there was none. */
   request: JobRequest | null;
-  /** One of its submissions had to be accepted. */
+  /** Whether one of its submissions had to be accepted. */
   hasValidSubmission: boolean;
-  submitAskedAt: number;
-  abortAskedAt: number;
+  firstSubmittedAt: number;
+  cancelRequestedAt: number;
   acceptedAt: number | null;
   final: { phase: 'done' | 'withdrawn'; at: number } | null;
   readonly completed: Set<number>;
   doneBeforeStart: boolean;
-  /** Since when every question about it has failed; null while the last one was answered. */
+  /** Since when all requests for it have failed; null if the last one succeeded. */
   unansweredSince: number | null;
-  /** Since when it has waited beside room that fits. */
+  /** Since when it has waited although a task of it could be placed. */
   placeableSince: number | null;
 }
 
-/** A start after a cancellation was confirmed: not allowed, but within `cancel_s` not yet a breach. */
+/** A start after a confirmed cancellation; it violates the rule only after `cancel_s`. */
 export interface LateStart {
   task: string;
-  /** How long after the confirmation. */
+  /** The time since the confirmation. */
   afterMs: number;
 }
 
-/** All its tasks are done; a service never is. */
+/** Whether all tasks are done; a service is never complete. */
 export const isComplete = ({
   doneBeforeStart: doneBefore,
   request,
@@ -102,14 +102,14 @@
 }: JobHistory): boolean =>
   doneBefore || (!!request && request.shape !== 'service' && completed.size === request.pieces);
 
-/** A task counts from the moment it has its image. */
-export const hasImage = (t: ObservedTask): boolean => t.state !== 'fetching';
+/** A task counts as on its machine from the moment it has its image. */
+export const hasImage = (task: ObservedTask): boolean => task.state !== 'fetching';
 
 export const spreadLimit = (request: JobRequest): number => Math.ceil(request.pieces / 2);
 
-/** A task of it may be on such a machine. */
-export function allowsMachine(request: JobRequest, m: MachineSeen): boolean {
-  if (request.hulls !== null && !request.hulls.includes(m.type)) return false;
-  if (request.yard !== null && request.yard !== m.zone) return false;
-  return request.driftwood || !m.spot;
+/** Whether a job allows its tasks on a machine. */
+export function allowsMachine(request: JobRequest, machine: MachineSeen): boolean {
+  if (request.hulls !== null && !request.hulls.includes(machine.type)) return false;
+  if (request.yard !== null && request.yard !== machine.zone) return false;
+  return request.driftwood || !machine.spot;
 }
--- a/test/fakes/rules/observed.ts
+++ b/test/fakes/rules/observed.ts
@@ -8,10 +8,10 @@
   Violation,
 } from './model.js';
 
-/** All that was seen so far, and the breaches found in it. Every rule reads it, none changes another's. */
+/** All observations so far, which every rule reads, and the violations found in them. */
 export class ObservedState {
   readonly violations: Violation[] = [];
-  /** Since when there has been no fault; null while there is. */
+  /** Since when there have been no faults; null while there are. */
   faultFreeSince: number | null = null;
   private readonly jobs = new Map<string, JobHistory>();
   private readonly reported = new Set<string>();
@@ -22,13 +22,13 @@
     return this.options.now();
   }
 
-  /** All jobs that anybody has named. */
+  /** The histories of all jobs that any request or task has named. */
   jobHistories(): Iterable<JobHistory> {
     return this.jobs.values();
   }
 
-  /** As it was accepted or submitted last; null if it was never soundly submitted. */
-  private requestOf(ref: string): JobRequest | null {
+  /** The accepted, or else the last well-formed submission; null if there was none. */
+  private submissionOf(ref: string): JobRequest | null {
     return this.jobs.get(ref)?.request ?? null;
   }
 
@@ -39,8 +39,8 @@
         ref,
         request: null,
         hasValidSubmission: false,
-        submitAskedAt: Infinity,
-        abortAskedAt: Infinity,
+        firstSubmittedAt: Infinity,
+        cancelRequestedAt: Infinity,
         acceptedAt: null,
         final: null,
         completed: new Set(),
@@ -53,7 +53,7 @@
     return job;
   }
 
-  /** Each breach is told once, at its first moment. */
+  /** Records a violation; the same one is recorded only the first time. */
   report(rule: Rule, what: string): void {
     if (this.reported.has(`${rule} ${what}`)) return;
     this.reported.add(`${rule} ${what}`);
@@ -66,7 +66,7 @@
     return (job.request?.waitsOn ?? []).map((ref) => this.job(ref));
   }
 
-  /** All jobs that it needs, directly or through others. */
+  /** All direct and indirect dependencies of a job. */
   allDependenciesOf(job: JobHistory): readonly JobHistory[] {
     if (!job.request || job.request.waitsOn.length === 0) return NO_JOBS;
     const found = new Set<JobHistory>();
@@ -83,7 +83,7 @@
 
   // ---- machines
 
-  /** Which tasks of a job are in which zone. */
+  /** The tasks of a job in each zone, as far as `counts` includes them. */
   zonesOf(
     machines: MachineSeen[],
     job: string,
@@ -101,12 +101,12 @@
     return zones;
   }
 
-  /** What the teams' tasks take together, of those that count. */
+  /** The total resources of each team's tasks, as far as `counts` includes them. */
   usedByTeam(machines: MachineSeen[], counts: (t: ObservedTask) => boolean): Map<string, Amounts> {
     const teams = new Map<string, Amounts>();
     for (const machine of machines) {
       for (const task of machine.tasks) {
-        const request = this.requestOf(task.job);
+        const request = this.submissionOf(task.job);
         if (!request || !counts(task)) continue;
         const used = teams.get(request.crew) ?? { cpus: 0, gpus: 0 };
         used.cpus += request.vcpus;
@@ -117,11 +117,11 @@
     return teams;
   }
 
-  /** Below zero where the machine holds more than it has room for. */
-  freeCapacity(m: MachineSeen): { cpus: number; gpus: number; memoryGb: number } {
-    const free = { ...this.options.fleet.types.get(m.type)!.room };
-    for (const task of m.tasks) {
-      const request = this.requestOf(task.job);
+  /** The free capacity of a machine; negative if it is overcommitted. */
+  freeCapacity(machine: MachineSeen): { cpus: number; gpus: number; memoryGb: number } {
+    const free = { ...this.options.fleet.types.get(machine.type)!.room };
+    for (const task of machine.tasks) {
+      const request = this.submissionOf(task.job);
       if (!request) continue;
       free.cpus -= request.vcpus;
       free.gpus -= request.gpus;
--- a/test/fakes/rules/silence.ts
+++ b/test/fakes/rules/silence.ts
@@ -1,18 +1,18 @@
 import type { JobHistory, UserRequest, UserAnswer } from './model.js';
 import type { ObservedState } from './observed.js';
 
-/** For how long a job may have no answered question once all faults are over. */
+/** How long all requests for a job may fail once all faults are over. */
 const UNANSWERED_FAULT_FREE_MS = 75_000;
-/** The same while there are faults, if most questions about other jobs are answered. */
+/** The same while there are faults, if most requests for other jobs are answered. */
 const UNANSWERED_MS = 90_000;
 
-/** The rule `forgotten`, where it is broken by giving no answer. */
+/** The rule `forgotten`, as far as missing answers violate it. */
 export class UnansweredRule {
   private readonly recent: { ref: string; at: number; answered: boolean }[] = [];
 
   constructor(private readonly observed: ObservedState) {}
 
-  /** One answer, or none, to one question. */
+  /** Checks the answer to one request, or the lack of one. */
   check(request: UserRequest, answer: UserAnswer): void {
     const job = this.observed.job(request.ref);
     const succeeded = answer.status === 200 || answer.status === 201;
@@ -34,16 +34,13 @@
     const unansweredFaultFreeMs =
       this.observed.now - Math.max(job.unansweredSince, this.observed.faultFreeSince ?? Infinity);
     if (unansweredFaultFreeMs >= UNANSWERED_FAULT_FREE_MS) {
-      this.observed.report(
-        'forgotten',
-        `${job.ref}: no question answered for 75 s without trouble`,
-      );
+      this.observed.report('forgotten', `${job.ref}: no request succeeded for 75 s without faults`);
     }
     const unansweredMs = this.observed.now - job.unansweredSince;
     if (unansweredMs >= UNANSWERED_MS && this.othersAreAnswered(job)) {
       this.observed.report(
         'forgotten',
-        `${job.ref}: every question failed for 90 s, others did not`,
+        `${job.ref}: every request failed for 90 s, others did not`,
       );
     }
   }
--- a/test/fakes/rules/starts.ts
+++ b/test/fakes/rules/starts.ts
@@ -2,7 +2,7 @@
 import type { JobHistory, MachineSeen } from './model.js';
 import type { ObservedState } from './observed.js';
 
-/** The rule `ran_twice`. */
+/** The rule `ran_twice`: a task that starts is on no other machine. */
 export function checkDuplicate(
   observed: ObservedState,
   machines: MachineSeen[],
@@ -18,7 +18,7 @@
   }
 }
 
-/** The rule `wrong_place`. */
+/** The rule `wrong_place`: a task starts on an allowed machine and within its zone rules. */
 export function checkPlacement(
   observed: ObservedState,
   machines: MachineSeen[],
@@ -46,7 +46,7 @@
   }
 }
 
-/** The rule `too_early`. */
+/** The rule `too_early`: a task starts only after all dependencies are done. */
 export function checkDependencies(
   observed: ObservedState,
   machine: MachineSeen,
--- a/test/fakes/rules/usage.ts
+++ b/test/fakes/rules/usage.ts
@@ -1,7 +1,7 @@
 import { hasImage, type MachineSeen } from './model.js';
 import type { ObservedState } from './observed.js';
 
-/** The rule `quota`. */
+/** The rule `quota`: no team uses more than its limit. */
 export function checkQuota(observed: ObservedState, machines: MachineSeen[]): void {
   for (const [team, used] of observed.usedByTeam(machines, hasImage)) {
     const limit = observed.options.fleet.teams.get(team);
@@ -11,7 +11,7 @@
   }
 }
 
-/** The rule `overfull`: what is on a machine fits on it. */
+/** The rule `overfull`: the tasks on a machine fit its capacity. */
 export function checkCapacity(observed: ObservedState, machine: MachineSeen): void {
   const free = observed.freeCapacity(machine);
   if (free.cpus < -1e-6 || free.gpus < -1e-6 || free.memoryGb < -1e-6) {
--- a/test/fakes/rules/waiting.ts
+++ b/test/fakes/rules/waiting.ts
@@ -3,12 +3,12 @@
 import type { JobHistory, MachineSeen } from './model.js';
 import type { ObservedState } from './observed.js';
 
-/** For how long a task may wait beside room that fits once all faults are over. */
+/** How long a task may wait although it could be placed, once all faults are over. */
 const MAX_WAITING_MS = 90_000;
 
 const NOTHING_USED: Amounts = { cpus: 0, gpus: 0 };
 
-/** The rule `left_waiting`, once all faults are over. */
+/** The rule `left_waiting`, which applies once all faults are over. */
 export function checkWaiting(
   observed: ObservedState,
   machines: MachineSeen[],
@@ -20,20 +20,21 @@
   }
   job.placeableSince ??= observed.now;
   if (observed.now - job.placeableSince < MAX_WAITING_MS) return;
-  observed.report('left_waiting', `${job.ref}: a task waits beside fitting room for 90 s`);
+  observed.report('left_waiting', `${job.ref}: a task that could be placed has waited for 90 s`);
 }
 
-/** A task of it (of a gang all of them) could be on machines now, and is on none. */
+/** Whether a waiting task, or for a gang all of its tasks, could be placed now. */
 function canBePlaced(observed: ObservedState, machines: MachineSeen[], job: JobHistory): boolean {
   const { request } = job;
-  if (!request || job.acceptedAt === null || job.final || job.abortAskedAt < Infinity) return false;
+  if (!request || job.acceptedAt === null || job.final || job.cancelRequestedAt < Infinity)
+    return false;
   if (!observed.allDependenciesOf(job).every(isComplete)) return false;
   const zones = observed.zonesOf(machines, job.ref, () => true);
   const placed = new Set([...zones.values()].flatMap((tasks) => [...tasks]));
   for (const task of job.completed) placed.add(task);
   const missing = request.pieces - placed.size;
   if (missing <= 0) return false;
-  // A gang begins anew only when nothing of its last attempt is left.
+  // A gang restarts only when no task of its last attempt is left.
   if (request.shape === 'gang' && zones.size > 0) return false;
   const wanted = request.shape === 'gang' ? missing : 1;
   const limit = observed.options.fleet.teams.get(request.crew)!;
@@ -43,7 +44,7 @@
   return placeableTasks(observed, machines, request, zones) >= wanted;
 }
 
-/** How many more tasks of a job the machines' free room and its own zone rules allow. */
+/** How many more tasks of a job fit the machines' free capacity and its zone rules. */
 function placeableTasks(
   observed: ObservedState,
   machines: MachineSeen[],
--- a/test/fakes/sample-settings.ts
+++ b/test/fakes/sample-settings.ts
@@ -51,7 +51,7 @@
 name = "guests"
 `;
 
-/** The second controller is in zone b, the others are in zone a. */
+/** The sample settings of a controller; the second one is in zone b, all others in zone a. */
 export function settings(member = 'berth-0'): Settings {
   const text = SETTINGS.replace('berth-0', member).replace(
     '[facts.workers]',
@@ -63,7 +63,7 @@
   );
 }
 
-/** The sample's teams with this many times their guarantees and limits. */
+/** The teams of the sample with scaled guarantees and limits. */
 export function scaledTeams(scale: number): Map<string, Team> {
   const scaleAmounts = ({ cpus, gpus }: Team['limit']): Team['limit'] => ({
     cpus: cpus * scale,
@@ -77,7 +77,7 @@
   return new Map(scaled.map((team) => [team.name, team]));
 }
 
-/** The settings of one of several controllers that know each other. */
+/** The settings of one controller of a deployment, with all others as peers. */
 export function controllerSettings(
   member: string,
   controllers: { name: string; zone: string }[],
--- a/test/fakes/samples.ts
+++ b/test/fakes/samples.ts
@@ -7,7 +7,7 @@
   TeamView,
 } from '../../src/scheduler/scheduling-model.js';
 
-/** A machine type and a job that scenarios of the scheduler vary. */
+/** The machine type that scheduler tests use. */
 export const TYPE: MachineType = {
   name: 'g8',
   capacity: { cpus: 48, gpus: 8, memoryGb: 288 },
@@ -19,7 +19,7 @@
   zones: ['a', 'b'],
 };
 
-/** An empty machine as a scheduling cycle sees it. */
+/** An empty machine in the view of a scheduling cycle. */
 export function machine(id: string, overrides: Partial<MachineView> = {}): MachineView {
   return {
     id,
@@ -37,6 +37,7 @@
   };
 }
 
+/** The job that scheduler tests vary. */
 export const SPEC: JobSpec = {
   jobClass: 'c',
   team: 'vision',
@@ -57,7 +58,7 @@
   deadlineMs: null,
 };
 
-/** A job as a scheduling cycle sees it: all of its tasks wait. */
+/** A job in the view of a scheduling cycle, with all of its tasks waiting. */
 export function jobView(id: string, spec: JobSpec, overrides: Partial<JobView> = {}): JobView {
   return {
     id,
@@ -78,7 +79,7 @@
   };
 }
 
-/** What a scheduling cycle looks at where there is nothing but teams. */
+/** The input of a scheduling cycle, empty except for the teams. */
 export function snapshotWith(
   teams: ReadonlyMap<string, TeamView>,
   overrides: Partial<Snapshot> = {},
@@ -99,7 +100,7 @@
   };
 }
 
-/** A sound submission but for its `ref`; what may be null is left out. */
+/** A valid submission except for the missing `ref`; nullable fields are left out. */
 export const SUBMISSION = {
   lane: 'train',
   crew: 'vision',
--- a/test/fakes/simulated-cluster.ts
+++ b/test/fakes/simulated-cluster.ts
@@ -22,12 +22,12 @@
 export { fakeRandom } from './random.js';
 export { settings, SETTINGS } from './sample-settings.js';
 
-/** How many broken rules a failed scenario tells of. */
+/** How many violations the error of a failed scenario lists. */
 const MAX_REPORTED_VIOLATIONS = 6;
 
 const FINAL_PHASES = ['done', 'withdrawn'];
 
-/** Between a controller and whom something passes. */
+/** The other party in a message of a controller. */
 export type Boundary = 'store' | 'cloud' | 'worker' | 'command' | 'peer' | 'user' | 'operator';
 
 type Capacity = { cpus: number; gpus: number; memoryGb: number };
@@ -38,7 +38,7 @@
   hull?: string;
 }
 
-/** A small fleet with two or three controllers; it checks the rules at every step of every scenario. */
+/** A simulated fleet with its controllers; checks the rules at every step of a scenario. */
 export class SimulatedCluster {
   readonly clock = new FakeClock();
   readonly store = new FakeStore(this.clock);
@@ -47,37 +47,38 @@
   readonly controllers: SimulatedControllers;
   readonly machines = new SimulatedMachines(this);
   readonly wishes = new JobFactory();
+  /** All task starts, as `job/task`. */
   readonly starts: string[] = [];
-  /** What the controllers logged, without what is for debugging. */
+  /** The controllers' log lines, without those of level debug. */
   readonly logged: LogLine[] = [];
-  /** Starts before the records of the jobs that they need say `done`: more than the rules ask. */
+  /** Starts before the stored phase of all dependencies was `done`; stricter than the rules. */
   readonly broken: string[] = [];
-  /** The submissions that users were told are accepted. */
+  /** The submissions that were accepted, by job id. */
   readonly accepted = new Map<string, object>();
   readonly random: SeededRandom;
-  /** The controllers, zones and timing of the deployment. */
+  /** The deployment settings of this cluster. */
   readonly shape: DeploymentShape;
-  /** What the settings say of the teams, of controllers that start from now on. */
+  /** The teams in the settings of controllers that start from now on. */
   teams: ReadonlyMap<string, Team>;
-  /** What each team may use at most, as the checker judges it. */
+  /** The limit of each team that the checker applies. */
   readonly teamLimits = new Map<string, { cpus: number; gpus: number }>();
   readonly checker: RuleChecker;
   readonly users: Users;
   private readonly persistentUsers: PersistentUsers;
   readonly faults: Faults;
-  /** All faults are over, and no more work is submitted. */
+  /** Whether all faults are over and no more work is to be submitted. */
   settling = false;
-  /** A task has just completed. */
+  /** Called when a task has completed. */
   onDone: (piece: FakeTask) => void = () => undefined;
-  /** A task that ran has just been told to stop. */
+  /** Called when a running task is told to stop. */
   onStopped: (worker: FakeWorker, piece: FakeTask) => void = () => undefined;
-  /** Something has just crossed the border of a controller; see `behavior-trace.ts`. */
-  onBoundaryCrossing: (border: Boundary, ...what: unknown[]) => void = () => undefined;
-  /** What else is looked at whenever the rules are checked. */
+  /** Called for each message that a controller sends or receives; see `behavior-trace.ts`. */
+  onBoundaryCrossing: (boundary: Boundary, ...what: unknown[]) => void = () => undefined;
+  /** Further callbacks that run whenever the rules are checked. */
   readonly observers = new Set<() => void>();
-  /** Users come through the load balancer, which avoids controllers that fail its probes. */
+  /** Whether users come through a load balancer that avoids unhealthy controllers. */
   balanced = false;
-  /** Whether commands reach the workers' own addresses. */
+  /** Whether direct commands can reach workers. */
   directOpen = true;
   private readonly closed = new AbortController();
 
@@ -85,9 +86,9 @@
     machines: MachineTemplate[],
     controllers: 2 | 3 | DeploymentShape = 2,
     readonly seed = 0,
-    /** What the settings say of the store, where it differs from the sample. */
+    /** Store settings that differ from the sample. */
     state: Partial<Settings['state']> = {},
-    /** How many times as much as in the sample the teams are guaranteed and may use. */
+    /** The factor by which the sample's guarantees and limits are scaled. */
     teamScale = 1,
   ) {
     this.teams = scaledTeams(teamScale);
@@ -120,7 +121,7 @@
     return types;
   }
 
-  /** The users' interface of one controller; all that is said there is checked. */
+  /** The user API of one controller; the checker sees all requests and answers. */
   user(node: number): ReturnType<Users['at']> {
     return this.users.at(node);
   }
@@ -136,15 +137,15 @@
     for (const node of this.nodes) node.stop.abort();
     this.closed.abort();
     await this.clock.advance(100);
-    const broken = this.checker.violations.map(
+    const violations = this.checker.violations.map(
       (violation) => `${violation.at / 1000} s: ${violation.rule}: ${violation.what}`,
     );
-    assert.deepEqual(broken.slice(0, MAX_REPORTED_VIOLATIONS), []);
+    assert.deepEqual(violations.slice(0, MAX_REPORTED_VIOLATIONS), []);
     assert.deepEqual(this.broken, []);
     assert.equal(
       this.controllers.liveProcesses.size,
       0,
-      'every controller ends when it is told to',
+      'every controller ends when it is stopped',
     );
   }
 
@@ -154,7 +155,7 @@
     return this.controllers.nodes;
   }
 
-  /** The number of the leader; -1: there is none. */
+  /** The index of the leader; -1 if there is none. */
   get leader(): number {
     return this.controllers.leader;
   }
@@ -163,12 +164,12 @@
     this.controllers.boot(i);
   }
 
-  /** It stands still from now on: what comes to it meanwhile it sees afterwards. */
+  /** Freezes a controller; it handles messages that arrive meanwhile afterwards. */
   freeze(i: number, ms: number): void {
     this.controllers.freeze(i, ms);
   }
 
-  /** Ends a controller as a kill would: nothing is handed over. */
+  /** Kills a controller: it hands nothing over. */
   crash(i: number): void {
     this.controllers.crash(i);
   }
@@ -177,25 +178,25 @@
     this.controllers.restart(i);
   }
 
-  /** Restarts all controllers that are down, or those of them that are in one of these zones. */
+  /** Restarts all controllers that are down in these zones, by default in all. */
   restartAll(zones: readonly string[] = this.shape.zones): void {
     for (const [i, node] of this.nodes.entries()) {
       if (!node.controller && zones.includes(this.zoneOf(node))) this.restart(i);
     }
   }
 
-  /** Waits until another controller than the former leader leads. */
+  /** Waits until a controller other than the former leader leads. */
   anotherLeads(former: number, seconds: number): Promise<void> {
     const leads = (): boolean => this.leader >= 0 && this.leader !== former;
-    return this.until(leads, seconds, 'another leads');
+    return this.until(leads, seconds, 'another controller leads');
   }
 
-  /** Whether the zones cannot reach each other from now on; both reach the store. */
+  /** Partitions the zones from each other or heals the partition; all still reach the store. */
   split(apart: boolean): void {
     this.controllers.apart = apart;
   }
 
-  /** Whether two controllers are in zones that cannot reach each other now. */
+  /** Whether two controllers are in zones that are partitioned from each other now. */
   separated(from: string, to: string): boolean {
     return this.controllers.separated(from, to);
   }
@@ -204,7 +205,7 @@
     return this.controllers.zoneOf(node);
   }
 
-  /** A heartbeat's way to a controller; also for copies that come late. */
+  /** Delivers a heartbeat, or a late copy of one, to a controller and returns the response. */
   deliver(node: number, report: object): Promise<ReportResponse> {
     return this.controllers.deliver(node, report);
   }
@@ -215,17 +216,17 @@
     return this.machines.workers;
   }
 
-  /** What runs on workers from the beginning, by machine. */
+  /** Tasks that workers already have when they start, by machine. */
   get onWorkers(): Map<string, FakeTask[]> {
     return this.machines.initialTasks;
   }
 
-  /** The machines that hold tasks of a job. */
+  /** The live machines with unfinished tasks of a job. */
   holding(ref: string): FakeWorker[] {
     return this.machines.machinesWith(ref);
   }
 
-  /** The tasks of a job that are on machines now. */
+  /** The unfinished tasks of a job on live machines. */
   on(ref: string): FakeTask[] {
     return this.machines.tasksOf(ref);
   }
@@ -238,7 +239,7 @@
     this.machines.kill(id);
   }
 
-  /** A task begins on a machine. */
+  /** Called when a task starts on a machine, that is, has its image. */
   onMachine(worker: FakeWorker, piece: FakeTask): void {
     const name = `${piece.job}/${piece.task}`;
     this.starts.push(name);
@@ -250,7 +251,7 @@
 
   // ---- time
 
-  /** Lets seconds pass. */
+  /** Advances the time by `seconds`, with a check every 250 ms. */
   async pass(seconds: number): Promise<void> {
     for (let i = 0; i < seconds * 4; i++) {
       await this.clock.advance(250);
@@ -267,15 +268,15 @@
     assert.ok(condition(), `${name}: not within ${seconds} s`);
   }
 
-  /** An answer of one node, with time passing until it comes. */
-  async ask(answer: Promise<ApiResponse>): Promise<ApiResponse> {
-    let got: ApiResponse | null = null;
-    void answer.then((a) => (got = a));
-    await this.until(() => got !== null, 6, 'answer');
-    return got!;
+  /** Advances the time until a response arrives, for at most 6 s. */
+  async ask(pending: Promise<ApiResponse>): Promise<ApiResponse> {
+    let response: ApiResponse | null = null;
+    void pending.then((a) => (response = a));
+    await this.until(() => response !== null, 6, 'answer');
+    return response!;
   }
 
-  /** Lets time pass until something in the background has come about. */
+  /** Advances the time until a promise settles. */
   async drive<T>(promise: Promise<T>): Promise<T> {
     let ended = false;
     const markEnded = (): void => void (ended = true);
@@ -302,50 +303,50 @@
     return ref;
   }
 
-  /** A user submits at any node, and again, until the job is accepted; time passes meanwhile. */
+  /** Submits at any node until the job is accepted; time passes meanwhile. */
   accept(template: JobTemplate): Promise<string> {
     return this.drive(this.accepting(template));
   }
 
-  /** A user cancels at any node, or at one node only, until it is confirmed; time passes meanwhile. */
+  /** Cancels at any node, or at the given one, until confirmed; time passes meanwhile. */
   cancel(ref: string, node?: number): Promise<string> {
     return this.drive(this.cancelling(ref, node));
   }
 
-  /** The same in the background of a scenario. */
+  /** Like `accept`, but the caller advances the time. */
   accepting(template: JobTemplate): Promise<string> {
     return this.persistentUsers.submitUntilAccepted(template);
   }
 
-  /** The same of a job that was wished for before. */
-  acceptingWished(wished: { ref: string; body: object }): Promise<string> {
-    return this.persistentUsers.submitCreatedUntilAccepted(wished);
+  /** Like `accepting`, for a submission that was created before. */
+  acceptingWished(submission: { ref: string; body: object }): Promise<string> {
+    return this.persistentUsers.submitCreatedUntilAccepted(submission);
   }
 
-  /** The same in the background of a scenario; answers what the job is called then. */
+  /** Like `cancel`, but the caller advances the time; returns the phase in the response. */
   cancelling(ref: string, node?: number): Promise<string> {
     return this.persistentUsers.cancelUntilConfirmed(ref, node);
   }
 
-  /** Users ask at all nodes for a job, and submit it again, within milliseconds. */
+  /** Queries a job at all nodes, and submits it again, several times within milliseconds. */
   queryEverywhere(ref: string): Promise<void> {
     return this.persistentUsers.queryEverywhere(ref);
   }
 
-  /** Users go on asking for jobs, at any node, and now and then submit one again. */
+  /** Keeps querying random jobs at random nodes, and sometimes submits one again. */
   keepAsking(everyMs = 1500): Promise<void> {
     return this.persistentUsers.keepAsking(everyMs);
   }
 
-  /** All faults are over: whatever was accepted ends, or runs as a service, or is cancelled. */
+  /** Ends all faults; every accepted job must then be done, cancelled or a running service. */
   async settle(seconds = 100): Promise<void> {
     this.settling = true;
     this.faults.over();
-    // A request that is still being repeated may change what has to end: it is waited for as well.
+    // A request that is still being retried may change a job, so it is waited for as well.
     const settled = (): boolean =>
       !this.persistentUsers.busy && [...this.accepted.keys()].every((ref) => this.isSettled(ref));
-    await this.until(settled, seconds, 'all jobs end or run');
-    // Users expect a job's last state from 3 s after its last task.
+    await this.until(settled, seconds, 'all jobs are done, cancelled or running services');
+    // Users can expect a job's final phase 3 s after its last task.
     await this.pass(4);
     const checks = [...this.accepted.keys()].map(async (ref) => {
       const answers = this.nodes.map((_node, i) => this.user(i).query(ref));
@@ -370,13 +371,13 @@
     return answer.status === 200 ? (answer.body as { phase: string }).phase : String(answer.status);
   }
 
-  /** Puts a job into the store that was done before the scenario began. */
+  /** Stores a job that was done before the scenario started. */
   doneBefore(ref: string): void {
     this.store.write(`jobs/${ref}`, { w: 'w', phase: 'done', tasks: 1 });
     this.checker.doneBefore(ref);
   }
 
-  /** The phase that a job's record says. */
+  /** The phase in a job's record. */
   stored(ref: string): string | undefined {
     return (this.store.get(`jobs/${ref}`) as { phase: string } | undefined)?.phase;
   }
--- a/test/fakes/store.ts
+++ b/test/fakes/store.ts
@@ -19,59 +19,61 @@
   delete?: string;
 }
 
-/** What the store takes; without a figure it takes anything. */
+/** The limits of the store; an absent one is not enforced. */
 export interface StoreLimits {
   valueBytes?: number;
   txnOps?: number;
-  /** Puts and deletes a second, with bursts of one second's worth. */
+  /** Puts and deletes per second, with bursts of up to one second's worth. */
   writeRps?: number;
 }
 
 const MAX_TXN_BYTES = 64 * 1024;
 
-/** What happens to a request on its way: answered, refused, lost before or after it was executed. */
+/** The outcome of a request: served, refused, or lost before or after it was executed. */
 export type Fate =
   | 'serve'
   | 'refuse'
-  /** Refused for the rate. */
+  /** Refused because of the rate limit. */
   | 'rate'
   | 'lose request'
   | 'lose answer'
+  /** Gets no response; it is executed when the scenario runs it from `late`. */
   | 'apply late'
-  /** No answer comes; it is carried out so much later, or once an outage is over. */
+  /** Gets no response; it is executed after this time, or after an outage that lasts longer. */
   | { applyAfterMs: number };
 
-/** A small state service, written from the protocol. */
+/** An in-memory state service, written from the protocol. */
 export class FakeStore {
   readonly keys = new Map<string, Stored>();
   down = false;
-  /** May be changed at any moment, as by the store's operators. */
+  /** May change at any time, as the store's operators may change theirs. */
   limits: StoreLimits = {};
-  /** Transactions refused for their size or number of changes. */
+  /** Transactions refused for their size or number of operations. */
   rejected = 0;
-  /** Transactions refused for the rate. */
+  /** Transactions refused by the rate limit. */
   rateRefused = 0;
   private writeTokens = Infinity;
   private writeTokensAt = 0;
-  /** How much longer than usual every answer takes. */
+  /** The additional delay of every response. */
   slowMs = 0;
-  /** A key has been written; called at that moment. */
+  /** Called when a key has been written. */
   onWrite: (key: string) => void = () => undefined;
-  /** Puts and deletes that were carried out. */
+  /** The number of executed puts and deletes. */
   changes = 0;
   private revision = 0;
   private nextLease = 1;
   private readonly leases = new Map<number, { ttl: number; until: number }>();
   private readonly history: { key: string; stamp: number; value?: unknown; gone?: true }[] = [];
-  /** Open watches; each answers true once it has been answered. */
+  /** Whether a check of the open watches is scheduled after a change. */
   private watchCheckScheduled = false;
+  /** The open watches; each function returns true once its watch has been answered. */
   private readonly watches = new Set<() => boolean>();
-  /** Transactions that reach the store later, after their sender has given up. */
+  /** Requests that the scenario executes late, after their sender has timed out. */
   readonly late: (() => Reply)[] = [];
 
   constructor(private readonly clock: Clock) {}
 
-  /** One controller's way to the store. */
+  /** The transport of one controller to the store. */
   link(fate: (method: string, path: string, body: unknown) => Fate): Transport {
     return {
       request: async (method, path, body, timeoutMs, signal) => {
@@ -84,7 +86,7 @@
         if (outcome === 'rate') return { status: 429, body: {} };
         const unanswered = async (): Promise<never> => {
           await this.clock.sleep(timeoutMs, signal);
-          throw new NoResponseError('lost');
+          throw new NoResponseError('the response was lost');
         };
         if (outcome === 'lose request') return unanswered();
         if (outcome === 'apply late') {
@@ -120,12 +122,12 @@
     return this.keys.get(key)?.value;
   }
 
-  /** A change by somebody who is no part of the scenario. */
+  /** Writes a key directly, without a controller. */
   write(key: string, value: unknown): void {
     this.txn({ when: [], then: [{ write: key, value }] });
   }
 
-  /** After an outage every lease has its full time again. */
+  /** Ends an outage; every lease gets its full time again. */
   restore(): void {
     this.down = false;
     for (const lease of this.leases.values()) lease.until = this.clock.now() + lease.ttl;
@@ -217,7 +219,7 @@
     );
   }
 
-  /** Transactions with failing conditions count as well. */
+  /** Also counts transactions whose conditions fail. */
   private withinRate(changes: number): boolean {
     const { writeRps } = this.limits;
     if (writeRps === undefined) return true;
@@ -286,7 +288,7 @@
     return changes;
   }
 
-  /** Open watches are looked at when something has changed, and now and then for all else. */
+  /** Checks open watches at intervals, for outages, timeouts and expired leases. */
   private async pollWatches(): Promise<void> {
     while (this.watches.size > 0) {
       await this.clock.sleep(WATCH_POLL_MS);
--- a/test/fakes/three-zones.ts
+++ b/test/fakes/three-zones.ts
@@ -3,25 +3,25 @@
 import { machines } from './fault-scenario.js';
 import { SimulatedCluster } from './simulated-cluster.js';
 
-/** What runs in the scenarios of the shape with three zones. */
+/** The jobs of the scenarios with three zones. */
 export interface Work {
-  /** Services of three replicas with 2 GPUs each, spread over zones. */
+  /** Services of three replicas with two GPUs each, spread over zones. */
   replicas: string[];
-  /** Gangs of two whole machines in one zone. */
+  /** Gangs of two tasks that take a whole machine each, in one zone. */
   pairs: string[];
-  /** Arrays of one-GPU tasks that make way for all else. */
+  /** Arrays of best-effort tasks with one GPU each. */
   sweeps: string[];
 }
 
-/** How large a scenario is. */
+/** The size of a scenario. */
 export interface StorySize {
   machinesPerZone: number;
-  /** Machines that can be rented beside them. */
+  /** How many more machines can be rented. */
   rentable: number;
   services: number;
   pairs: number;
   sweeps: number;
-  /** How many times the sample's guarantees and limits the teams have. */
+  /** The factor by which the sample's guarantees and limits are scaled. */
   teamScale: number;
 }
 
@@ -30,7 +30,7 @@
 const BOOT_S = 40;
 export const LEASE_S = THREE_ZONES.workers.leaseMs / 1000;
 
-/** Five controllers in three zones and a fleet on which all of the work runs. */
+/** Starts five controllers in three zones and the work, and waits until all jobs run. */
 export async function beginInThreeZones(
   seed: number,
   size: StorySize,
@@ -59,12 +59,12 @@
   await simulatedCluster.until(
     () => all.every((job) => simulatedCluster.running(job) > 0),
     40,
-    'all run',
+    'all jobs run',
   );
   return { w: simulatedCluster, work };
 }
 
-/** A zone loses its machines and its controllers for good. */
+/** Removes all machines of a zone and kills its controllers. */
 function loseZone(cluster: SimulatedCluster, zone: string): void {
   for (const [i, node] of cluster.nodes.entries())
     if (cluster.zoneOf(node) === zone) cluster.crash(i);
@@ -79,7 +79,7 @@
 export const allReplicasRun = (cluster: SimulatedCluster, { replicas }: Work): boolean =>
   replicas.every((job) => cluster.running(job) === REPLICAS);
 
-/** All replicas of a lost zone run in the others within a lease, a boot and what starting takes. */
+/** Waits until all replicas run in other zones: two leases, a boot and 20 s for their start. */
 async function untilReplicasRunElsewhere(
   cluster: SimulatedCluster,
   work: Work,
@@ -88,17 +88,17 @@
   const elsewhere = (job: string): boolean =>
     cluster.holding(job).every(({ yard }) => yard !== zone);
   const done = (): boolean => allReplicasRun(cluster, work) && work.replicas.every(elsewhere);
-  await cluster.until(done, 2 * LEASE_S + BOOT_S + 20, 'run elsewhere');
+  await cluster.until(done, 2 * LEASE_S + BOOT_S + 20, 'all replicas run in other zones');
 }
 
-/** Gangs and sweeps come to their end. */
+/** Waits until all gangs and arrays are done. */
 async function untilBatchesEnd(cluster: SimulatedCluster, { pairs, sweeps }: Work): Promise<void> {
   const isDone = (job: string): boolean => cluster.stored(job) === 'done';
-  await cluster.until(() => pairs.every(isDone), 200, 'the pairs are done');
-  await cluster.until(() => sweeps.every(isDone), 60, 'the sweeps are done');
+  await cluster.until(() => pairs.every(isDone), 200, 'the gangs are done');
+  await cluster.until(() => sweeps.every(isDone), 60, 'the arrays are done');
 }
 
-/** A zone is lost for good and the leader ends, wherever it is: everything goes on in the other zones. */
+/** Loses a zone and the leader; checks that all work continues in the other zones. */
 export async function zoneAndLeaderAreLost(
   cluster: SimulatedCluster,
   work: Work,
--- a/test/fakes/upgrade.ts
+++ b/test/fakes/upgrade.ts
@@ -1,9 +1,9 @@
 import type { SimulatedCluster } from './simulated-cluster.js';
 
-/** What the settings announce, and what the store has from some moment on. */
+/** The store limits that the settings announce, and that the store enforces later. */
 export const NEXT = { valueBytes: 2048, txnOps: 4, writeRps: 15 };
 
-/** A controller that writes no member record, like a version from before these records. */
+/** Makes a controller fail to write its member record, like a version without such records. */
 export function makeOld(cluster: SimulatedCluster, node: number): void {
   cluster.nodes[node]!.fate = (_method, path, body) =>
     path === '/txn' && JSON.stringify(body).includes('"write":"members/') ? 'refuse' : 'serve';
@@ -13,7 +13,7 @@
   [...cluster.store.keys.keys()].filter((key) => key.startsWith('runs/'));
 export const ranged = (key: string): boolean => /\/p\d+$/.test(key);
 
-/** Ends the running tasks of a job that `which` names. */
+/** Completes the running tasks of a job that `which` selects. */
 export function finish(
   cluster: SimulatedCluster,
   job: string,
--- a/test/fakes/users.ts
+++ b/test/fakes/users.ts
@@ -2,31 +2,31 @@
 import type { FakeClock } from './clock.js';
 import type { Action, RuleChecker } from './rule-checker.js';
 
-/** One controller as its users see it. */
+/** The user-facing endpoint of one controller. */
 export interface UserEndpoint {
   readonly name: string;
-  /** Null while no process accepts connections there. */
+  /** The API of the running process; null while no process accepts connections. */
   jobApi(): JobApi | null;
-  /** Ends when the process that takes the request now ends, and its connections with it. */
+  /** Aborted when the current process ends, which breaks its connections. */
   readonly alive: AbortSignal;
-  /** For how long answers are held up on their way. */
+  /** The delay of responses. */
   readonly heldMs: number;
-  /** Resolves when a process that stands still goes on. */
+  /** Resolves when a frozen process continues. */
   waitWhileFrozen(): Promise<void>;
 }
 
-/** What a user gets who gets nothing: the connection failed, broke or brought no answer in time. */
+/** Stands for a connection that failed or broke, or brought no response in time. */
 const NO_RESPONSE: ApiResponse = { status: 0, body: {} };
 
-/** How long users wait for an answer. */
+/** How long users wait for a response. */
 const TIMEOUT_MS: Record<Action, number> = { submit: 5000, query: 2000, abort: 5000 };
 
 /**
- * The only way of users to controllers: what they are told, when and at which node goes to the
- * checker of the rules.
+ * Passes all user requests to controllers, and reports every request and answer to the rule
+ * checker.
  */
 export class Users {
-  /** A request of a user has had its answer, or will get none. */
+  /** Called when a user request has been answered or has failed. */
   onExchange: (node: string, action: Action, request: unknown, answer: ApiResponse) => void = () =>
     undefined;
 
@@ -36,7 +36,7 @@
     private readonly endpoint: (node: number) => UserEndpoint,
   ) {}
 
-  /** The users' interface of one controller. */
+  /** The user API of one controller. */
   at(node: number): {
     submit(body: unknown): Promise<ApiResponse>;
     query(ref: string): Promise<ApiResponse>;
@@ -58,14 +58,14 @@
     body?: unknown,
   ): Promise<ApiResponse> {
     const endpoint = this.endpoint(node);
-    const checked = this.checker.asked(action, ref, endpoint.name, body);
+    const checkedRequest = this.checker.asked(action, ref, endpoint.name, body);
     const done = new AbortController();
     const timeout = this.clock.sleep(TIMEOUT_MS[action], done.signal).then(() => NO_RESPONSE);
     const answer = await Promise.race([this.send(endpoint, request), timeout]);
     done.abort();
     this.onExchange(endpoint.name, action, body ?? ref, answer);
     const { phase } = answer.body as { phase?: string };
-    this.checker.answered(checked, { status: answer.status, phase: phase ?? null }, body);
+    this.checker.answered(checkedRequest, { status: answer.status, phase: phase ?? null }, body);
     return answer;
   }
 
@@ -84,7 +84,7 @@
   }
 }
 
-/** The job that a body names; whatever else it says. */
+/** The job id in a body, which may otherwise be malformed. */
 function refOf(body: unknown): string {
   const ref = typeof body === 'object' && body !== null ? (body as { ref?: unknown }).ref : null;
   return typeof ref === 'string' ? ref : '';
--- a/test/fakes/worker.ts
+++ b/test/fakes/worker.ts
@@ -6,8 +6,9 @@
   attempt: number;
   phase: 'fetching' | 'gathering' | 'running' | 'flushing' | 'ended';
   cause: string | null;
+  /** When its phase began. */
   since: number;
-  /** Its progress is saved. */
+  /** Whether its progress has been saved. */
   stored?: boolean;
 }
 
@@ -20,75 +21,78 @@
   vcpus: number;
   gpus: number;
   memoryGb: number;
-  /** Submitted with a mistake: its tasks fail on every machine after running for so long. */
+  /** The job is broken: its tasks fail on every machine after running for this long. */
   failsAfterMs?: number;
 }
 
-export interface Room {
+export interface MachineCapacity {
   vcpus: number;
   gpus: number;
   memoryGb: number;
 }
 
-/** What the worker is told to run, and where it stands. */
+/** The machine and the settings of a worker. */
 export interface WorkerConfig {
   id: string;
   hull: string;
   yard: string;
   driftwood: boolean;
-  room: Room;
+  room: MachineCapacity;
   leaseMs: number;
-  /** It reports about so often. */
+  /** The heartbeat interval. */
   reportMs: number;
   nodes: string[];
-  /** Where direct commands reach it; without it as its name says. */
+  /** The address for direct commands; derived from the id by default. */
   address?: string;
 }
 
 type DirectCommand = { baton: number; shift: number; orders: Record<string, unknown>[] };
 
 export interface WorkerHost {
-  /** How the worker learns what to run; null: no such job. */
+  /** How the tasks of a job run; null if there is no such job. */
   facts(job: string): JobFacts | null;
-  /** Whether all tasks of this attempt have their image. */
+  /** Whether all tasks of an attempt have their image. */
   allHaveImages(job: string, attempt: number): boolean;
   onMachine(worker: FakeWorker, piece: FakeTask): void;
   onDone(piece: FakeTask): void;
-  /** A task that ran was told to stop. */
+  /** Called when a running task is told to stop. */
   onStopped?(worker: FakeWorker, piece: FakeTask): void;
-  /** Sends a heartbeat on its way; rejects if no connection comes about. */
+  /** Sends a heartbeat; rejects if there is no connection. */
   call(node: number, report: object, worker: FakeWorker): Promise<ReportResponse>;
 }
 
 export type ReportResponse = { status: number; body: unknown };
 
-/** After how long a worker tries the next controller. */
+/** The pause before a worker tries the next controller. */
 const RETRY_MS = 1000;
 
-/** How often a machine that hangs looks whether it may go on. */
+/** How often a hung worker checks whether it can continue. */
 const HUNG_POLL_MS = 100;
 
-/** A worker, written from the protocol: one report in flight, a lease, sessions and tokens. */
+/** A worker, written from the protocol: one heartbeat in flight, a lease, sessions and tokens. */
 export class FakeWorker {
+  /** The session number. */
   shift = 1;
+  /** The sequence number of its reports. */
   tick = 0;
+  /** The highest fencing token seen. */
   baton = 0;
   pieces: FakeTask[] = [];
   dead = false;
   hung = false;
-  /** Reports arrive; answers and direct commands do not. */
+  /** Whether responses and direct commands to it are lost; its heartbeats arrive. */
   deaf = false;
-  /** Reports reach nobody; direct commands arrive. */
+  /** Whether its heartbeats are lost; direct commands arrive. */
   mute = false;
   warningS: number | null = null;
-  /** Every task fails here after running for so long, in milliseconds. */
+  /** Every task fails on this machine after running for this many milliseconds. */
   failsAfterMs = Infinity;
-  /** Every report as it was sent, for late copies. */
+  /** Every heartbeat sent, for late copies. */
   readonly sent: object[] = [];
   private node = 0;
   private leaseStartedAt: number;
 
-  /** Direct commands that came while it hung: they are carried out when it goes on. */
+  /** Direct commands that arrived while it hung; they are executed when it continues. */
   private readonly deferredCommands: DirectCommand[] = [];
 
   constructor(
@@ -117,7 +121,7 @@
 
   async run(signal: AbortSignal): Promise<void> {
     while (!signal.aborted && !this.dead) {
-      // The lease of a hanging machine runs out like any other's: it never resumes past it.
+      // The lease also expires while the machine hangs, so old tasks never resume after it.
       if (this.expired) this.nextSession();
       const startedAt = this.clock.now();
       const to = this.node;
@@ -154,14 +158,14 @@
     };
   }
 
-  /** Its process starts anew on the same machine: a new session that knows no token and no task. */
+  /** Restarts the process on the same machine: a new session without a token or tasks. */
   restart(): void {
     this.nextSession();
     this.tick = this.baton = 0;
     this.deferredCommands.length = 0;
   }
 
-  /** A direct command; null: no answer. */
+  /** Receives a direct command; null means no response. */
   direct(command: DirectCommand): { status: number; body: object } | null {
     if (this.dead || this.deaf) return null;
     if (this.hung) {
@@ -210,8 +214,9 @@
   private execute(order: Record<string, unknown>): void {
     const [job, task] = String(order.piece).split('/') as [string, string];
     const attempt = Number(order.try);
-    const same = (piece: FakeTask): boolean => piece.job === job && piece.task === Number(task);
-    const held = this.pieces.find((piece) => same(piece) && piece.attempt === attempt);
+    const isSameTask = (piece: FakeTask): boolean =>
+      piece.job === job && piece.task === Number(task);
+    const held = this.pieces.find((piece) => isSameTask(piece) && piece.attempt === attempt);
     if (order.verb === 'forget') {
       this.pieces = this.pieces.filter((piece) => piece !== held || piece.phase !== 'ended');
     } else if (order.verb === 'launch' && !held) {
@@ -255,7 +260,7 @@
     piece.cause = 'stopped';
   }
 
-  /** Its lease has run out: whatever was on it is killed at that moment, though it notices later. */
+  /** Whether the lease has expired: its tasks are dead from then on, even if it notices later. */
   get expired(): boolean {
     return this.clock.now() - this.leaseStartedAt > this.config.leaseMs;
   }
@@ -266,7 +271,7 @@
     this.leaseStartedAt = this.clock.now();
   }
 
-  /** Lets tasks go on as far as time allows. */
+  /** Advances the phases of tasks to the current time. */
   private advanceTasks(): void {
     const now = this.clock.now();
     if (this.expired) return this.nextSession();
--- a/test/measurements/behavior-trace.ts
+++ b/test/measurements/behavior-trace.ts
@@ -1,9 +1,9 @@
 /**
- * Shows whether a change of the sources changes what controllers do. A fixed set of simulations is
- * played in fake time with seeded chance; of each a hash is printed over all that crosses the border of
- * a controller, with its time: requests to the store and the cloud, heartbeats of workers, direct
- * commands, frames between controllers, requests of users and operators, and the answers to all of
- * them. Log lines are left out. The same sources print the same hashes.
+ * Shows whether a source change alters the behavior of controllers. Runs a fixed set of simulations
+ * with simulated time and seeded randomness, and prints for each a hash over all messages that
+ * controllers send or receive, with their times: requests to the store and the cloud, heartbeats of
+ * workers, direct commands, frames between controllers, requests of users and operators, and the
+ * responses to all of them. Log lines are not included. The same sources print the same hashes.
  *
  * Usage: npm run trace                 prints a line for each simulation
  *        npm run trace -- --check      compares them with behavior-trace.txt, and fails if one differs
@@ -25,9 +25,9 @@
 import { machines } from '../fakes/fault-scenario.js';
 import { SimulatedCluster } from '../fakes/simulated-cluster.js';
 
-type Observe = (world: SimulatedCluster) => void;
+type Observe = (cluster: SimulatedCluster) => void;
 
-/** One simulation: it calls `observe` with its simulation before anything happens there. */
+/** One simulation; `play` passes its cluster to `observe` before the simulation starts. */
 interface Simulation {
   name: string;
   play(observe: Observe): Promise<void>;
@@ -37,7 +37,7 @@
   new URL('../../../../test/measurements/behavior-trace.txt', import.meta.url),
 );
 
-/** The settings of the seeded search, and how many seeds of each are played. */
+/** The options of the seeded fault search, and the number of seeds for each. */
 const SEARCHES: { name: string; seeds: number; beside: SearchOptions }[] = [
   { name: 'search', seeds: 16, beside: {} },
   { name: 'search with moves of shares', seeds: 10, beside: { quotaTransfers: true } },
@@ -45,14 +45,14 @@
   { name: 'search in three zones', seeds: 6, beside: { threeZones: true } },
 ];
 
-const searches: Simulation[] = SEARCHES.flatMap(({ name, seeds, beside }) =>
+const searches: Simulation[] = SEARCHES.flatMap(({ name, seeds, beside: options }) =>
   Array.from({ length: seeds }, (_, i) => ({
     name: `${name}, seed ${i + 1}`,
-    play: (observe: Observe) => simulateSeed(i + 1, { ...beside, observe }),
+    play: (observe: Observe) => simulateSeed(i + 1, { ...options, observe }),
   })),
 );
 
-/** A share is lent and goes back, while leaders end. */
+/** A quota is lent and returned while leaders crash. */
 async function loan(observe: Observe): Promise<void> {
   const simulatedCluster = new SimulatedCluster(EIGHT, 3, 5);
   observe(simulatedCluster);
@@ -84,7 +84,7 @@
   await simulatedCluster.close();
 }
 
-/** A good version takes over in steps; the leader ends in the middle of it. */
+/** A healthy version is rolled out in steps; the leader crashes in between. */
 async function rollout(observe: Observe): Promise<void> {
   const scenario = await beginRollout({ seed: 1, before: observe });
   await start(scenario, {}, 1);
@@ -94,33 +94,33 @@
   await finish(scenario, 'to');
 }
 
-/** Jobs that need others, some of them cancelled, under leaders that end. */
+/** Jobs with dependencies, some of them cancelled, while a leader crashes. */
 async function pipelines(observe: Observe): Promise<void> {
   const simulatedCluster = new SimulatedCluster(machines('aabb'), 3, 2);
   observe(simulatedCluster);
   await simulatedCluster.start();
   void simulatedCluster.keepAsking(2000);
-  const wish = { runMs: 6000, crew: 'speech' };
-  const top = await simulatedCluster.accept(wish);
-  const left = await simulatedCluster.accept({ ...wish, waitsOn: [top] });
+  const template = { runMs: 6000, crew: 'speech' };
+  const top = await simulatedCluster.accept(template);
+  const left = await simulatedCluster.accept({ ...template, waitsOn: [top] });
   const right = await simulatedCluster.accept({
-    ...wish,
+    ...template,
     shape: 'gang',
     pieces: 2,
     waitsOn: [top],
   });
-  await simulatedCluster.accept({ ...wish, waitsOn: [left, right] });
-  const last = await simulatedCluster.accept({ ...wish, gpus: 0, waitsOn: [right] });
+  await simulatedCluster.accept({ ...template, waitsOn: [left, right] });
+  const last = await simulatedCluster.accept({ ...template, gpus: 0, waitsOn: [right] });
   const beforehand = Array.from({ length: 220 }, (_, i) => `req-${900_000 + i}`);
   for (const ref of beforehand) simulatedCluster.doneBefore(ref);
-  await simulatedCluster.accept({ ...wish, waitsOn: [...beforehand, last] });
+  await simulatedCluster.accept({ ...template, waitsOn: [...beforehand, last] });
   await simulatedCluster.cancel(left);
   await simulatedCluster.faults.endLeader(2);
   await simulatedCluster.settle();
   await simulatedCluster.close();
 }
 
-/** Controllers of the version in production make way for this one, and the store's limits fall. */
+/** Controllers are upgraded from a released version, then the store's limits are lowered. */
 async function upgrade(observe: Observe): Promise<void> {
   const simulatedCluster = new SimulatedCluster(machines('abababab'), 3, 0, { next: NEXT });
   observe(simulatedCluster);
@@ -144,7 +144,7 @@
   await simulatedCluster.close();
 }
 
-/** Cheap machines that go with notice, a job with a mistake, work of low priority and many questions. */
+/** Spot machines with a termination notice, a failing job, best-effort work and many queries. */
 async function mixedWorkload(observe: Observe): Promise<void> {
   const spot = { yard: 'a', spot: true };
   const simulatedCluster = new SimulatedCluster([...machines('aabb'), spot, spot], 3, 9);
@@ -193,24 +193,24 @@
   { name: 'notice, failures, low priority and questions', play: mixedWorkload },
 ];
 
-/** Plays one simulation; answers the hash over what crossed the borders, and how much did. */
+/** Runs one simulation; returns a line with the hash and the number of messages. */
 async function traceOf({ name, play }: Simulation): Promise<string> {
   const hash = createHash('sha256');
-  let crossings = 0;
+  let messages = 0;
   const observe = (cluster: SimulatedCluster): void => {
-    cluster.onBoundaryCrossing = (border, ...what) => {
-      crossings++;
-      hash.update(`${cluster.clock.now()} ${border} ${JSON.stringify(what)}\n`);
+    cluster.onBoundaryCrossing = (boundary, ...what) => {
+      messages++;
+      hash.update(`${cluster.clock.now()} ${boundary} ${JSON.stringify(what)}\n`);
     };
   };
-  let end = '';
+  let outcome = '';
   try {
     await play(observe);
   } catch (error) {
-    // What went wrong goes wrong again, and the hash tells whether in the same way.
-    end = `; ended with ${error instanceof Error ? error.message : String(error)}`;
+    // A simulation that fails does so every time, and the hash shows whether in the same way.
+    outcome = `; ended with ${error instanceof Error ? error.message : String(error)}`;
   }
-  return `${hash.digest('hex').slice(0, 32)} ${String(crossings).padStart(6)} ${name}${end}`;
+  return `${hash.digest('hex').slice(0, 32)} ${String(messages).padStart(6)} ${name}${outcome}`;
 }
 
 const lines: string[] = [];
--- a/test/measurements/mixed-builds.ts
+++ b/test/measurements/mixed-builds.ts
@@ -1,7 +1,7 @@
 /**
- * Shows whether controllers of two builds work together: real processes over TCP, those of this tree
- * and those of another checkout, with the same settings, store and workers. Prints a line for each
- * check with what was compared, and fails if one does not hold.
+ * Checks that controllers of two builds, this tree and another checkout, work together: as separate
+ * processes over TCP with the same settings, store and workers. Prints a line for each check with
+ * what was compared, and fails if a check does not hold.
  *
  * Usage: npm run mixed -- OLD_CHECKOUT     another checkout, built as its deploy file says
  */
@@ -25,16 +25,16 @@
   <probesPerSecond>100</probesPerSecond>
 </rollout>`;
 
-/** Longer than everything that is done before the change of leader. */
+/** Longer than all steps before the change of leader. */
 const LONG_RUN_MS = 90_000;
 
-/** Longer than the lease of a worker (10 s) and that of the leader (3 s): only votes renew both. */
+/** Longer than the leases of workers (10 s) and of the leader (3 s): only votes extend them. */
 const OUTAGE_MS = 14_000;
 
-/** Longer than a worker's lease: what a new leader does not know is gone by then. */
+/** Longer than a worker's lease: tasks that a new leader does not know have ended by then. */
 const SETTLE_MS = 15_000;
 
-/** Jobs that a long list of dependencies names, too many for the job's own record. */
+/** The dependencies of one job, too many for the job's own record. */
 const FORMER_JOBS = Array.from({ length: 220 }, (_, i) => `req-${900_000 + i}`);
 
 const REPLICAS = 4;
@@ -42,18 +42,18 @@
   ...{ shape: 'service', pieces: REPLICAS, runMs: 0, fetchMs: 500, urgency: 'production' },
 };
 
-/** How long users and operators wait, in seconds. */
+/** The timeout of each step. */
 const WITHIN_SECONDS = 60;
 
 const runFile = promisify(execFile);
 
-/** What is played with which builds; each is a checkout. */
+/** Which builds a scenario runs, each given as a checkout. */
 interface Scenario {
   name: string;
-  /** What the controller that leads first runs, and the others beside it. */
+  /** The builds of the first leader and of the other controllers. */
   leader: string;
   follower: string;
-  /** What takes over: the followers, or all controllers started anew with this build. */
+  /** The build with which all controllers are restarted; without it the followers take over. */
   restartedWith?: string;
 }
 
@@ -77,7 +77,7 @@
   running: number;
 }
 
-/** Looks at the workers again and again: which starts there were, and whether a task is in two places. */
+/** Polls the workers: records the attempts of each task, and tasks on two machines at once. */
 class StartChecker {
   readonly broken = new Set<string>();
   /** The attempts of each task that were seen on machines. */
@@ -106,7 +106,7 @@
   }
 }
 
-/** One scenario, and the lines that it has printed. */
+/** Runs one scenario and collects the lines to print. */
 class MixedBuilds {
   readonly lines: string[] = [];
   failed = 0;
@@ -212,7 +212,7 @@
     return reply?.status === 200 ? JSON.stringify(reply.body) : `status ${reply?.status}`;
   }
 
-  /** Asks all controllers until they say the same of every job. */
+  /** Queries all controllers until they give the same answer for every job. */
   private async answersAgree(): Promise<{ agree: boolean; answers: string[] }> {
     let answers: string[] = [];
     for (let i = 0; i < WITHIN_SECONDS; i++) {
@@ -260,7 +260,7 @@
     this.check(tookMs < 10_000, 'its tasks are stopped', `gone after ${tookMs} ms`);
   }
 
-  /** What runs now of the jobs that run for long: machine, agent epoch, task and attempt. */
+  /** The running tasks of the long jobs: machine, agent epoch, task and attempt. */
   private placements(): string[] {
     const refs = new Set(this.namesOf('array', 'gang', 'service'));
     return this.fleet.workers.flatMap(({ id, shift, pieces }) =>
@@ -281,7 +281,7 @@
     this.check(before.length === 19 && lost.length === 0, what, compared.trimEnd());
   }
 
-  /** While the store is away the leader goes on by the votes of the others. */
+  /** During a store outage the leader continues by the votes of the other controllers. */
   private async outage(): Promise<void> {
     const { fleet } = this;
     const before = this.placements();
@@ -306,7 +306,7 @@
     return (this.fleet.store.get('rollouts/status/r1') as { phase: string } | undefined)?.phase;
   }
 
-  /** Runs the operators' command of a checkout, with the address of one controller. */
+  /** Runs the operator command of a checkout with the address of one controller. */
   private async command(checkout: string, node: number, ...words: string[]): Promise<string> {
     const at = this.fleet.controllers[node]!.operatorsAddress;
     const argv = [join(checkout, 'scripts', 'leverhatch.mjs'), ...words, '--at', at];
@@ -362,7 +362,7 @@
     this.check(newLeader.program === expected, 'a controller of the other build takes over', names);
     await systemClock.sleep(SETTLE_MS);
     this.checkKept(before, 'a change of leader costs no task');
-    // The one that was killed comes back beside the new leader.
+    // The controller that was killed restarts as a follower.
     this.restart(restartedWith === undefined ? ended : []);
   }
 
--- a/test/measurements/rollout.ts
+++ b/test/measurements/rollout.ts
@@ -13,7 +13,7 @@
 import { rolloutApi, rolloutStatus, withRollouts } from '../fakes/rollout-checker.js';
 import { SimulatedCluster, type JobTemplate } from '../fakes/simulated-cluster.js';
 
-/** The sample's teams may use as much as eight of its machines hold. */
+/** The limits of the sample's teams are the capacity of eight machines. */
 const MACHINES_OF_SAMPLE = 8;
 const REPLICAS_PER_MACHINE = 2;
 const SURGE_SHARE = 0.1;
@@ -30,14 +30,14 @@
   machines: number;
   replicas: number;
   way: Method;
-  /** From the request until only the new version is placed. */
+  /** The time from the request until only the new version is placed. */
   doneS: number;
   level: number;
   lowest: number;
-  /** Replicas beyond the level, over time; and the least that the batches need for their fetches. */
+  /** Replicas beyond the required number, over time; and the minimum for fetching the image. */
   surgeReplicaSeconds: number;
   leastSurgeReplicaSeconds: number | null;
-  /** Steps of the rollout that were written, and the puts and deletes of the store for them. */
+  /** The writes of the rollout's status, and all writes of rollout records. */
   transitions: number;
   rolloutWrites: number;
   probesPerSecond: number;
@@ -84,7 +84,7 @@
   };
 }
 
-/** Looks every quarter of a second at what serves and what is placed. */
+/** Samples the numbers of serving and placed replicas every quarter of a second. */
 class ReplicaMeter {
   lowest = Infinity;
   surgeReplicaSeconds = 0;
@@ -159,14 +159,14 @@
   return result;
 }
 
-// ---- how soon a slower version is noticed
+// ---- how soon a slower version is detected
 
 interface Detection {
   timesSlower: number;
   phase: string;
-  /** From its first replica that serves until the rollout turns back. */
+  /** The time from its first serving replica until the rollback starts. */
   noticedS: number;
-  /** Until only the old version is placed. */
+  /** The time until only the old version is placed. */
   backS: number;
   oldReplicasWithdrawn: number;
   lowest: number;
@@ -192,7 +192,7 @@
   await cluster.until(
     () => turned.includes(rolloutStatus(cluster, 'r')?.phase ?? ''),
     MAX_SECONDS,
-    'it turns',
+    'a rollback starts or the rollout is done',
   );
   const noticedS = (cluster.clock.now() - servesAt) / 1000;
   const oldReplicasWithdrawn = replicas - models.serving(from);
@@ -200,7 +200,7 @@
   await cluster.until(
     () => ends.includes(rolloutStatus(cluster, 'r')?.phase ?? ''),
     MAX_SECONDS,
-    'it ends',
+    'the rollout has ended',
   );
   const { phase } = rolloutStatus(cluster, 'r')!;
   const backS = (cluster.clock.now() - servesAt) / 1000;
@@ -209,7 +209,7 @@
   return { timesSlower, phase, noticedS, backS, oldReplicasWithdrawn, lowest };
 }
 
-// ---- what probes cost the leader, without the network
+// ---- the CPU time of probes in the leader, without the network
 
 async function probeCost(): Promise<{ probes: number; microsecondsEach: number }> {
   const clock = new FakeClock();
@@ -263,9 +263,9 @@
 
 const sizes = process.argv.slice(2).map(Number);
 const results: Result[] = [];
-const WAYS: Method[] = ['rollout', 'new beside old', 'new after old'];
+const METHODS: Method[] = ['rollout', 'new beside old', 'new after old'];
 for (const machines of sizes.length > 0 ? sizes : [8, 100]) {
-  for (const way of WAYS) {
+  for (const way of METHODS) {
     results.push(await measure(machines, way));
     console.error(JSON.stringify(results.at(-1)));
   }
--- a/test/measurements/shares.ts
+++ b/test/measurements/shares.ts
@@ -1,5 +1,5 @@
 /**
- * Measures moving shares, in memory and in simulated time, and prints raw results as JSON.
+ * Measures quota transfers, in memory and in simulated time, and prints raw results as JSON.
  * Usage: node target/check/test/measurements/shares.js [MACHINES...]
  */
 import { performance } from 'node:perf_hooks';
@@ -10,7 +10,7 @@
 import { transferPhase, quotaTransferApi, withQuotaTransfers } from '../fakes/quota-checker.js';
 import { SimulatedCluster } from '../fakes/simulated-cluster.js';
 
-/** The sample's teams may use as much as eight of its machines hold, together somewhat more. */
+/** Each of the sample's teams may use at most eight machines; together they may use more. */
 const MACHINES_OF_SAMPLE = 8;
 const RUN_MS = 3_600_000;
 const RESTART_S = 3;
@@ -18,16 +18,16 @@
 interface Times {
   machines: number;
   way: 'move' | 'restart';
-  /** From the request until the receiver has all of the share. */
+  /** The time from the request until the receiver has the whole quota. */
   doneMs: number;
   firstReplicaMs: number;
   allReplicasMs: number;
-  /** Tasks of the donor that were stopped, and replicas that needed their room. */
+  /** The donor's stopped tasks, and the replicas that needed their capacity. */
   stopped: number;
   replicas: number;
-  /** Changes of the store for the move itself. */
+  /** Store writes for the transfer itself. */
   shareWrites: number;
-  /** How long this took in real time, with all fakes. */
+  /** The real time that the simulation took. */
   realSeconds: number;
 }
 
@@ -37,7 +37,7 @@
   tuning: string;
 }
 
-/** A tuning run on every machine. */
+/** Starts a cluster with a tuning job on every machine. */
 async function startScene(machines: number, transfersEnabled: boolean): Promise<Scene> {
   const scale = machines / MACHINES_OF_SAMPLE;
   const yards = Array.from({ length: machines }, (_, i) => ({ yard: i % 2 ? 'a' : 'b' }));
@@ -58,7 +58,7 @@
   return { w: simulatedCluster, scale, tuning };
 }
 
-/** The receiver's replicas: more than its guarantee before, within it afterwards. */
+/** Submits the receiver's replicas: beyond its old guarantee, within the new one. */
 async function startReceiverReplicas(
   { w: cluster, scale, tuning }: Scene,
   askedAt: number,
@@ -99,7 +99,7 @@
   return finish({ machines, way: 'move', shareWrites, doneMs: doneAt! - askedAt }, times, began);
 }
 
-/** As before this part: the settings are changed and the controllers restarted one by one. */
+/** The alternative without transfers: new settings and a rolling restart of the controllers. */
 async function measureRestart(machines: number): Promise<Times> {
   const began = performance.now();
   const scene = await startScene(machines, false);
@@ -124,7 +124,7 @@
     await cluster.until(
       () => cluster.leader >= 0 && (cluster.nodes[i]!.controller?.ready() ?? false),
       60,
-      'is back',
+      'the controller is ready',
     );
   }
   const doneMs = cluster.clock.now() - askedAt;
@@ -142,7 +142,7 @@
   return { ...facts, ...times, realSeconds } as Times;
 };
 
-// ---- draining against the least possible
+// ---- lost work of preemption against the optimum
 
 const CASES = 3000;
 const MAX_TASKS = 12;
@@ -150,7 +150,7 @@
 const lossOf = (tasks: readonly DrainCandidate[]): number =>
   tasks.reduce((sum, task) => sum + task.lostWorkMs, 0);
 
-/** The least loss of any set of tasks, gangs whole, that frees what is wanted. */
+/** The least loss of any set of tasks that frees enough GPUs; gangs only as a whole. */
 function leastLoss(wanted: number, candidates: readonly DrainCandidate[]): number {
   const units = new Map<string, DrainCandidate[]>();
   for (const candidate of candidates) {
@@ -167,7 +167,7 @@
   return least;
 }
 
-/** Random jobs of one priority; what is compared is the loss alone. */
+/** A case with random jobs of one priority, so that only the loss matters. */
 function drainCase(seed: number): { wanted: number; candidates: DrainCandidate[] } {
   const generator = xoroshiro128plus(seed);
   const randomBetween = (from: number, to: number): number => uniformInt(generator, from, to);
@@ -191,7 +191,7 @@
   return { wanted: randomBetween(1, total), candidates };
 }
 
-/** What is lost by draining, in percent of the least possible. */
+/** The loss of the chosen preemptions, in percent of the optimum. */
 function drainLoss(): { cases: number; percent: Record<string, number> } {
   const histogram: Histogram = build({
     lowestDiscernibleValue: 1,
