--- a/test/fakes/rollout-scenario.ts
+++ b/test/fakes/rollout-scenario.ts
@@ -8,7 +8,7 @@
 import { RolloutChecker, rolloutApi, rolloutStatus, withRollouts } from './rollout-checker.js';
 import { SimulatedCluster, type JobTemplate, type MachineTemplate } from './simulated-cluster.js';
 
-/** Four machines with eight GPUs each, for two jobs of eight replicas with two GPUs each. */
+/** Four machines with eight GPUs each: room for both jobs, of eight replicas with two GPUs each. */
 const MACHINES = machines('aabb');
 export const REPLICAS = 8;
 export const MAX_SURGE = 2;
--- a/test/measurements/mixed-builds.ts
+++ b/test/measurements/mixed-builds.ts
@@ -362,7 +362,7 @@
     this.check(newLeader.program === expected, 'a controller of the other build takes over', names);
     await systemClock.sleep(SETTLE_MS);
     this.checkKept(before, 'a change of leader costs no task');
-    // The controller that was killed restarts as a follower.
+    // Restarts the controller that was killed, which then follows the new leader.
     this.restart(restartedWith === undefined ? ended : []);
   }
 
@@ -446,8 +446,8 @@
 ];
 
 const runs = SCENARIOS.map((scenario) => new MixedBuilds(scenario));
-await Promise.all(runs.map((trial) => trial.play()));
+await Promise.all(runs.map((run) => run.play()));
 for (const { lines } of runs) for (const line of lines) console.log(line);
-const failed = runs.reduce((sum, trial) => sum + trial.failed, 0);
+const failed = runs.reduce((sum, run) => sum + run.failed, 0);
 console.log(failed === 0 ? 'every check holds' : `${failed} checks do not hold`);
 process.exit(failed === 0 ? 0 : 1);
--- a/test/measurements/rollout.ts
+++ b/test/measurements/rollout.ts
@@ -13,7 +13,7 @@
 import { rolloutApi, rolloutStatus, withRollouts } from '../fakes/rollout-checker.js';
 import { SimulatedCluster, type JobTemplate } from '../fakes/simulated-cluster.js';
 
-/** The limits of the sample's teams are the capacity of eight machines. */
+/** Each of the sample's teams may use at most the capacity of eight machines. */
 const MACHINES_OF_SAMPLE = 8;
 const REPLICAS_PER_MACHINE = 2;
 const SURGE_SHARE = 0.1;
