--- a/test/fakes/faults.ts
+++ b/test/fakes/faults.ts
@@ -5,30 +5,30 @@
 
 type DirectCommand = Parameters<FakeWorker['direct']>[0];
 
-/** When copies of heartbeats arrive again: from 2 s to well over a lease later. */
-const COPY_MS = [2000, 18_000] as const;
-/** When transactions without an answer are carried out. */
-const WRITE_MS = [2000, 12_000] as const;
-/** For how long direct commands are held up. */
-const COMMAND_MS = [2000, 16_000] as const;
-/** The pauses after a leader became leader between which heartbeats kept for it arrive. */
-const NEXT_LEADER_MS = [5, 10, 10, 20, 40, 100, 300];
-
-/** What a share of something meets; 0: none of it. */
-interface Shares {
-  /** Transactions that get no answer and are carried out seconds later. */
+/** The delay of copies of heartbeats: from 2 s to well over a lease. */
+const COPY_DELAY_MS = [2000, 18_000] as const;
+/** The delay after which late transactions are applied. */
+const WRITE_DELAY_MS = [2000, 12_000] as const;
+/** The delay of late direct commands. */
+const COMMAND_DELAY_MS = [2000, 16_000] as const;
+/** The pauses between the replays of kept heartbeats to a new leader. */
+const REPLAY_PAUSES_MS = [5, 10, 10, 20, 40, 100, 300];
+
+/** The fraction of requests that each fault affects; 0 means none. */
+interface FaultShares {
+  /** Transactions that get no response and are applied seconds later. */
   lateWrites: number;
-  /** Transactions that are carried out at once and whose answers are lost. */
+  /** Transactions that are applied at once and whose responses are lost. */
   lostAnswers: number;
-  /** Reports of which a copy arrives again later. */
+  /** Heartbeats of which a copy arrives later. */
   lateReports: number;
-  /** Reports of which a copy is kept for the next leader. */
+  /** Heartbeats of which a copy is kept for the next leader. */
   reportsForNext: number;
-  /** Direct commands that are held up, unanswered, and carried out once. */
+  /** Direct commands that get no response and are executed once, later. */
   lateCommands: number;
 }
 
-/** A request of a controller to the store. */
+/** A request from a controller to the store. */
 export interface StoreRequest {
   node: number;
   method: string;
@@ -37,218 +37,218 @@
 }
 
 /**
- * The faults that scenarios are told in. All of them begin when they are called and last until
- * `over`, unless they say for how long.
+ * The faults that scenarios inject. Each starts when its method is called and lasts until `over`,
+ * unless the method takes a duration.
  */
 export class Faults {
-  readonly share: Shares = {
+  readonly share: FaultShares = {
     lateWrites: 0,
     lostAnswers: 0,
     lateReports: 0,
     reportsForNext: 0,
     lateCommands: 0,
   };
-  /** Copies of reports go to all controllers, not only to where the report went. */
+  /** Sends late copies of heartbeats to all controllers, not only to the first receiver. */
   copiesEverywhere = false;
-  private kept: object[] = [];
-  /** What else may become of requests to the store; the first that is not `serve` counts. */
+  private keptReports: object[] = [];
+  /** Further faults of store requests; the first result other than `serve` applies. */
   readonly storeFaults = new Set<(request: StoreRequest) => Fate>();
 
-  constructor(private readonly world: SimulatedCluster) {
-    world.store.onWrite = (key) => {
-      if (key === 'leader') void this.newLeader();
+  constructor(private readonly cluster: SimulatedCluster) {
+    cluster.store.onWrite = (key) => {
+      if (key === 'leader') void this.replayToNewLeader();
     };
   }
 
   // ---- the state service
 
-  /** It is down for everybody. */
+  /** Makes the store unavailable to all controllers. */
   outage(): void {
-    this.world.store.down = true;
+    this.cluster.store.down = true;
   }
 
-  /** It serves again after an outage. */
+  /** Ends a store outage. */
   outageOver(): void {
-    this.world.store.restore();
+    this.cluster.store.restore();
   }
 
-  /** It refuses one controller alone. */
+  /** Makes the store refuse the requests of one controller. */
   refuse(node: number): void {
-    this.world.nodes[node]!.fate = () => 'refuse';
+    this.cluster.nodes[node]!.fate = () => 'refuse';
   }
 
   serve(node: number): void {
-    this.world.nodes[node]!.fate = () => 'serve';
+    this.cluster.nodes[node]!.fate = () => 'serve';
   }
 
-  /** The fate of a request that nothing else has decided. */
-  storeFate(node: number, method: string, path: string, body: unknown): Fate {
+  /** The outcome of a store request for which the controller has no fault of its own. */
+  storeOutcome(node: number, method: string, path: string, body: unknown): Fate {
     for (const fault of this.storeFaults) {
-      const fate = fault({ node, method, path, body });
-      if (fate !== 'serve') return fate;
+      const outcome = fault({ node, method, path, body });
+      if (outcome !== 'serve') return outcome;
     }
     if (path !== '/txn') return 'serve';
-    const { random } = this.world;
+    const { random } = this.cluster;
     const { lateWrites, lostAnswers } = this.share;
     if (lateWrites > 0 && random.next() < lateWrites) {
-      return { applyAfterMs: random.between(...WRITE_MS) };
+      return { applyAfterMs: random.between(...WRITE_DELAY_MS) };
     }
     return lostAnswers > 0 && random.next() < lostAnswers ? 'lose answer' : 'serve';
   }
 
   // ---- controllers
 
-  /** A controller loses the store and the other controllers, not its workers and users. */
+  /** Cuts a controller off from the store and its peers, not from workers and users. */
   isolate(node: number): void {
     this.refuse(node);
-    this.world.wire.cut.add(this.world.nodes[node]!.name);
+    this.cluster.wire.cut.add(this.cluster.nodes[node]!.name);
   }
 
-  /** It reaches all again. */
+  /** Ends the isolation of a controller. */
   rejoin(node: number): void {
     this.serve(node);
-    this.world.wire.cut.delete(this.world.nodes[node]!.name);
+    this.cluster.wire.cut.delete(this.cluster.nodes[node]!.name);
   }
 
-  /** Controllers refuse each other's connections. */
+  /** Cuts all connections between controllers. */
   refusePeers(): void {
-    for (const node of this.world.nodes) this.world.wire.cut.add(node.name);
+    for (const node of this.cluster.nodes) this.cluster.wire.cut.add(node.name);
   }
 
-  /** Messages of these kinds get lost between controllers. */
+  /** Loses messages of these kinds between controllers. */
   loseMessages(...kinds: PeerMessage['kind'][]): void {
-    this.world.wire.loses = (_from, _to, message) => kinds.includes(message.kind);
+    this.cluster.wire.loses = (_from, _to, message) => kinds.includes(message.kind);
   }
 
-  /** A controller's answers to users and workers are held up. */
+  /** Delays a controller's responses to users and workers. */
   holdAnswers(node: number, ms: number): void {
-    this.world.nodes[node]!.heldMs = ms;
+    this.cluster.nodes[node]!.heldMs = ms;
   }
 
-  /** A controller ends and comes back after so many seconds. */
+  /** Kills a controller and starts it again after `afterS` seconds. */
   async restart(node: number, afterS: number): Promise<void> {
-    this.world.crash(node);
-    await this.world.pass(afterS);
-    this.world.restart(node);
+    this.cluster.crash(node);
+    await this.cluster.pass(afterS);
+    this.cluster.restart(node);
   }
 
-  /** All controllers end at once and come back after so many seconds. */
+  /** Kills all controllers at once and starts them again after `afterS` seconds. */
   async restartAll(afterS: number): Promise<void> {
-    for (const [i] of this.world.nodes.entries()) this.world.crash(i);
-    await this.world.pass(afterS);
-    for (const [i] of this.world.nodes.entries()) this.world.restart(i);
+    for (const [i] of this.cluster.nodes.entries()) this.cluster.crash(i);
+    await this.cluster.pass(afterS);
+    for (const [i] of this.cluster.nodes.entries()) this.cluster.restart(i);
   }
 
-  /** The leader ends and comes back a little later; answers which it was. */
+  /** Kills the leader and starts it again after `backAfterS` seconds; returns its index. */
   async endLeader(backAfterS: number): Promise<number> {
-    const { leader } = this.world;
+    const { leader } = this.cluster;
     if (leader >= 0) await this.restart(leader, backAfterS);
     return leader;
   }
 
   // ---- machines
 
-  /** Machines hang, and go on after so many seconds. */
+  /** Makes machines hang for `seconds`. */
   hang(workers: FakeWorker[], seconds: number): void {
     for (const worker of workers) worker.hung = true;
-    void this.world.clock.sleep(seconds * 1000).then(() => {
+    void this.cluster.clock.sleep(seconds * 1000).then(() => {
       for (const worker of workers) worker.hung = false;
     });
   }
 
-  /** Machines reach nobody and nobody reaches them. */
+  /** Cuts machines off in both directions. */
   cutOff(workers: FakeWorker[]): void {
     for (const worker of workers) worker.mute = worker.deaf = true;
   }
 
-  /** The reports of these machines arrive; answers and direct commands get lost. */
+  /** Loses responses and direct commands to these machines; their heartbeats arrive. */
   deafen(workers: FakeWorker[]): void {
     for (const worker of workers) worker.deaf = true;
   }
 
-  /** These machines reach no controller, while direct commands reach them. */
+  /** Loses the heartbeats of these machines; direct commands reach them. */
   mute(workers: FakeWorker[]): void {
     for (const worker of workers) worker.mute = true;
   }
 
-  /** A direct command's way to a worker; null: no answer. */
+  /** Delivers a direct command to a worker; null means no response. */
   async direct(
     worker: FakeWorker,
     command: DirectCommand,
     timeoutMs: number,
   ): Promise<ReturnType<FakeWorker['direct']>> {
-    const { clock, random } = this.world;
+    const { clock, random } = this.cluster;
     if (this.share.lateCommands === 0 || random.next() >= this.share.lateCommands) {
       return worker.direct(command);
     }
-    void clock.sleep(random.between(...COMMAND_MS)).then(() => worker.direct(command));
+    void clock.sleep(random.between(...COMMAND_DELAY_MS)).then(() => worker.direct(command));
     await clock.sleep(timeoutMs);
     return null;
   }
 
-  // ---- reports that come again
+  // ---- repeated heartbeats
 
-  /** Makes the copies of a heartbeat that has just been sent. */
+  /** Creates the copies of a heartbeat that has just been sent, as the fault shares say. */
   copyReport(node: number, report: object): void {
     const { lateReports, reportsForNext } = this.share;
-    const { clock, random } = this.world;
+    const { clock, random } = this.cluster;
     if (reportsForNext > 0 && random.next() < reportsForNext)
-      this.kept.push(structuredClone(report));
+      this.keptReports.push(structuredClone(report));
     if (lateReports === 0 || random.next() >= lateReports) return;
     const copy = structuredClone(report);
-    void clock.sleep(random.between(...COPY_MS)).then(() => {
+    void clock.sleep(random.between(...COPY_DELAY_MS)).then(() => {
       if (this.copiesEverywhere) this.everywhere(copy);
       else this.deliver(node, copy);
     });
   }
 
-  /** A copy of a heartbeat reaches every controller now. */
+  /** Delivers a copy of a heartbeat to every controller now. */
   everywhere(report: object): void {
-    for (const [i] of this.world.nodes.entries()) this.deliver(i, report);
+    for (const [i] of this.cluster.nodes.entries()) this.deliver(i, report);
   }
 
   private deliver(node: number, report: object): void {
-    void this.world.deliver(node, report).catch(() => undefined);
+    void this.cluster.deliver(node, report).catch(() => undefined);
   }
 
-  /** What was kept arrives, the oldest first, again and again while the leader finds its way. */
-  private async newLeader(): Promise<void> {
-    const kept = this.kept.splice(0);
-    for (const ms of NEXT_LEADER_MS) {
-      await this.world.clock.sleep(ms);
+  /** Delivers the kept heartbeats, oldest first, several times while the new leader takes over. */
+  private async replayToNewLeader(): Promise<void> {
+    const kept = this.keptReports.splice(0);
+    for (const ms of REPLAY_PAUSES_MS) {
+      await this.cluster.clock.sleep(ms);
       for (const report of kept) this.everywhere(report);
     }
   }
 
-  /** Keeps copies of reports for the next leader, which gets them first of all. */
+  /** Keeps copies of heartbeats for the next leader, which gets them before any others. */
   keepForNext(reports: object[]): void {
-    this.kept.push(...reports);
+    this.keptReports.push(...reports);
   }
 
   // ---- the end of all faults
 
-  /** Everything is as it should be again; what has been sent may still arrive. */
+  /** Ends all faults; messages that are already on their way may still arrive. */
   over(): void {
-    const { world } = this;
-    if (world.store.down) world.store.restore();
-    world.store.slowMs = 0;
-    world.split(false);
-    world.directOpen = true;
-    world.wire.cut.clear();
-    world.wire.loses = () => false;
-    world.cloud.hidden.clear();
-    world.cloud.down = false;
+    const { cluster } = this;
+    if (cluster.store.down) cluster.store.restore();
+    cluster.store.slowMs = 0;
+    cluster.split(false);
+    cluster.directOpen = true;
+    cluster.wire.cut.clear();
+    cluster.wire.loses = () => false;
+    cluster.cloud.unlisted.clear();
+    cluster.cloud.down = false;
     this.storeFaults.clear();
     this.copiesEverywhere = false;
-    for (const name of Object.keys(this.share) as (keyof Shares)[]) this.share[name] = 0;
-    for (const [i, node] of world.nodes.entries()) {
+    for (const name of Object.keys(this.share) as (keyof FaultShares)[]) this.share[name] = 0;
+    for (const [i, node] of cluster.nodes.entries()) {
       node.open = node.usersOpen = true;
       node.heldMs = 0;
-      node.lateMs = () => 0;
-      if (!node.controller) world.restart(i);
+      node.processingDelayMs = () => 0;
+      if (!node.controller) cluster.restart(i);
       else node.fate = () => 'serve';
     }
-    for (const worker of world.workers.values()) worker.hung = worker.deaf = worker.mute = false;
-    world.checker.calm();
+    for (const worker of cluster.workers.values()) worker.hung = worker.deaf = worker.mute = false;
+    cluster.checker.calm();
   }
 }
--- a/test/fakes/nodes.ts
+++ b/test/fakes/nodes.ts
@@ -8,52 +8,52 @@
 import { FakeStore, type Fate } from './store.js';
 import { fakeRandom, settings } from './simulated-cluster.js';
 
-/** How long the nodes keep a user who submits or cancels, and one who asks. */
+/** How long the nodes hold a submission or cancellation, and a query. */
 export const SUBMIT_MS = 4000;
 export const POLL_MS = 1600;
 
 const log = { error() {}, warn() {}, info() {}, debug() {} };
 
-interface Sent {
+interface SentRequest {
   node: number;
   path: string;
   body: { when: { k: string }[]; then: { write?: string; value?: unknown }[] } | null;
 }
 
-/** Several nodes that answer users above one store, with no leader, workers or cloud. */
+/** Several nodes that answer users from one store, without a leader, workers or a cloud. */
 export class Nodes {
   readonly clock = new FakeClock();
   readonly store = new FakeStore(this.clock);
-  readonly sent: Sent[] = [];
-  /** What happens to a request of a node on its way. */
-  fate: (sent: Sent) => Fate = () => 'serve';
-  /** What the leader says of open jobs, and by how much timers are late. */
+  readonly sent: SentRequest[] = [];
+  /** Decides the outcome of a node's request to the store. */
+  fate: (sent: SentRequest) => Fate = () => 'serve';
+  /** The number of open jobs that the leader reports, and the lag of timers. */
   openJobs = 0;
   lagMs = 0;
   private readonly apis: JobApi[] = [];
-  private lives = 0;
+  private processCount = 0;
 
   constructor(
     count: number,
     private readonly limits: Partial<Settings['state']> = {},
-    /** How many controllers the settings name. */
+    /** The number of controllers in the settings. */
     private readonly size = settings().size,
   ) {
     for (let i = 0; i < count; i++) this.restart(i);
   }
 
-  /** The node begins anew, with nothing in memory. */
+  /** Restarts the node with empty memory. */
   restart(node: number): void {
-    const base = settings();
-    const changed = { ...base, size: this.size, state: { ...base.state, ...this.limits } };
-    const random = fakeRandom(`node-${node}.${++this.lives}`);
+    const sample = settings();
+    const changed = { ...sample, size: this.size, state: { ...sample.state, ...this.limits } };
+    const random = fakeRandom(`node-${node}.${++this.processCount}`);
     const runtime = { clock: this.clock, random, log, startedAt: 0 };
     const link = this.store.link((_method, path, body) =>
-      this.fate({ node, path, body: body as Sent['body'] }),
+      this.fate({ node, path, body: body as SentRequest['body'] }),
     );
     const transport: Transport = {
       request: (method, path, body, ...rest) => {
-        this.sent.push({ node, path, body: structuredClone(body) as Sent['body'] });
+        this.sent.push({ node, path, body: structuredClone(body) as SentRequest['body'] });
         return link.request(method, path, body, ...rest);
       },
     };
@@ -74,16 +74,21 @@
     );
   }
 
-  submit(node: number, ref: string, waitsOn?: unknown, more: object = {}): Promise<ApiResponse> {
+  submit(
+    node: number,
+    ref: string,
+    waitsOn?: unknown,
+    overrides: object = {},
+  ): Promise<ApiResponse> {
     const body = waitsOn === undefined ? { ...BODY, ref } : { ...BODY, ref, waitsOn };
-    return this.after(this.apis[node]!.submit({ ...body, ...more }));
+    return this.after(this.apis[node]!.submit({ ...body, ...overrides }));
   }
 
   abort(node: number, ref: string): Promise<ApiResponse> {
     return this.after(this.aborting(node, ref));
   }
 
-  /** The same without letting time pass. */
+  /** Like `submit`, without advancing the clock. */
   submitting(node: number, ref: string): Promise<ApiResponse> {
     return this.apis[node]!.submit({ ...BODY, ref });
   }
@@ -101,12 +106,12 @@
     return answer.status === 200 ? (answer.body as { phase: string }).phase : String(answer.status);
   }
 
-  /** Writes a job's record as a leader does when the job is over. */
+  /** Writes the record of an ended job, as a leader does. */
   finish(ref: string, phase: 'done' | 'cancelled'): void {
     this.put(`jobs/${ref}`, { w: 'leader', phase, tasks: 1 });
   }
 
-  /** Jobs of one task that are accepted and open. */
+  /** Stores records of accepted, open jobs with one task each. */
   acceptAll(refs: string[]): void {
     for (const ref of refs) this.put(`jobs/${ref}`, { w: 'w', phase: 'open', tasks: 1 });
   }
@@ -115,13 +120,13 @@
     this.store.write(key, value);
   }
 
-  /** The answer, and after how many milliseconds it came. */
-  async timed(asked: Promise<ApiResponse>): Promise<ApiResponse & { afterMs: number }> {
+  /** Returns the response, and the milliseconds until it arrived. */
+  async timed(pending: Promise<ApiResponse>): Promise<ApiResponse & { afterMs: number }> {
     const from = this.clock.now();
-    let got: ApiResponse | null = null;
-    void asked.then((a) => (got = a));
-    for (let ms = 0; got === null && ms < 10_000; ms += 10) await this.clock.advance(10);
-    return { ...got!, afterMs: this.clock.now() - from };
+    let response: ApiResponse | null = null;
+    void pending.then((a) => (response = a));
+    for (let ms = 0; response === null && ms < 10_000; ms += 10) await this.clock.advance(10);
+    return { ...response!, afterMs: this.clock.now() - from };
   }
 
   async after<T>(promise: Promise<T>): Promise<T> {
--- a/test/fakes/operators.ts
+++ b/test/fakes/operators.ts
@@ -3,21 +3,21 @@
 import type { Extension } from '../../src/control/extensions/extension.js';
 import type { SimulatedCluster } from './simulated-cluster.js';
 
-/** For so many seconds a controller may not serve. */
-const MOST_SECONDS = 60;
+/** The longest time for which a controller may be unavailable. */
+const MAX_WAIT_SECONDS = 60;
 
-/** A part of one controller; undefined: the controller is down, or has the part switched off. */
+/** An extension of one controller; undefined if it is disabled or the controller is down. */
 export function extensionOf<Part extends Extension>(
-  world: SimulatedCluster,
+  cluster: SimulatedCluster,
   node: number,
-  kind: abstract new (...parts: never[]) => Part,
+  extensionClass: abstract new (...parts: never[]) => Part,
 ): Part | undefined {
-  const extensions = world.nodes[node]!.controller?.extensions ?? [];
-  return extensions.find((extension): extension is Part => extension instanceof kind);
+  const extensions = cluster.nodes[node]!.controller?.extensions ?? [];
+  return extensions.find((extension): extension is Part => extension instanceof extensionClass);
 }
 
-/** The interface of a part, such that what operators ask and are answered there shows at its border. */
-export function observed<Api extends object>(world: SimulatedCluster, node: number, api: Api): Api {
+/** Wraps the API of an extension, so that operators' requests and responses are traced. */
+export function traced<Api extends object>(cluster: SimulatedCluster, node: number, api: Api): Api {
   return new Proxy(api, {
     get: (target, name) => {
       const member: unknown = Reflect.get(target, name);
@@ -25,7 +25,13 @@
       return (...args: unknown[]): unknown => {
         const result: unknown = Reflect.apply(member, target, args);
         void Promise.resolve(result).then((answer) =>
-          world.onCrossing('operator', world.nodes[node]!.name, String(name), args, answer),
+          cluster.onBoundaryCrossing(
+            'operator',
+            cluster.nodes[node]!.name,
+            String(name),
+            args,
+            answer,
+          ),
         );
         return result;
       };
@@ -33,16 +39,16 @@
   });
 }
 
-/** Asks each second until the controller serves; `ask` answers undefined while it is down. */
+/** Retries every second until the controller serves; `ask` returns undefined while it is down. */
 export async function askUntilServed(
   cluster: SimulatedCluster,
   ask: () => Promise<ApiAnswer> | undefined,
 ): Promise<ApiAnswer> {
-  for (let i = 0; i < MOST_SECONDS; i++) {
-    const asked = ask();
-    const answer = asked ? await cluster.drive(asked) : null;
+  for (let i = 0; i < MAX_WAIT_SECONDS; i++) {
+    const request = ask();
+    const answer = request ? await cluster.drive(request) : null;
     if (answer && answer.status !== 503) return answer;
     await cluster.pass(1);
   }
-  return assert.fail('never served');
+  return assert.fail('the controller never served the request');
 }
--- a/test/fakes/program.ts
+++ b/test/fakes/program.ts
@@ -8,28 +8,29 @@
   redirectResponse,
   heartbeatResponse,
 } from '../../src/wire/worker-heartbeat.js';
-import type { Answered } from './worker.js';
+import type { ReportResponse } from './worker.js';
 
-/** How a version writes and reads frames between controllers. */
+/** How a version encodes and decodes the frames between controllers. */
 export interface FrameCodec {
   encode(message: PeerMessage): Buffer;
   Decoder: new () => { push(chunk: Buffer): PeerMessage[] };
 }
 
-/** One version of the controller, as a scenario runs it: this tree's, or an earlier one. */
+/** A controller version that scenarios can run: that of this tree, or an earlier one. */
 export interface Program {
   readonly version: string;
   readonly frames: FrameCodec;
-  create(settings: Settings, runtime: Runtime, links: ControllerDependencies): Controller;
-  /** Answers a worker's report, from the bytes that arrive to those that leave. */
-  answerReport(controller: Controller, body: unknown): Promise<Answered>;
+  create(settings: Settings, runtime: Runtime, dependencies: ControllerDependencies): Controller;
+  /** Parses a worker's heartbeat, passes it to the controller and encodes the response. */
+  answerReport(controller: Controller, body: unknown): Promise<ReportResponse>;
 }
 
-/** The controller of this tree. */
+/** The controller version of this tree. */
 export const CURRENT: Program = {
   version: 'current',
   frames: { encode, Decoder },
-  create: (settings, runtime, links) => new Controller(settings, OPERATOR_DEFAULTS, runtime, links),
+  create: (settings, runtime, dependencies) =>
+    new Controller(settings, OPERATOR_DEFAULTS, runtime, dependencies),
   answerReport: async (controller, body) => {
     const report = parseHeartbeat(body);
     if (!report) return { status: 400, body: {} };
--- a/test/fakes/rule-checker.ts
+++ b/test/fakes/rule-checker.ts
@@ -1,39 +1,39 @@
-import { jobRequestOf, whyRefused } from './job-request.js';
+import { jobRequestOf, rejectionReason } from './job-request.js';
 import { AnswerRules } from './rules/answers.js';
 import { CancellationRule } from './rules/cancellation.js';
-import { onMachine } from './rules/model.js';
+import { hasImage } from './rules/model.js';
 import type {
   Action,
   CheckerOptions,
   LateStart,
   MachineSeen,
-  Question,
-  Told,
+  UserRequest,
+  UserAnswer,
   Violation,
 } from './rules/model.js';
-import { Observed } from './rules/observed.js';
-import { SilenceRule } from './rules/silence.js';
-import { judgeOrder, judgePlace, judgeTwice } from './rules/starts.js';
-import { judgeQuota, judgeRoom } from './rules/usage.js';
-import { judgeWaiting } from './rules/waiting.js';
+import { ObservedState } from './rules/observed.js';
+import { UnansweredRule } from './rules/silence.js';
+import { checkDependencies, checkPlacement, checkDuplicate } from './rules/starts.js';
+import { checkQuota, checkCapacity } from './rules/usage.js';
+import { checkWaiting } from './rules/waiting.js';
 
 export type * from './rules/model.js';
 
 /**
- * All rules of the protocol, judged from outside: by what users were told at any node, and by what
- * really is on the machines. It knows nothing of the controllers' records. Each rule has a module in
- * `rules/`; what they are judged by is kept here.
+ * Checks all rules of the protocol as a black box: by the responses that users got from any node,
+ * and by the tasks that are actually on the machines, without the controllers' records. The rules
+ * are in the modules of `rules/`; this class passes observations to them.
  */
 export class RuleChecker {
-  private readonly seen: Observed;
+  private readonly seen: ObservedState;
   private readonly answers: AnswerRules;
-  private readonly silence: SilenceRule;
+  private readonly unanswered: UnansweredRule;
   private readonly cancellation: CancellationRule;
 
   constructor(options: CheckerOptions) {
-    this.seen = new Observed(options);
+    this.seen = new ObservedState(options);
     this.answers = new AnswerRules(this.seen);
-    this.silence = new SilenceRule(this.seen);
+    this.unanswered = new UnansweredRule(this.seen);
     this.cancellation = new CancellationRule(this.seen);
   }
 
@@ -45,68 +45,68 @@
     return this.cancellation.startsAfterCancel;
   }
 
-  /** All faults are over from now on. */
+  /** Tells the checker that all faults are over. */
   calm(): void {
-    this.seen.calmSince = this.seen.now;
-    for (const job of this.seen.all()) job.fittingSince = null;
+    this.seen.faultFreeSince = this.seen.now;
+    for (const job of this.seen.jobHistories()) job.placeableSince = null;
   }
 
-  /** There is fault again. */
+  /** Tells the checker that there are faults again. */
   trouble(): void {
-    this.seen.calmSince = null;
+    this.seen.faultFreeSince = null;
   }
 
-  // ---- what users ask and are told
+  // ---- user requests and responses
 
-  asked(action: Action, ref: string, node: string, body?: unknown): Question {
-    const question = { action, ref, node, askedAt: this.seen.now, answered: false };
+  asked(action: Action, ref: string, node: string, body?: unknown): UserRequest {
+    const request = { action, ref, node, sentAt: this.seen.now, answered: false };
     if (action === 'submit') this.submitted(ref, body);
     if (action === 'abort') {
       const job = this.seen.job(ref);
-      job.abortAskedAt = Math.min(job.abortAskedAt, this.seen.now);
+      job.cancelRequestedAt = Math.min(job.cancelRequestedAt, this.seen.now);
     }
-    return question;
+    return request;
   }
 
   private submitted(ref: string, body: unknown): void {
     const job = this.seen.job(ref);
-    job.submitAskedAt = Math.min(job.submitAskedAt, this.seen.now);
+    job.firstSubmittedAt = Math.min(job.firstSubmittedAt, this.seen.now);
     const request = jobRequestOf(body);
-    job.sound ||= whyRefused(body, this.seen.options.fleet) === null;
-    // A repeat may say anything: what counts is the job as it was accepted.
+    job.hasValidSubmission ||= rejectionReason(body, this.seen.options.fleet) === null;
+    // A repeated submission may differ; the job stays as it was accepted.
     if (request && job.acceptedAt === null) job.request = request;
   }
 
-  answered(q: Question, told: Told, body?: unknown): void {
-    if (q.answered) return;
-    q.answered = true;
-    this.silence.judge(q, told);
-    this.answers.judge(q, told, body);
+  answered(request: UserRequest, answer: UserAnswer, body?: unknown): void {
+    if (request.answered) return;
+    request.answered = true;
+    this.unanswered.check(request, answer);
+    this.answers.check(request, answer, body);
   }
 
-  // ---- what happens on machines
+  // ---- events on machines
 
-  /** A task has its image and is on its machine from now on. */
+  /** Called when a task has its image and so counts as on its machine. */
   started(machine: MachineSeen, job: string, task: number): void {
     const history = this.seen.job(job);
     const machines = this.seen.options.machines();
-    judgeTwice(this.seen, machines, machine, `${job}/${task}`);
-    judgePlace(this.seen, machines, machine, history, task);
-    judgeQuota(this.seen, machines);
-    judgeOrder(this.seen, machine, history, task);
+    checkDuplicate(this.seen, machines, machine, `${job}/${task}`);
+    checkPlacement(this.seen, machines, machine, history, task);
+    checkQuota(this.seen, machines);
+    checkDependencies(this.seen, machine, history, task);
     this.cancellation.started(machine, history, task);
   }
 
-  /** A job that was accepted and done before the scenario began. */
+  /** Records a job that was accepted and done before the scenario started. */
   doneBefore(ref: string): void {
     const job = this.seen.job(ref);
-    job.submitAskedAt = -Infinity;
+    job.firstSubmittedAt = -Infinity;
     job.acceptedAt = -Infinity;
     job.final = { phase: 'done', at: -Infinity };
-    job.doneBefore = true;
+    job.doneBeforeStart = true;
   }
 
-  /** A task has completed; of a gang all do together. */
+  /** Called when a task has completed; all tasks of a gang complete together. */
   completed(job: string, task: number): void {
     const history = this.seen.job(job);
     const { request } = history;
@@ -115,18 +115,18 @@
     else history.completed.add(task);
   }
 
-  // ---- looked at again and again
+  // ---- repeated checks
 
-  /** Judges the present moment: called at every step of a scenario and at its end. */
+  /** Checks the current state; called at every step of a scenario and at its end. */
   check(): void {
     const machines = this.seen.options.machines();
-    judgeQuota(this.seen, machines);
+    checkQuota(this.seen, machines);
     for (const machine of machines) {
-      judgeRoom(this.seen, machine);
-      for (const task of machine.tasks) if (onMachine(task)) this.cancellation.judge(machine, task);
+      checkCapacity(this.seen, machine);
+      for (const task of machine.tasks) if (hasImage(task)) this.cancellation.check(machine, task);
     }
-    if (this.seen.calmSince !== null) {
-      for (const job of this.seen.all()) judgeWaiting(this.seen, machines, job);
+    if (this.seen.faultFreeSince !== null) {
+      for (const job of this.seen.jobHistories()) checkWaiting(this.seen, machines, job);
     }
   }
 }
--- a/test/fakes/rules/model.ts
+++ b/test/fakes/rules/model.ts
@@ -1,24 +1,24 @@
-/** What the rules are judged by: what users say and are told, and what really is on the machines. */
-import type { FleetFacts, JobRequest } from '../job-request.js';
+/** The observations that the rules check: user requests and answers, and the machines' tasks. */
+import type { FleetLimits, JobRequest } from '../job-request.js';
 
 export type TaskState = 'fetching' | 'gathering' | 'running' | 'flushing';
 
-export interface TaskSeen {
+export interface ObservedTask {
   job: string;
   task: number;
   state: TaskState;
 }
 
-/** One machine as it really is, whatever the controllers believe. */
+/** The actual state of a machine, which may differ from what the controllers assume. */
 export interface MachineSeen {
   id: string;
   type: string;
   zone: string;
   spot: boolean;
-  /** Its worker works, hears its answers and is not about to be taken away. */
+  /** Its worker runs, can communicate in both directions and is not about to be taken away. */
   usable: boolean;
-  /** All that has not ended, also on a machine that hangs or can't be reached. */
-  tasks: TaskSeen[];
+  /** All tasks that have not ended, also on a machine that hangs or cannot be reached. */
+  tasks: ObservedTask[];
 }
 
 export type Rule =
@@ -46,66 +46,70 @@
 
 export type Action = 'submit' | 'query' | 'abort';
 
-/** One request of a user, from when it was sent. */
-export interface Question {
+/** One request of a user. */
+export interface UserRequest {
   action: Action;
   ref: string;
   node: string;
-  askedAt: number;
+  sentAt: number;
   answered: boolean;
 }
 
-/** What a user got: `status` 0 stands for no answer in time or a connection that broke. */
-export interface Told {
+/** The answer that a user got; `status` 0 means no answer in time or a broken connection. */
+export interface UserAnswer {
   status: number;
   phase: string | null;
 }
 
 export interface CheckerOptions {
-  fleet: FleetFacts;
+  fleet: FleetLimits;
   cancelMs: number;
   now(): number;
   machines(): MachineSeen[];
 }
 
-/** All that was seen of one job from outside. */
+/** All observations of one job. */
 export interface JobHistory {
   ref: string;
-  /** The first sound submission; null while there was none. */
+  /** The last well-formed submission until it was accepted; null if there was none. */
   request: JobRequest | null;
-  /** One of its submissions had to be accepted. */
-  sound: boolean;
-  submitAskedAt: number;
-  abortAskedAt: number;
+  /** Whether one of its submissions had to be accepted. */
+  hasValidSubmission: boolean;
+  firstSubmittedAt: number;
+  cancelRequestedAt: number;
   acceptedAt: number | null;
   final: { phase: 'done' | 'withdrawn'; at: number } | null;
   readonly completed: Set<number>;
-  doneBefore: boolean;
-  /** Since when every question about it has failed; null while the last one was answered. */
+  doneBeforeStart: boolean;
+  /** Since when all requests for it have failed; null if the last one succeeded. */
   unansweredSince: number | null;
-  /** Since when it has waited beside room that fits. */
-  fittingSince: number | null;
+  /** Since when it has waited although a task of it could be placed. */
+  placeableSince: number | null;
 }
 
-/** A start after a cancellation was confirmed: not allowed, but within `cancel_s` not yet a breach. */
+/** A start after a confirmed cancellation; it violates the rule only after `cancel_s`. */
 export interface LateStart {
   task: string;
-  /** How long after the confirmation. */
+  /** The time since the confirmation. */
   afterMs: number;
 }
 
-/** All its tasks are done; a service never is. */
-export const isComplete = ({ doneBefore, request, completed }: JobHistory): boolean =>
+/** Whether all tasks are done; a service is never complete. */
+export const isComplete = ({
+  doneBeforeStart: doneBefore,
+  request,
+  completed,
+}: JobHistory): boolean =>
   doneBefore || (!!request && request.shape !== 'service' && completed.size === request.pieces);
 
-/** A task counts from the moment it has its image. */
-export const onMachine = (t: TaskSeen): boolean => t.state !== 'fetching';
+/** A task counts as on its machine from the moment it has its image. */
+export const hasImage = (task: ObservedTask): boolean => task.state !== 'fetching';
 
 export const spreadLimit = (request: JobRequest): number => Math.ceil(request.pieces / 2);
 
-/** A task of it may be on such a machine. */
-export function allowsMachine(request: JobRequest, m: MachineSeen): boolean {
-  if (request.hulls !== null && !request.hulls.includes(m.type)) return false;
-  if (request.yard !== null && request.yard !== m.zone) return false;
-  return request.driftwood || !m.spot;
+/** Whether a job allows its tasks on a machine. */
+export function allowsMachine(request: JobRequest, machine: MachineSeen): boolean {
+  if (request.hulls !== null && !request.hulls.includes(machine.type)) return false;
+  if (request.yard !== null && request.yard !== machine.zone) return false;
+  return request.driftwood || !machine.spot;
 }
--- a/test/fakes/rules/observed.ts
+++ b/test/fakes/rules/observed.ts
@@ -4,15 +4,15 @@
   JobHistory,
   MachineSeen,
   Rule,
-  TaskSeen,
+  ObservedTask,
   Violation,
 } from './model.js';
 
-/** All that was seen so far, and the breaches found in it. Every rule reads it, none changes another's. */
-export class Observed {
+/** All observations so far, which every rule reads, and the violations found in them. */
+export class ObservedState {
   readonly violations: Violation[] = [];
-  /** Since when there has been no fault; null while there is. */
-  calmSince: number | null = null;
+  /** Since when there have been no faults; null while there are. */
+  faultFreeSince: number | null = null;
   private readonly jobs = new Map<string, JobHistory>();
   private readonly reported = new Set<string>();
 
@@ -22,13 +22,13 @@
     return this.options.now();
   }
 
-  /** All jobs that anybody has named. */
-  all(): Iterable<JobHistory> {
+  /** The histories of all jobs that any request or task has named. */
+  jobHistories(): Iterable<JobHistory> {
     return this.jobs.values();
   }
 
-  /** As it was accepted or submitted last; null if it was never soundly submitted. */
-  private requestOf(ref: string): JobRequest | null {
+  /** The accepted, or else the last well-formed submission; null if there was none. */
+  private submissionOf(ref: string): JobRequest | null {
     return this.jobs.get(ref)?.request ?? null;
   }
 
@@ -38,22 +38,22 @@
       job = {
         ref,
         request: null,
-        sound: false,
-        submitAskedAt: Infinity,
-        abortAskedAt: Infinity,
+        hasValidSubmission: false,
+        firstSubmittedAt: Infinity,
+        cancelRequestedAt: Infinity,
         acceptedAt: null,
         final: null,
         completed: new Set(),
-        doneBefore: false,
+        doneBeforeStart: false,
         unansweredSince: null,
-        fittingSince: null,
+        placeableSince: null,
       };
       this.jobs.set(ref, job);
     }
     return job;
   }
 
-  /** Each breach is told once, at its first moment. */
+  /** Records a violation; the same one is recorded only the first time. */
   report(rule: Rule, what: string): void {
     if (this.reported.has(`${rule} ${what}`)) return;
     this.reported.add(`${rule} ${what}`);
@@ -62,16 +62,16 @@
 
   // ---- pipelines
 
-  before(job: JobHistory): JobHistory[] {
+  dependenciesOf(job: JobHistory): JobHistory[] {
     return (job.request?.waitsOn ?? []).map((ref) => this.job(ref));
   }
 
-  /** All jobs that it needs, directly or through others. */
-  ancestors(job: JobHistory): readonly JobHistory[] {
-    if (!job.request || job.request.waitsOn.length === 0) return NONE;
+  /** All direct and indirect dependencies of a job. */
+  allDependenciesOf(job: JobHistory): readonly JobHistory[] {
+    if (!job.request || job.request.waitsOn.length === 0) return NO_JOBS;
     const found = new Set<JobHistory>();
     const add = (j: JobHistory): void => {
-      for (const other of this.before(j)) {
+      for (const other of this.dependenciesOf(j)) {
         if (found.has(other)) continue;
         found.add(other);
         add(other);
@@ -83,11 +83,11 @@
 
   // ---- machines
 
-  /** Which tasks of a job are in which zone. */
+  /** The tasks of a job in each zone, as far as `counts` includes them. */
   zonesOf(
     machines: MachineSeen[],
     job: string,
-    counts: (t: TaskSeen) => boolean,
+    counts: (t: ObservedTask) => boolean,
   ): Map<string, Set<number>> {
     const zones = new Map<string, Set<number>>();
     for (const machine of machines) {
@@ -101,12 +101,12 @@
     return zones;
   }
 
-  /** What the teams' tasks take together, of those that count. */
-  usedByTeam(machines: MachineSeen[], counts: (t: TaskSeen) => boolean): Map<string, Amounts> {
+  /** The total resources of each team's tasks, as far as `counts` includes them. */
+  usedByTeam(machines: MachineSeen[], counts: (t: ObservedTask) => boolean): Map<string, Amounts> {
     const teams = new Map<string, Amounts>();
     for (const machine of machines) {
       for (const task of machine.tasks) {
-        const request = this.requestOf(task.job);
+        const request = this.submissionOf(task.job);
         if (!request || !counts(task)) continue;
         const used = teams.get(request.crew) ?? { cpus: 0, gpus: 0 };
         used.cpus += request.vcpus;
@@ -117,11 +117,11 @@
     return teams;
   }
 
-  /** Below zero where the machine holds more than it has room for. */
-  freeRoom(m: MachineSeen): { cpus: number; gpus: number; memoryGb: number } {
-    const free = { ...this.options.fleet.types.get(m.type)!.room };
-    for (const task of m.tasks) {
-      const request = this.requestOf(task.job);
+  /** The free capacity of a machine; negative if it is overcommitted. */
+  freeCapacity(machine: MachineSeen): { cpus: number; gpus: number; memoryGb: number } {
+    const free = { ...this.options.fleet.types.get(machine.type)!.room };
+    for (const task of machine.tasks) {
+      const request = this.submissionOf(task.job);
       if (!request) continue;
       free.cpus -= request.vcpus;
       free.gpus -= request.gpus;
@@ -131,4 +131,4 @@
   }
 }
 
-const NONE: readonly JobHistory[] = [];
+const NO_JOBS: readonly JobHistory[] = [];
--- a/test/fakes/samples.ts
+++ b/test/fakes/samples.ts
@@ -7,7 +7,7 @@
   TeamView,
 } from '../../src/scheduler/scheduling-model.js';
 
-/** A machine type and a job that scenarios of the scheduler vary. */
+/** The machine type that scheduler tests use. */
 export const TYPE: MachineType = {
   name: 'g8',
   capacity: { cpus: 48, gpus: 8, memoryGb: 288 },
@@ -19,8 +19,8 @@
   zones: ['a', 'b'],
 };
 
-/** An empty machine as a scheduling cycle sees it. */
-export function machine(id: string, view: Partial<MachineView> = {}): MachineView {
+/** An empty machine in the view of a scheduling cycle. */
+export function machine(id: string, overrides: Partial<MachineView> = {}): MachineView {
   return {
     id,
     type: TYPE,
@@ -33,10 +33,11 @@
     tasksByJob: new Map(),
     replicas: 0,
     idleTimeoutMs: 40_000,
-    ...view,
+    ...overrides,
   };
 }
 
+/** The job that scheduler tests vary. */
 export const SPEC: JobSpec = {
   jobClass: 'c',
   team: 'vision',
@@ -57,8 +58,8 @@
   deadlineMs: null,
 };
 
-/** A job as a scheduling cycle sees it: all of its tasks wait. */
-export function jobView(id: string, spec: JobSpec, view: Partial<JobView> = {}): JobView {
+/** A job in the view of a scheduling cycle, with all of its tasks waiting. */
+export function jobView(id: string, spec: JobSpec, overrides: Partial<JobView> = {}): JobView {
   return {
     id,
     spec,
@@ -74,14 +75,14 @@
     isAdmissible: true,
     isLastResortRetry: false,
     opportunisticConcurrency: null,
-    ...view,
+    ...overrides,
   };
 }
 
-/** What a scheduling cycle looks at where there is nothing but teams. */
+/** The input of a scheduling cycle, empty except for the teams. */
 export function snapshotWith(
   teams: ReadonlyMap<string, TeamView>,
-  what: Partial<Snapshot> = {},
+  overrides: Partial<Snapshot> = {},
 ): Snapshot {
   return {
     machines: [],
@@ -95,11 +96,11 @@
     preemptionCandidates: [],
     movableReplicas: [],
     isGateClosed: false,
-    ...what,
+    ...overrides,
   };
 }
 
-/** A sound submission but for its `ref`; what may be null is left out. */
+/** A valid submission except for the missing `ref`; nullable fields are left out. */
 export const SUBMISSION = {
   lane: 'train',
   crew: 'vision',
--- a/test/fakes/simulated-cluster.ts
+++ b/test/fakes/simulated-cluster.ts
@@ -5,98 +5,99 @@
 import { FakeCloud } from './cloud.js';
 import { SimulatedControllers, type LogLine, type SimulatedController } from './controllers.js';
 import { JobFactory, type JobTemplate } from './job-factory.js';
-import { SimulatedMachines, seenOn } from './machines.js';
-import { FakeWire } from './peer-transport.js';
-import { PERSIST_MS, PersistentUsers } from './persistent-users.js';
+import { SimulatedMachines, observeMachine } from './machines.js';
+import { FakePeerNetwork } from './peer-transport.js';
+import { RETRY_FOR_MS, PersistentUsers } from './persistent-users.js';
 import { SeededRandom } from './random.js';
 import { RuleChecker } from './rule-checker.js';
 import { sampleShape, type DeploymentShape } from './deployment-shape.js';
-import { teamsTimes } from './sample-settings.js';
+import { scaledTeams } from './sample-settings.js';
 import { FakeStore } from './store.js';
 import { Faults } from './faults.js';
 import { Users } from './users.js';
-import type { Answered, FakeWorker, FakeTask } from './worker.js';
+import type { ReportResponse, FakeWorker, FakeTask } from './worker.js';
 
 export type { LogLine, SimulatedController } from './controllers.js';
 export type { JobTemplate } from './job-factory.js';
 export { fakeRandom } from './random.js';
 export { settings, SETTINGS } from './sample-settings.js';
 
-/** How many broken rules a failed scenario tells of. */
-const MOST_TOLD = 6;
+/** How many violations the error of a failed scenario lists. */
+const MAX_REPORTED_VIOLATIONS = 6;
 
-const ENDS = ['done', 'withdrawn'];
+const FINAL_PHASES = ['done', 'withdrawn'];
 
-/** Between a controller and whom something passes. */
-export type Border = 'store' | 'cloud' | 'worker' | 'command' | 'peer' | 'user' | 'operator';
+/** The other party in a message of a controller. */
+export type Boundary = 'store' | 'cloud' | 'worker' | 'command' | 'peer' | 'user' | 'operator';
 
-type Room = { cpus: number; gpus: number; memoryGb: number };
+type Capacity = { cpus: number; gpus: number; memoryGb: number };
 
-export interface MachineWish {
+export interface MachineTemplate {
   yard: string;
   spot?: boolean;
   hull?: string;
 }
 
-/** A small fleet with two or three controllers; it checks the rules at every step of every scenario. */
+/** A simulated fleet with its controllers; checks the rules at every step of a scenario. */
 export class SimulatedCluster {
   readonly clock = new FakeClock();
   readonly store = new FakeStore(this.clock);
   readonly cloud = new FakeCloud(this.clock, (id) => this.kill(id));
-  readonly wire = new FakeWire(this.clock, (from, to) => this.separated(from, to));
+  readonly wire = new FakePeerNetwork(this.clock, (from, to) => this.separated(from, to));
   readonly controllers: SimulatedControllers;
   readonly machines = new SimulatedMachines(this);
   readonly wishes = new JobFactory();
+  /** All task starts, as `job/task`. */
   readonly starts: string[] = [];
-  /** What the controllers logged, without what is for debugging. */
+  /** The controllers' log lines, without those of level debug. */
   readonly logged: LogLine[] = [];
-  /** Starts before the records of the jobs that they need say `done`: more than the rules ask. */
+  /** Starts before the stored phase of all dependencies was `done`; stricter than the rules. */
   readonly broken: string[] = [];
-  /** The submissions that users were told are accepted. */
+  /** The submissions that were accepted, by job id. */
   readonly accepted = new Map<string, object>();
   readonly random: SeededRandom;
-  /** The controllers, zones and timing of the deployment. */
+  /** The deployment settings of this cluster. */
   readonly shape: DeploymentShape;
-  /** What the settings say of the teams, of controllers that start from now on. */
+  /** The teams in the settings of controllers that start from now on. */
   teams: ReadonlyMap<string, Team>;
-  /** What each team may use at most, as the checker judges it. */
+  /** The limit of each team that the checker applies. */
   readonly teamLimits = new Map<string, { cpus: number; gpus: number }>();
   readonly checker: RuleChecker;
   readonly users: Users;
-  private readonly persistent: PersistentUsers;
+  private readonly persistentUsers: PersistentUsers;
   readonly faults: Faults;
-  /** All faults are over, and no more work is submitted. */
+  /** Whether all faults are over and no more work is to be submitted. */
   settling = false;
-  /** A task has just completed. */
+  /** Called when a task has completed. */
   onDone: (piece: FakeTask) => void = () => undefined;
-  /** A task that ran has just been told to stop. */
-  onHalted: (worker: FakeWorker, piece: FakeTask) => void = () => undefined;
-  /** Something has just crossed the border of a controller; see `behavior-trace.ts`. */
-  onCrossing: (border: Border, ...what: unknown[]) => void = () => undefined;
-  /** What else is looked at whenever the rules are checked. */
+  /** Called when a running task is told to stop. */
+  onStopped: (worker: FakeWorker, piece: FakeTask) => void = () => undefined;
+  /** Called for each message that a controller sends or receives; see `behavior-trace.ts`. */
+  onBoundaryCrossing: (boundary: Boundary, ...what: unknown[]) => void = () => undefined;
+  /** Further callbacks that run whenever the rules are checked. */
   readonly observers = new Set<() => void>();
-  /** Users come through the load balancer, which avoids controllers that fail its probes. */
+  /** Whether users come through a load balancer that avoids unhealthy controllers. */
   balanced = false;
-  /** Whether commands reach the workers' own addresses. */
+  /** Whether direct commands can reach workers. */
   directOpen = true;
-  private readonly end = new AbortController();
+  private readonly closed = new AbortController();
 
   constructor(
-    machines: MachineWish[],
+    machines: MachineTemplate[],
     controllers: 2 | 3 | DeploymentShape = 2,
     readonly seed = 0,
-    /** What the settings say of the store, where it differs from the sample. */
+    /** Store settings that differ from the sample. */
     state: Partial<Settings['state']> = {},
-    /** How many times as much as in the sample the teams are guaranteed and may use. */
+    /** The factor by which the sample's guarantees and limits are scaled. */
     teamScale = 1,
   ) {
-    this.teams = teamsTimes(teamScale);
+    this.teams = scaledTeams(teamScale);
     this.random = new SeededRandom(seed);
     for (const machine of machines)
       this.cloud.add(machine.yard, 0, machine.spot ?? false, machine.hull);
     this.shape = typeof controllers === 'number' ? sampleShape(controllers, state) : controllers;
     this.controllers = new SimulatedControllers(this, this.shape);
-    this.cloud.offerIn(this.shape.zones);
+    this.cloud.offerUsualTypeIn(this.shape.zones);
     for (const [name, { limit }] of this.teams) this.teamLimits.set(name, limit);
     this.checker = new RuleChecker({
       fleet: { types: this.types(), teams: this.teamLimits },
@@ -104,15 +105,15 @@
       now: () => this.clock.now(),
       machines: () => this.machines.seen(),
     });
-    this.users = new Users(this.clock, this.checker, (i) => this.controllers.front(i));
-    this.users.onExchange = (...what) => this.onCrossing('user', ...what);
-    this.wire.onSend = (...what) => this.onCrossing('peer', ...what);
-    this.persistent = new PersistentUsers(this, this.end.signal);
+    this.users = new Users(this.clock, this.checker, (i) => this.controllers.endpoint(i));
+    this.users.onExchange = (...what) => this.onBoundaryCrossing('user', ...what);
+    this.wire.onSend = (...what) => this.onBoundaryCrossing('peer', ...what);
+    this.persistentUsers = new PersistentUsers(this, this.closed.signal);
     this.faults = new Faults(this);
   }
 
-  private types(): Map<string, { room: Room; zones: string[] }> {
-    const types = new Map<string, { room: Room; zones: string[] }>();
+  private types(): Map<string, { room: Capacity; zones: string[] }> {
+    const types = new Map<string, { room: Capacity; zones: string[] }>();
     for (const hull of this.cloud.hulls) {
       const room = { cpus: hull.vcpus, gpus: hull.gpus, memoryGb: hull.memoryGb };
       types.set(hull.sku, { room, zones: hull.yards });
@@ -120,28 +121,32 @@
     return types;
   }
 
-  /** The users' interface of one controller; all that is said there is checked. */
+  /** The user API of one controller; the checker sees all requests and answers. */
   user(node: number): ReturnType<Users['at']> {
     return this.users.at(node);
   }
 
   async start(): Promise<void> {
     for (let i = 0; i < this.nodes.length; i++) this.boot(i);
-    void this.machines.bootWorkers(this.end.signal);
+    void this.machines.bootWorkers(this.closed.signal);
     await this.pass(6);
   }
 
   async close(): Promise<void> {
     this.checker.check();
     for (const node of this.nodes) node.stop.abort();
-    this.end.abort();
+    this.closed.abort();
     await this.clock.advance(100);
-    const broken = this.checker.violations.map(
+    const violations = this.checker.violations.map(
       (violation) => `${violation.at / 1000} s: ${violation.rule}: ${violation.what}`,
     );
-    assert.deepEqual(broken.slice(0, MOST_TOLD), []);
+    assert.deepEqual(violations.slice(0, MAX_REPORTED_VIOLATIONS), []);
     assert.deepEqual(this.broken, []);
-    assert.equal(this.controllers.unfinished.size, 0, 'every controller ends when it is told to');
+    assert.equal(
+      this.controllers.liveProcesses.size,
+      0,
+      'every controller ends when it is stopped',
+    );
   }
 
   // ---- controllers
@@ -150,7 +155,7 @@
     return this.controllers.nodes;
   }
 
-  /** The number of the leader; -1: there is none. */
+  /** The index of the leader; -1 if there is none. */
   get leader(): number {
     return this.controllers.leader;
   }
@@ -159,12 +164,12 @@
     this.controllers.boot(i);
   }
 
-  /** It stands still from now on: what comes to it meanwhile it sees afterwards. */
+  /** Freezes a controller; it handles messages that arrive meanwhile afterwards. */
   freeze(i: number, ms: number): void {
     this.controllers.freeze(i, ms);
   }
 
-  /** Ends a controller as a kill would: nothing is handed over. */
+  /** Kills a controller: it hands nothing over. */
   crash(i: number): void {
     this.controllers.crash(i);
   }
@@ -173,25 +178,25 @@
     this.controllers.restart(i);
   }
 
-  /** Restarts all controllers that are down, or those of them that are in one of these zones. */
+  /** Restarts all controllers that are down in these zones, by default in all. */
   restartAll(zones: readonly string[] = this.shape.zones): void {
     for (const [i, node] of this.nodes.entries()) {
       if (!node.controller && zones.includes(this.zoneOf(node))) this.restart(i);
     }
   }
 
-  /** Waits until another controller than the former leader leads. */
+  /** Waits until a controller other than the former leader leads. */
   anotherLeads(former: number, seconds: number): Promise<void> {
     const leads = (): boolean => this.leader >= 0 && this.leader !== former;
-    return this.until(leads, seconds, 'another leads');
+    return this.until(leads, seconds, 'another controller leads');
   }
 
-  /** Whether the zones cannot reach each other from now on; both reach the store. */
+  /** Partitions the zones from each other or heals the partition; all still reach the store. */
   split(apart: boolean): void {
     this.controllers.apart = apart;
   }
 
-  /** Whether two controllers are in zones that cannot reach each other now. */
+  /** Whether two controllers are in zones that are partitioned from each other now. */
   separated(from: string, to: string): boolean {
     return this.controllers.separated(from, to);
   }
@@ -200,8 +205,8 @@
     return this.controllers.zoneOf(node);
   }
 
-  /** A heartbeat's way to a controller; also for copies that come late. */
-  deliver(node: number, report: object): Promise<Answered> {
+  /** Delivers a heartbeat, or a late copy of one, to a controller and returns the response. */
+  deliver(node: number, report: object): Promise<ReportResponse> {
     return this.controllers.deliver(node, report);
   }
 
@@ -211,19 +216,19 @@
     return this.machines.workers;
   }
 
-  /** What runs on workers from the beginning, by machine. */
+  /** Tasks that workers already have when they start, by machine. */
   get onWorkers(): Map<string, FakeTask[]> {
-    return this.machines.onWorkers;
+    return this.machines.initialTasks;
   }
 
-  /** The machines that hold tasks of a job. */
+  /** The live machines with unfinished tasks of a job. */
   holding(ref: string): FakeWorker[] {
-    return this.machines.holding(ref);
+    return this.machines.machinesWith(ref);
   }
 
-  /** The tasks of a job that are on machines now. */
+  /** The unfinished tasks of a job on live machines. */
   on(ref: string): FakeTask[] {
-    return this.machines.on(ref);
+    return this.machines.tasksOf(ref);
   }
 
   running(ref: string): number {
@@ -234,19 +239,19 @@
     this.machines.kill(id);
   }
 
-  /** A task begins on a machine. */
+  /** Called when a task starts on a machine, that is, has its image. */
   onMachine(worker: FakeWorker, piece: FakeTask): void {
     const name = `${piece.job}/${piece.task}`;
     this.starts.push(name);
     for (const needed of this.wishes.needs.get(piece.job)!) {
       if (this.stored(needed) !== 'done') this.broken.push(`too_early ${name}, needs ${needed}`);
     }
-    this.checker.started(seenOn(worker), piece.job, piece.task);
+    this.checker.started(observeMachine(worker), piece.job, piece.task);
   }
 
   // ---- time
 
-  /** Lets seconds pass. */
+  /** Advances the time by `seconds`, with a check every 250 ms. */
   async pass(seconds: number): Promise<void> {
     for (let i = 0; i < seconds * 4; i++) {
       await this.clock.advance(250);
@@ -254,29 +259,29 @@
     }
   }
 
-  async until(what: () => boolean, seconds: number, name: string): Promise<void> {
+  async until(condition: () => boolean, seconds: number, name: string): Promise<void> {
     for (let i = 0; i < seconds * 4; i++) {
-      if (what()) return;
+      if (condition()) return;
       await this.clock.advance(250);
       this.check();
     }
-    assert.ok(what(), `${name}: not within ${seconds} s`);
+    assert.ok(condition(), `${name}: not within ${seconds} s`);
   }
 
-  /** An answer of one node, with time passing until it comes. */
-  async ask(answer: Promise<ApiResponse>): Promise<ApiResponse> {
-    let got: ApiResponse | null = null;
-    void answer.then((a) => (got = a));
-    await this.until(() => got !== null, 6, 'answer');
-    return got!;
+  /** Advances the time until a response arrives, for at most 6 s. */
+  async ask(pending: Promise<ApiResponse>): Promise<ApiResponse> {
+    let response: ApiResponse | null = null;
+    void pending.then((a) => (response = a));
+    await this.until(() => response !== null, 6, 'answer');
+    return response!;
   }
 
-  /** Lets time pass until something in the background has come about. */
+  /** Advances the time until a promise settles. */
   async drive<T>(promise: Promise<T>): Promise<T> {
     let ended = false;
-    const mark = (): void => void (ended = true);
-    promise.then(mark, mark);
-    await this.until(() => ended, (PERSIST_MS + 10_000) / 1000, 'answer');
+    const markEnded = (): void => void (ended = true);
+    promise.then(markEnded, markEnded);
+    await this.until(() => ended, (RETRY_FOR_MS + 10_000) / 1000, 'answer');
     return promise;
   }
 
@@ -298,59 +303,60 @@
     return ref;
   }
 
-  /** A user submits at any node, and again, until the job is accepted; time passes meanwhile. */
+  /** Submits at any node until the job is accepted; time passes meanwhile. */
   accept(template: JobTemplate): Promise<string> {
     return this.drive(this.accepting(template));
   }
 
-  /** A user cancels at any node, or at one node only, until it is confirmed; time passes meanwhile. */
+  /** Cancels at any node, or at the given one, until confirmed; time passes meanwhile. */
   cancel(ref: string, node?: number): Promise<string> {
     return this.drive(this.cancelling(ref, node));
   }
 
-  /** The same in the background of a scenario. */
+  /** Like `accept`, but the caller advances the time. */
   accepting(template: JobTemplate): Promise<string> {
-    return this.persistent.accepting(template);
+    return this.persistentUsers.submitUntilAccepted(template);
   }
 
-  /** The same of a job that was wished for before. */
-  acceptingWished(wished: { ref: string; body: object }): Promise<string> {
-    return this.persistent.acceptingWished(wished);
+  /** Like `accepting`, for a submission that was created before. */
+  acceptingWished(submission: { ref: string; body: object }): Promise<string> {
+    return this.persistentUsers.submitCreatedUntilAccepted(submission);
   }
 
-  /** The same in the background of a scenario; answers what the job is called then. */
+  /** Like `cancel`, but the caller advances the time; returns the phase in the response. */
   cancelling(ref: string, node?: number): Promise<string> {
-    return this.persistent.cancelling(ref, node);
+    return this.persistentUsers.cancelUntilConfirmed(ref, node);
   }
 
-  /** Users ask at all nodes for a job, and submit it again, within milliseconds. */
+  /** Queries a job at all nodes, and submits it again, several times within milliseconds. */
   queryEverywhere(ref: string): Promise<void> {
-    return this.persistent.queryEverywhere(ref);
+    return this.persistentUsers.queryEverywhere(ref);
   }
 
-  /** Users go on asking for jobs, at any node, and now and then submit one again. */
+  /** Keeps querying random jobs at random nodes, and sometimes submits one again. */
   keepAsking(everyMs = 1500): Promise<void> {
-    return this.persistent.keepAsking(everyMs);
+    return this.persistentUsers.keepAsking(everyMs);
   }
 
-  /** All faults are over: whatever was accepted ends, or runs as a service, or is cancelled. */
+  /** Ends all faults; every accepted job must then be done, cancelled or a running service. */
   async settle(seconds = 100): Promise<void> {
     this.settling = true;
     this.faults.over();
-    // A request that is still being repeated may change what has to end: it is waited for as well.
+    // A request that is still being retried may change a job, so it is waited for as well.
     const settled = (): boolean =>
-      !this.persistent.busy && [...this.accepted.keys()].every((ref) => this.isSettled(ref));
-    await this.until(settled, seconds, 'all jobs end or run');
-    // Users expect a job's last state from 3 s after its last task.
+      !this.persistentUsers.busy && [...this.accepted.keys()].every((ref) => this.isSettled(ref));
+    await this.until(settled, seconds, 'all jobs are done, cancelled or running services');
+    // Users can expect a job's final phase 3 s after its last task.
     await this.pass(4);
-    const told = [...this.accepted.keys()].map(async (ref) => {
+    const checks = [...this.accepted.keys()].map(async (ref) => {
       const answers = this.nodes.map((_node, i) => this.user(i).query(ref));
       const phases = (await Promise.all(answers)).map((a) => (a.body as { phase?: string }).phase);
-      const last = this.facts.get(ref)!.shape === 'service' ? ['running', 'withdrawn'] : ENDS;
+      const expected =
+        this.facts.get(ref)!.shape === 'service' ? ['running', 'withdrawn'] : FINAL_PHASES;
       assert.equal(new Set(phases).size, 1, `${ref}: ${phases.join()}`);
-      assert.ok(last.includes(phases[0] ?? ''), `${ref}: ${phases.join()}`);
+      assert.ok(expected.includes(phases[0] ?? ''), `${ref}: ${phases.join()}`);
     });
-    await this.drive(Promise.all(told));
+    await this.drive(Promise.all(checks));
   }
 
   private isSettled(ref: string): boolean {
@@ -365,13 +371,13 @@
     return answer.status === 200 ? (answer.body as { phase: string }).phase : String(answer.status);
   }
 
-  /** Puts a job into the store that was done before the scenario began. */
+  /** Stores a job that was done before the scenario started. */
   doneBefore(ref: string): void {
     this.store.write(`jobs/${ref}`, { w: 'w', phase: 'done', tasks: 1 });
     this.checker.doneBefore(ref);
   }
 
-  /** The phase that a job's record says. */
+  /** The phase in a job's record. */
   stored(ref: string): string | undefined {
     return (this.store.get(`jobs/${ref}`) as { phase: string } | undefined)?.phase;
   }
--- a/test/fakes/store.ts
+++ b/test/fakes/store.ts
@@ -19,86 +19,88 @@
   delete?: string;
 }
 
-/** What the store takes; without a figure it takes anything. */
+/** The limits of the store; an absent one is not enforced. */
 export interface StoreLimits {
   valueBytes?: number;
   txnOps?: number;
-  /** Puts and deletes a second, with bursts of one second's worth. */
+  /** Puts and deletes per second, with bursts of up to one second's worth. */
   writeRps?: number;
 }
 
-const MOST_TXN_BYTES = 64 * 1024;
+const MAX_TXN_BYTES = 64 * 1024;
 
-/** What happens to a request on its way: answered, refused, lost before or after it was executed. */
+/** The outcome of a request: served, refused, or lost before or after it was executed. */
 export type Fate =
   | 'serve'
   | 'refuse'
-  /** Refused for the rate. */
+  /** Refused because of the rate limit. */
   | 'rate'
   | 'lose request'
   | 'lose answer'
+  /** Gets no response; it is executed when the scenario runs it from `late`. */
   | 'apply late'
-  /** No answer comes; it is carried out so much later, or once an outage is over. */
+  /** Gets no response; it is executed after this time, or after an outage that lasts longer. */
   | { applyAfterMs: number };
 
-/** A small state service, written from the protocol. */
+/** An in-memory state service, written from the protocol. */
 export class FakeStore {
   readonly keys = new Map<string, Stored>();
   down = false;
-  /** May be changed at any moment, as by the store's operators. */
+  /** May change at any time, as the store's operators may change theirs. */
   limits: StoreLimits = {};
-  /** Transactions refused for their size or number of changes. */
+  /** Transactions refused for their size or number of operations. */
   rejected = 0;
-  /** Transactions refused for the rate. */
+  /** Transactions refused by the rate limit. */
   rateRefused = 0;
   private writeTokens = Infinity;
   private writeTokensAt = 0;
-  /** How much longer than usual every answer takes. */
+  /** The additional delay of every response. */
   slowMs = 0;
-  /** A key has been written; called at that moment. */
+  /** Called when a key has been written. */
   onWrite: (key: string) => void = () => undefined;
-  /** Puts and deletes that were carried out. */
+  /** The number of executed puts and deletes. */
   changes = 0;
   private revision = 0;
   private nextLease = 1;
   private readonly leases = new Map<number, { ttl: number; until: number }>();
   private readonly history: { key: string; stamp: number; value?: unknown; gone?: true }[] = [];
-  /** Open watches; each answers true once it has been answered. */
-  private changing = false;
-  private readonly followers = new Set<() => boolean>();
-  /** Transactions that reach the store later, after their sender has given up. */
+  /** Whether a check of the open watches is scheduled after a change. */
+  private watchCheckScheduled = false;
+  /** The open watches; each function returns true once its watch has been answered. */
+  private readonly watches = new Set<() => boolean>();
+  /** Requests that the scenario executes late, after their sender has timed out. */
   readonly late: (() => Reply)[] = [];
 
   constructor(private readonly clock: Clock) {}
 
-  /** One controller's way to the store. */
+  /** The transport of one controller to the store. */
   link(fate: (method: string, path: string, body: unknown) => Fate): Transport {
     return {
       request: async (method, path, body, timeoutMs, signal) => {
         const copy = body === null ? null : (JSON.parse(JSON.stringify(body)) as object);
         await this.clock.sleep(4, signal);
         signal?.throwIfAborted();
-        if (path.startsWith('/follow')) return this.follow(path, timeoutMs, signal, fate);
-        const what = this.down ? 'refuse' : fate(method, path, copy);
-        if (what === 'refuse') return { status: 503, body: { error: 'trouble' } };
-        if (what === 'rate') return { status: 429, body: {} };
+        if (path.startsWith('/follow')) return this.watch(path, timeoutMs, signal, fate);
+        const outcome = this.down ? 'refuse' : fate(method, path, copy);
+        if (outcome === 'refuse') return { status: 503, body: { error: 'trouble' } };
+        if (outcome === 'rate') return { status: 429, body: {} };
         const unanswered = async (): Promise<never> => {
           await this.clock.sleep(timeoutMs, signal);
-          throw new NoResponseError('lost');
+          throw new NoResponseError('the response was lost');
         };
-        if (what === 'lose request') return unanswered();
-        if (what === 'apply late') {
+        if (outcome === 'lose request') return unanswered();
+        if (outcome === 'apply late') {
           this.late.push(() => this.execute(method, path, copy));
           return unanswered();
         }
-        const lateMs = typeof what === 'object' ? what.applyAfterMs : this.slowMs;
-        if (typeof what === 'object' || this.slowMs >= timeoutMs) {
+        const lateMs = typeof outcome === 'object' ? outcome.applyAfterMs : this.slowMs;
+        if (typeof outcome === 'object' || this.slowMs >= timeoutMs) {
           void this.executeLater(lateMs, method, path, copy);
           return unanswered();
         }
         if (this.slowMs > 0) await this.clock.sleep(this.slowMs, signal);
         const reply = this.execute(method, path, copy);
-        if (what === 'lose answer') return unanswered();
+        if (outcome === 'lose answer') return unanswered();
         return reply;
       },
     };
@@ -120,12 +122,12 @@
     return this.keys.get(key)?.value;
   }
 
-  /** A change by somebody who is no part of the scenario. */
+  /** Writes a key directly, without a controller. */
   write(key: string, value: unknown): void {
     this.txn({ when: [], then: [{ write: key, value }] });
   }
 
-  /** After an outage every lease has its full time again. */
+  /** Ends an outage; every lease gets its full time again. */
   restore(): void {
     this.down = false;
     for (const lease of this.leases.values()) lease.until = this.clock.now() + lease.ttl;
@@ -147,7 +149,7 @@
   private remove(key: string): void {
     this.keys.delete(key);
     this.history.push({ key, stamp: this.revision, gone: true });
-    this.changed();
+    this.scheduleWatchCheck();
   }
 
   private execute(method: string, path: string, body: unknown): Reply {
@@ -199,7 +201,7 @@
         this.keys.set(change.write, stored);
         this.history.push({ key: change.write, stamp: this.revision, value: change.value });
         this.onWrite(change.write);
-        this.changed();
+        this.scheduleWatchCheck();
       } else if (change.delete !== undefined && this.keys.has(change.delete))
         this.remove(change.delete);
     }
@@ -213,11 +215,11 @@
       then.length > txnOps ||
       when.length > txnOps * 4 ||
       then.some((change) => change.write !== undefined && bytes(change.value) > valueBytes) ||
-      bytes({ when, then }) > MOST_TXN_BYTES
+      bytes({ when, then }) > MAX_TXN_BYTES
     );
   }
 
-  /** Transactions with failing conditions count as well. */
+  /** Also counts transactions whose conditions fail. */
   private withinRate(changes: number): boolean {
     const { writeRps } = this.limits;
     if (writeRps === undefined) return true;
@@ -246,7 +248,7 @@
     };
   }
 
-  private async follow(
+  private async watch(
     path: string,
     timeoutMs: number,
     signal: AbortSignal | undefined,
@@ -256,58 +258,58 @@
     const prefix = url.searchParams.get('starts') ?? '';
     const since = Number(url.searchParams.get('since'));
     const holdMs = url.searchParams.get('holdMs') ?? '0';
-    const until = this.clock.now() + (/^\d+$/.test(holdMs) ? Number(holdMs) : 0);
+    const holdUntil = this.clock.now() + (/^\d+$/.test(holdMs) ? Number(holdMs) : 0);
     const deadline = this.clock.now() + timeoutMs;
     return new Promise((resolve, reject) => {
-      const answer = (): boolean => {
+      const tryAnswer = (): boolean => {
         if (signal?.aborted) reject(signal.reason as Error);
         else if (this.clock.now() >= deadline) reject(new NoResponseError('no answer'));
         else {
           const reachable = !this.down && fate('GET', path, null) === 'serve';
-          const news = reachable ? this.newsSince(since, prefix) : [];
-          if (!reachable || (news.length === 0 && this.clock.now() < until)) return false;
+          const news = reachable ? this.changesSince(since, prefix) : [];
+          if (!reachable || (news.length === 0 && this.clock.now() < holdUntil)) return false;
           resolve({ status: 200, body: { ledgerRev: this.revision, news } });
         }
         return true;
       };
-      if (answer()) return;
-      this.followers.add(answer);
-      if (this.followers.size === 1) void this.serveFollowers();
+      if (tryAnswer()) return;
+      this.watches.add(tryAnswer);
+      if (this.watches.size === 1) void this.pollWatches();
     });
   }
 
-  private newsSince(since: number, prefix: string): object[] {
-    const news: object[] = [];
+  private changesSince(since: number, prefix: string): object[] {
+    const changes: object[] = [];
     for (let i = this.history.length - 1; i >= 0 && this.history[i]!.stamp > since; i--) {
       const { key, stamp, value, gone } = this.history[i]!;
       if (!key.startsWith(prefix)) continue;
-      news.unshift(gone ? { delete: key, stamp } : { write: key, value, stamp });
+      changes.unshift(gone ? { delete: key, stamp } : { write: key, value, stamp });
     }
-    return news;
+    return changes;
   }
 
-  /** Open watches are looked at when something has changed, and now and then for all else. */
-  private async serveFollowers(): Promise<void> {
-    while (this.followers.size > 0) {
-      await this.clock.sleep(FOLLOW_IDLE_MS);
+  /** Checks open watches at intervals, for outages, timeouts and expired leases. */
+  private async pollWatches(): Promise<void> {
+    while (this.watches.size > 0) {
+      await this.clock.sleep(WATCH_POLL_MS);
       this.expire();
-      this.answerFollowers();
+      this.answerWatches();
     }
   }
 
-  private answerFollowers(): void {
-    for (const answer of this.followers) if (answer()) this.followers.delete(answer);
+  private answerWatches(): void {
+    for (const answer of this.watches) if (answer()) this.watches.delete(answer);
   }
 
-  private changed(): void {
-    if (this.changing) return;
-    this.changing = true;
-    void this.clock.sleep(FOLLOW_NEWS_MS).then(() => {
-      this.changing = false;
-      this.answerFollowers();
+  private scheduleWatchCheck(): void {
+    if (this.watchCheckScheduled) return;
+    this.watchCheckScheduled = true;
+    void this.clock.sleep(WATCH_CHANGE_DELAY_MS).then(() => {
+      this.watchCheckScheduled = false;
+      this.answerWatches();
     });
   }
 }
 
-const FOLLOW_IDLE_MS = 100;
-const FOLLOW_NEWS_MS = 10;
+const WATCH_POLL_MS = 100;
+const WATCH_CHANGE_DELAY_MS = 10;
--- a/test/fakes/three-zones.ts
+++ b/test/fakes/three-zones.ts
@@ -3,25 +3,25 @@
 import { machines } from './fault-scenario.js';
 import { SimulatedCluster } from './simulated-cluster.js';
 
-/** What runs in the scenarios of the shape with three zones. */
+/** The jobs of the scenarios with three zones. */
 export interface Work {
-  /** Services of three replicas with 2 GPUs each, spread over zones. */
+  /** Services of three replicas with two GPUs each, spread over zones. */
   replicas: string[];
-  /** Gangs of two whole machines in one zone. */
+  /** Gangs of two tasks that take a whole machine each, in one zone. */
   pairs: string[];
-  /** Arrays of one-GPU tasks that make way for all else. */
+  /** Arrays of best-effort tasks with one GPU each. */
   sweeps: string[];
 }
 
-/** How large a scenario is. */
+/** The size of a scenario. */
 export interface StorySize {
   machinesPerZone: number;
-  /** Machines that can be rented beside them. */
+  /** How many more machines can be rented. */
   rentable: number;
   services: number;
   pairs: number;
   sweeps: number;
-  /** How many times the sample's guarantees and limits the teams have. */
+  /** The factor by which the sample's guarantees and limits are scaled. */
   teamScale: number;
 }
 
@@ -30,7 +30,7 @@
 const BOOT_S = 40;
 export const LEASE_S = THREE_ZONES.workers.leaseMs / 1000;
 
-/** Five controllers in three zones and a fleet on which all of the work runs. */
+/** Starts five controllers in three zones and the work, and waits until all jobs run. */
 export async function beginInThreeZones(
   seed: number,
   size: StorySize,
@@ -42,27 +42,29 @@
   await simulatedCluster.start();
   const work: Work = { replicas: [], pairs: [], sweeps: [] };
   for (let i = 0; i < size.services; i++) {
-    const wish = { pieces: REPLICAS, gpus: 2, runMs: 0, crew: 'speech', urgency: 'production' };
-    work.replicas.push(await simulatedCluster.accept({ ...wish, shape: 'service', apart: true }));
+    const template = { pieces: REPLICAS, gpus: 2, runMs: 0, crew: 'speech', urgency: 'production' };
+    work.replicas.push(
+      await simulatedCluster.accept({ ...template, shape: 'service', apart: true }),
+    );
   }
   for (let i = 0; i < size.pairs; i++) {
-    const wish = { pieces: 2, gpus: 8, vcpus: 40, runMs: 90_000, urgency: 'urgent' };
-    work.pairs.push(await simulatedCluster.accept({ ...wish, shape: 'gang', samePlace: true }));
+    const template = { pieces: 2, gpus: 8, vcpus: 40, runMs: 90_000, urgency: 'urgent' };
+    work.pairs.push(await simulatedCluster.accept({ ...template, shape: 'gang', samePlace: true }));
   }
   for (let i = 0; i < size.sweeps; i++) {
-    const wish = { pieces: SWEEP_TASKS, runMs: 40_000, urgency: 'best_effort' };
-    work.sweeps.push(await simulatedCluster.accept(wish));
+    const template = { pieces: SWEEP_TASKS, runMs: 40_000, urgency: 'best_effort' };
+    work.sweeps.push(await simulatedCluster.accept(template));
   }
   const all = [...work.replicas, ...work.pairs, ...work.sweeps];
   await simulatedCluster.until(
     () => all.every((job) => simulatedCluster.running(job) > 0),
     40,
-    'all run',
+    'all jobs run',
   );
   return { w: simulatedCluster, work };
 }
 
-/** A zone loses its machines and its controllers for good. */
+/** Removes all machines of a zone and kills its controllers. */
 function loseZone(cluster: SimulatedCluster, zone: string): void {
   for (const [i, node] of cluster.nodes.entries())
     if (cluster.zoneOf(node) === zone) cluster.crash(i);
@@ -77,8 +79,8 @@
 export const allReplicasRun = (cluster: SimulatedCluster, { replicas }: Work): boolean =>
   replicas.every((job) => cluster.running(job) === REPLICAS);
 
-/** All replicas of a lost zone run in the others within a lease, a boot and what starting takes. */
-async function replicasRunElsewhere(
+/** Waits until all replicas run in other zones: two leases, a boot and 20 s for their start. */
+async function untilReplicasRunElsewhere(
   cluster: SimulatedCluster,
   work: Work,
   zone: string,
@@ -86,17 +88,17 @@
   const elsewhere = (job: string): boolean =>
     cluster.holding(job).every(({ yard }) => yard !== zone);
   const done = (): boolean => allReplicasRun(cluster, work) && work.replicas.every(elsewhere);
-  await cluster.until(done, 2 * LEASE_S + BOOT_S + 20, 'run elsewhere');
+  await cluster.until(done, 2 * LEASE_S + BOOT_S + 20, 'all replicas run in other zones');
 }
 
-/** Gangs and sweeps come to their end. */
-async function batchesEnd(cluster: SimulatedCluster, { pairs, sweeps }: Work): Promise<void> {
+/** Waits until all gangs and arrays are done. */
+async function untilBatchesEnd(cluster: SimulatedCluster, { pairs, sweeps }: Work): Promise<void> {
   const isDone = (job: string): boolean => cluster.stored(job) === 'done';
-  await cluster.until(() => pairs.every(isDone), 200, 'the pairs are done');
-  await cluster.until(() => sweeps.every(isDone), 60, 'the sweeps are done');
+  await cluster.until(() => pairs.every(isDone), 200, 'the gangs are done');
+  await cluster.until(() => sweeps.every(isDone), 60, 'the arrays are done');
 }
 
-/** A zone is lost for good and the leader ends, wherever it is: everything goes on in the other zones. */
+/** Loses a zone and the leader; checks that all work continues in the other zones. */
 export async function zoneAndLeaderAreLost(
   cluster: SimulatedCluster,
   work: Work,
@@ -106,8 +108,8 @@
   if (cluster.leader >= 0) cluster.crash(cluster.leader);
   await cluster.pass(3);
   cluster.restartAll(THREE_ZONES.zones.filter((other) => other !== zone));
-  await replicasRunElsewhere(cluster, work, zone);
-  await batchesEnd(cluster, work);
+  await untilReplicasRunElsewhere(cluster, work, zone);
+  await untilBatchesEnd(cluster, work);
   assert.ok(work.pairs.every((pair) => cluster.holding(pair).length === 0));
   cluster.restartAll();
   await cluster.settle(150);
--- a/test/measurements/rollout.ts
+++ b/test/measurements/rollout.ts
@@ -13,7 +13,7 @@
 import { rolloutApi, rolloutStatus, withRollouts } from '../fakes/rollout-checker.js';
 import { SimulatedCluster, type JobTemplate } from '../fakes/simulated-cluster.js';
 
-/** The sample's teams may use as much as eight of its machines hold. */
+/** Each of the sample's teams may use at most the capacity of eight machines. */
 const MACHINES_OF_SAMPLE = 8;
 const REPLICAS_PER_MACHINE = 2;
 const SURGE_SHARE = 0.1;
@@ -21,23 +21,23 @@
 const STEPS = [0.1, 0.5, 1];
 const JUDGE_S = 20;
 const FETCH_MS = 2000;
-const MOST_S = 3600;
+const MAX_SECONDS = 3600;
 const REQUESTS_PER_REPLICA = 25;
 
-type Way = 'rollout' | 'new beside old' | 'new after old';
+type Method = 'rollout' | 'new beside old' | 'new after old';
 
 interface Result {
   machines: number;
   replicas: number;
-  way: Way;
-  /** From the request until only the new version is placed. */
+  way: Method;
+  /** The time from the request until only the new version is placed. */
   doneS: number;
   level: number;
   lowest: number;
-  /** Replicas beyond the level, over time; and the least that the batches need for their fetches. */
+  /** Replicas beyond the required number, over time; and the minimum for fetching the image. */
   surgeReplicaSeconds: number;
   leastSurgeReplicaSeconds: number | null;
-  /** Steps of the rollout that were written, and the puts and deletes of the store for them. */
+  /** The writes of the rollout's status, and all writes of rollout records. */
   transitions: number;
   rolloutWrites: number;
   probesPerSecond: number;
@@ -53,7 +53,7 @@
   surge: number;
 }
 
-async function scene(machines: number): Promise<Scene> {
+async function startScene(machines: number): Promise<Scene> {
   const yards = Array.from({ length: machines }, (_, i) => ({ yard: i % 2 ? 'a' : 'b' }));
   const scale = machines / MACHINES_OF_SAMPLE;
   const simulatedCluster = new SimulatedCluster(yards, 3, 0, { rps: 2000, writeRps: 500 }, scale);
@@ -84,19 +84,19 @@
   };
 }
 
-/** Looks every quarter of a second at what serves and what is placed. */
-class Meter {
+/** Samples the numbers of serving and placed replicas every quarter of a second. */
+class ReplicaMeter {
   lowest = Infinity;
   surgeReplicaSeconds = 0;
   private readonly from: string;
 
-  constructor(private readonly s: Scene) {
-    this.from = s.from;
-    s.w.observers.add(() => this.look());
+  constructor(private readonly scene: Scene) {
+    this.from = scene.from;
+    scene.w.observers.add(() => this.sample());
   }
 
-  private look(): void {
-    const { w: cluster, models, next, replicas } = this.s;
+  private sample(): void {
+    const { w: cluster, models, next, replicas } = this.scene;
     const serving = models.serving(this.from) + models.serving(next.ref);
     this.lowest = Math.min(this.lowest, serving);
     const placed = cluster.on(this.from).length + cluster.on(next.ref).length;
@@ -104,11 +104,11 @@
   }
 }
 
-async function measure(machines: number, way: Way): Promise<Result> {
+async function measure(machines: number, way: Method): Promise<Result> {
   const began = performance.now();
-  const played = await scene(machines);
-  const { w: cluster, models, from, next, replicas, surge } = played;
-  const meter = new Meter(played);
+  const scene = await startScene(machines);
+  const { w: cluster, models, from, next, replicas, surge } = scene;
+  const meter = new ReplicaMeter(scene);
   let rolloutWrites = 0;
   let transitions = 0;
   const before = cluster.store.onWrite;
@@ -127,14 +127,14 @@
     await cluster.drive(cluster.acceptingWished(next));
     await cluster.until(
       () => rolloutStatus(cluster, 'r')?.phase === 'done',
-      MOST_S,
+      MAX_SECONDS,
       'the rollout is done',
     );
   } else if (way === 'new beside old') {
     await cluster.drive(cluster.acceptingWished(next));
     await cluster.until(
       () => models.serving(next.ref) === replicas,
-      MOST_S,
+      MAX_SECONDS,
       'the new version serves',
     );
     await cluster.cancel(from);
@@ -144,14 +144,14 @@
   }
   const over = (): boolean =>
     models.serving(next.ref) === replicas && cluster.on(from).length === 0;
-  await cluster.until(over, MOST_S, 'only the new version is placed');
+  await cluster.until(over, MAX_SECONDS, 'only the new version is placed');
   const doneS = (cluster.clock.now() - askedAt) / 1000;
   const { lowest, surgeReplicaSeconds } = meter;
   const result: Result = {
     ...{ machines, replicas, way, doneS, level: replicas, lowest, surgeReplicaSeconds },
     leastSurgeReplicaSeconds: way === 'rollout' ? (replicas * FETCH_MS) / 1000 : null,
     ...{ transitions, rolloutWrites },
-    probesPerSecond: Math.round(models.asked / doneS),
+    probesPerSecond: Math.round(models.probesSent / doneS),
     realSeconds: Math.round((performance.now() - began) / 1000),
   };
   if (way !== 'new after old') await cluster.cancel(from);
@@ -159,23 +159,23 @@
   return result;
 }
 
-// ---- how soon a slower version is noticed
+// ---- how soon a slower version is detected
 
 interface Detection {
   timesSlower: number;
   phase: string;
-  /** From its first replica that serves until the rollout turns back. */
+  /** The time from its first serving replica until the rollback starts. */
   noticedS: number;
-  /** Until only the old version is placed. */
+  /** The time until only the old version is placed. */
   backS: number;
   oldReplicasWithdrawn: number;
   lowest: number;
 }
 
 async function detect(timesSlower: number): Promise<Detection> {
-  const played = await scene(MACHINES_OF_SAMPLE);
-  const { w: cluster, models, from, next, replicas, surge } = played;
-  const meter = new Meter(played);
+  const scene = await startScene(MACHINES_OF_SAMPLE);
+  const { w: cluster, models, from, next, replicas, surge } = scene;
+  const meter = new ReplicaMeter(scene);
   models.models.set(next.ref, {
     readyMs: 500,
     latencyMs: () => 100 * timesSlower,
@@ -191,16 +191,16 @@
   const turned = ['rolling-back', 'rolled-back', 'done'];
   await cluster.until(
     () => turned.includes(rolloutStatus(cluster, 'r')?.phase ?? ''),
-    MOST_S,
-    'it turns',
+    MAX_SECONDS,
+    'a rollback starts or the rollout is done',
   );
   const noticedS = (cluster.clock.now() - servesAt) / 1000;
   const oldReplicasWithdrawn = replicas - models.serving(from);
   const ends = ['rolled-back', 'done'];
   await cluster.until(
     () => ends.includes(rolloutStatus(cluster, 'r')?.phase ?? ''),
-    MOST_S,
-    'it ends',
+    MAX_SECONDS,
+    'the rollout has ended',
   );
   const { phase } = rolloutStatus(cluster, 'r')!;
   const backS = (cluster.clock.now() - servesAt) / 1000;
@@ -209,7 +209,7 @@
   return { timesSlower, phase, noticedS, backS, oldReplicasWithdrawn, lowest };
 }
 
-// ---- what probes cost the leader, without the network
+// ---- the CPU time of probes in the leader, without the network
 
 async function probeCost(): Promise<{ probes: number; microsecondsEach: number }> {
   const clock = new FakeClock();
@@ -263,9 +263,9 @@
 
 const sizes = process.argv.slice(2).map(Number);
 const results: Result[] = [];
-const WAYS: Way[] = ['rollout', 'new beside old', 'new after old'];
+const METHODS: Method[] = ['rollout', 'new beside old', 'new after old'];
 for (const machines of sizes.length > 0 ? sizes : [8, 100]) {
-  for (const way of WAYS) {
+  for (const way of METHODS) {
     results.push(await measure(machines, way));
     console.error(JSON.stringify(results.at(-1)));
   }
--- a/test/measurements/shares.ts
+++ b/test/measurements/shares.ts
@@ -1,5 +1,5 @@
 /**
- * Measures moving shares, in memory and in simulated time, and prints raw results as JSON.
+ * Measures quota transfers, in memory and in simulated time, and prints raw results as JSON.
  * Usage: node target/check/test/measurements/shares.js [MACHINES...]
  */
 import { performance } from 'node:perf_hooks';
@@ -10,24 +10,24 @@
 import { transferPhase, quotaTransferApi, withQuotaTransfers } from '../fakes/quota-checker.js';
 import { SimulatedCluster } from '../fakes/simulated-cluster.js';
 
-/** The sample's teams may use as much as eight of its machines hold, together somewhat more. */
+/** Each of the sample's teams may use at most eight machines; together they may use more. */
 const MACHINES_OF_SAMPLE = 8;
 const RUN_MS = 3_600_000;
-const AWAY_S = 3;
+const RESTART_S = 3;
 
 interface Times {
   machines: number;
   way: 'move' | 'restart';
-  /** From the request until the receiver has all of the share. */
+  /** The time from the request until the receiver has the whole quota. */
   doneMs: number;
   firstReplicaMs: number;
   allReplicasMs: number;
-  /** Tasks of the donor that were stopped, and replicas that needed their room. */
+  /** The donor's stopped tasks, and the replicas that needed their capacity. */
   stopped: number;
   replicas: number;
-  /** Changes of the store for the move itself. */
+  /** Store writes for the transfer itself. */
   shareWrites: number;
-  /** How long this took in real time, with all fakes. */
+  /** The real time that the simulation took. */
   realSeconds: number;
 }
 
@@ -37,13 +37,13 @@
   tuning: string;
 }
 
-/** A tuning run on every machine. */
-async function scene(machines: number, switchedOn: boolean): Promise<Scene> {
+/** Starts a cluster with a tuning job on every machine. */
+async function startScene(machines: number, transfersEnabled: boolean): Promise<Scene> {
   const scale = machines / MACHINES_OF_SAMPLE;
   const yards = Array.from({ length: machines }, (_, i) => ({ yard: i % 2 ? 'a' : 'b' }));
   const simulatedCluster = new SimulatedCluster(yards, 3, 0, { rps: 2000, writeRps: 500 }, scale);
   simulatedCluster.cloud.capacity = machines;
-  if (switchedOn) withQuotaTransfers(simulatedCluster);
+  if (transfersEnabled) withQuotaTransfers(simulatedCluster);
   await simulatedCluster.start();
   const tuning = await simulatedCluster.submit({
     pieces: machines * 8,
@@ -58,8 +58,8 @@
   return { w: simulatedCluster, scale, tuning };
 }
 
-/** The receiver's replicas: more than its guarantee before, within it afterwards. */
-async function claim(
+/** Submits the receiver's replicas: beyond its old guarantee, within the new one. */
+async function startReceiverReplicas(
   { w: cluster, scale, tuning }: Scene,
   askedAt: number,
 ): Promise<Partial<Times>> {
@@ -73,10 +73,10 @@
   return { firstReplicaMs, allReplicasMs, replicas, stopped: before - cluster.running(tuning) };
 }
 
-async function byMove(machines: number): Promise<Times> {
+async function measureTransfer(machines: number): Promise<Times> {
   const began = performance.now();
-  const played = await scene(machines, true);
-  const { w: cluster, scale } = played;
+  const scene = await startScene(machines, true);
+  const { w: cluster, scale } = scene;
   let shareWrites = 0;
   const before = cluster.store.onWrite;
   cluster.store.onWrite = (key) => {
@@ -93,17 +93,17 @@
     .then(() => {
       doneAt = cluster.clock.now();
     });
-  const times = await claim(played, askedAt);
+  const times = await startReceiverReplicas(scene, askedAt);
   await done;
   await cluster.close();
   return finish({ machines, way: 'move', shareWrites, doneMs: doneAt! - askedAt }, times, began);
 }
 
-/** As before this part: the settings are changed and the controllers restarted one by one. */
-async function byRestart(machines: number): Promise<Times> {
+/** The alternative without transfers: new settings and a rolling restart of the controllers. */
+async function measureRestart(machines: number): Promise<Times> {
   const began = performance.now();
-  const played = await scene(machines, false);
-  const { w: cluster, scale } = played;
+  const scene = await startScene(machines, false);
+  const { w: cluster, scale } = scene;
   const askedAt = cluster.clock.now();
   const teams = new Map(cluster.teams);
   for (const [name, sign] of [['speech', -1] as const, ['vision', 1] as const]) {
@@ -119,16 +119,16 @@
   cluster.teams = teams;
   for (let i = 0; i < cluster.nodes.length; i++) {
     cluster.crash(i);
-    await cluster.pass(AWAY_S);
+    await cluster.pass(RESTART_S);
     cluster.restart(i);
     await cluster.until(
       () => cluster.leader >= 0 && (cluster.nodes[i]!.controller?.ready() ?? false),
       60,
-      'is back',
+      'the controller is ready',
     );
   }
   const doneMs = cluster.clock.now() - askedAt;
-  const times = await claim(played, askedAt);
+  const times = await startReceiverReplicas(scene, askedAt);
   await cluster.close();
   return finish({ machines, way: 'restart', shareWrites: 0, doneMs }, times, began);
 }
@@ -142,15 +142,15 @@
   return { ...facts, ...times, realSeconds } as Times;
 };
 
-// ---- draining against the least possible
+// ---- lost work of preemption against the optimum
 
 const CASES = 3000;
-const MOST_TASKS = 12;
+const MAX_TASKS = 12;
 
 const lossOf = (tasks: readonly DrainCandidate[]): number =>
   tasks.reduce((sum, task) => sum + task.lostWorkMs, 0);
 
-/** The least loss of any set of tasks, gangs whole, that frees what is wanted. */
+/** The least loss of any set of tasks that frees enough GPUs; gangs only as a whole. */
 function leastLoss(wanted: number, candidates: readonly DrainCandidate[]): number {
   const units = new Map<string, DrainCandidate[]>();
   for (const candidate of candidates) {
@@ -167,16 +167,16 @@
   return least;
 }
 
-/** Random jobs of one priority; what is compared is the loss alone. */
+/** A case with random jobs of one priority, so that only the loss matters. */
 function drainCase(seed: number): { wanted: number; candidates: DrainCandidate[] } {
   const generator = xoroshiro128plus(seed);
-  const upTo = (from: number, to: number): number => uniformInt(generator, from, to);
+  const randomBetween = (from: number, to: number): number => uniformInt(generator, from, to);
   const candidates: DrainCandidate[] = [];
-  for (let job = 0; candidates.length < MOST_TASKS - 4 && job < 5; job++) {
-    const need = { cpus: 0, gpus: upTo(1, 4) };
-    const wholeGang = upTo(0, 2) === 0;
-    for (let task = 0; task < upTo(1, 4); task++) {
-      const lostWorkMs = upTo(1, 100) * 1000;
+  for (let job = 0; candidates.length < MAX_TASKS - 4 && job < 5; job++) {
+    const need = { cpus: 0, gpus: randomBetween(1, 4) };
+    const wholeGang = randomBetween(0, 2) === 0;
+    for (let task = 0; task < randomBetween(1, 4); task++) {
+      const lostWorkMs = randomBetween(1, 100) * 1000;
       candidates.push({
         job: `j${job}`,
         task,
@@ -187,11 +187,11 @@
       });
     }
   }
-  const most = candidates.reduce((sum, candidate) => sum + candidate.resources.gpus, 0);
-  return { wanted: upTo(1, most), candidates };
+  const total = candidates.reduce((sum, candidate) => sum + candidate.resources.gpus, 0);
+  return { wanted: randomBetween(1, total), candidates };
 }
 
-/** What is lost by draining, in percent of the least possible. */
+/** The loss of the chosen preemptions, in percent of the optimum. */
 function drainLoss(): { cases: number; percent: Record<string, number> } {
   const histogram: Histogram = build({
     lowestDiscernibleValue: 1,
@@ -215,8 +215,8 @@
 const sizes = process.argv.slice(2).map(Number);
 const results: Times[] = [];
 for (const machines of sizes.length > 0 ? sizes : [8, 100]) {
-  results.push(await byMove(machines));
-  results.push(await byRestart(machines));
+  results.push(await measureTransfer(machines));
+  results.push(await measureRestart(machines));
   console.error(JSON.stringify(results.slice(-2)));
 }
 console.log(JSON.stringify({ results, drain: drainLoss() }, null, 2));
