--- a/test/asymmetric-partition.test.ts
+++ b/test/asymmetric-partition.test.ts
@@ -2,76 +2,78 @@
 import { machines, runScenarios, type FaultScenario } from './fakes/fault-scenario.js';
 import type { SimulatedCluster } from './fakes/simulated-cluster.js';
 
-/** Replicas and tasks that outlast the scenario, running. */
-async function work(cluster: SimulatedCluster): Promise<string> {
+/** Starts a service and an array that outlast the scenario; returns the service. */
+async function startWork(cluster: SimulatedCluster): Promise<string> {
   cluster.balanced = true;
-  const wish = { pieces: 3, runMs: 0, urgency: 'production', crew: 'speech' };
-  const service = await cluster.accept({ ...wish, shape: 'service' });
+  const template = { pieces: 3, runMs: 0, urgency: 'production', crew: 'speech' };
+  const service = await cluster.accept({ ...template, shape: 'service' });
   await cluster.accept({ pieces: 4, runMs: 60_000 });
   await cluster.until(() => cluster.running(service) === 3, 20, 'replicas run');
   return service;
 }
 
-const MEETINGS: FaultScenario[] = [
+const SCENARIOS: FaultScenario[] = [
   {
-    // Its renewals were carried out and kept the key from the others, while it led no more: all
-    // workers were turned away until their leases ran out.
-    name: 'the leader reaches the store and hears no answer, and jobs are cancelled: another leads',
+    // The renewals of the old leader were applied and kept the leader key from the others although
+    // it had stopped leading: all workers were turned away until their leases expired.
+    name: 'the leader loses all responses of the store while jobs are cancelled: another leads',
     play: async (cluster, seed) => {
-      const service = await work(cluster);
-      const extra = await cluster.accept({ pieces: 2, runMs: 90_000, crew: 'speech' });
-      const old = cluster.leader;
-      cluster.faults.storeFaults.add(({ node }) => (node === old ? 'lose answer' : 'serve'));
+      const service = await startWork(cluster);
+      const cancelledJob = await cluster.accept({ pieces: 2, runMs: 90_000, crew: 'speech' });
+      const formerLeader = cluster.leader;
+      cluster.faults.storeFaults.add(({ node }) =>
+        node === formerLeader ? 'lose answer' : 'serve',
+      );
       await cluster.pass(seed);
-      void cluster.cancelling(extra, (old + 1) % 3);
-      await cluster.anotherLeads(old, 9);
+      void cluster.cancelling(cancelledJob, (formerLeader + 1) % 3);
+      await cluster.anotherLeads(formerLeader, 9);
       await cluster.pass(30);
       const starts = cluster.starts.filter((name) => name.startsWith(`${service}/`));
-      assert.equal(starts.length, 3, 'no lease ran out');
+      assert.equal(starts.length, 3, 'no lease expired');
     },
   },
   {
-    name: 'reports reach the leader and its answers get lost: another leads, and no lease runs out',
+    name: 'the leader receives heartbeats but its responses are lost: another leads, and no lease expires',
     machines: machines('aabbaa'),
     play: async (cluster, seed) => {
-      const service = await work(cluster);
+      const service = await startWork(cluster);
       await cluster.pass(0.25 * seed);
-      const old = cluster.leader;
-      cluster.nodes[old]!.heldMs = 6000;
+      const formerLeader = cluster.leader;
+      cluster.nodes[formerLeader]!.heldMs = 6000;
       await cluster.pass(40);
-      assert.notEqual(cluster.leader, old);
+      assert.notEqual(cluster.leader, formerLeader);
       const starts = cluster.starts.filter((name) => name.startsWith(`${service}/`));
-      assert.equal(starts.length, 3, 'no lease ran out');
+      assert.equal(starts.length, 3, 'no lease expired');
     },
   },
   {
-    name: 'a job of 25,000 tasks that fail everywhere comes while the leader is silent',
+    name: 'a job of 25,000 tasks that fail everywhere is submitted while the leader is unresponsive',
     machines: machines('aabbaa'),
     play: async (cluster, seed) => {
-      const service = await work(cluster);
-      const old = cluster.leader;
-      cluster.freeze(old, 60_000);
+      const service = await startWork(cluster);
+      const formerLeader = cluster.leader;
+      cluster.freeze(formerLeader, 60_000);
       await cluster.pass(0.5 * seed);
-      const broken = await cluster.accept({
+      const failingJob = await cluster.accept({
         pieces: 25_000,
         gpus: 1,
         failsAfterMs: 700,
         fetchMs: 500,
       });
-      await cluster.anotherLeads(old, 9);
-      const sound = await cluster.accept({ pieces: 6, runMs: 3000, fetchMs: 500 });
+      await cluster.anotherLeads(formerLeader, 9);
+      const healthyJob = await cluster.accept({ pieces: 6, runMs: 3000, fetchMs: 500 });
       await cluster.until(
-        () => cluster.stored(sound) === 'done',
+        () => cluster.stored(healthyJob) === 'done',
         30,
-        'the rest of the team goes on',
+        'other work of the team completes',
       );
       await cluster.pass(30);
-      const tries = cluster.starts.filter((name) => name.startsWith(`${broken}/`)).length;
-      assert.ok(tries <= 120, `${tries} starts`);
+      const startCount = cluster.starts.filter((name) => name.startsWith(`${failingJob}/`)).length;
+      assert.ok(startCount <= 120, `${startCount} starts`);
       assert.equal(cluster.running(service), 3);
-      await cluster.cancel(broken);
+      await cluster.cancel(failingJob);
     },
   },
 ];
 
-runScenarios(MEETINGS);
+runScenarios(SCENARIOS);
--- a/test/cancellation-during-outage-faults.test.ts
+++ b/test/cancellation-during-outage-faults.test.ts
@@ -2,13 +2,14 @@
 import type { SimulatedCluster } from './fakes/simulated-cluster.js';
 
 /**
- * The store refuses the leader alone, another controller confirms cancellations, and then the store
- * is down for all, for longer than `cancel_s`, while workers still report to the old leader.
+ * The store refuses only the leader, another controller confirms cancellations, and then the store
+ * is down for all controllers, for longer than `cancel_s`, while workers still report to the old
+ * leader. The leader has to stop the cancelled tasks although it could not read the records.
  */
-async function gap(
+async function outageAfterCancellations(
   cluster: SimulatedCluster,
   seed: number,
-  between: (leader: number, confirming: number) => Promise<void>,
+  beforeOutage: (leader: number, confirming: number) => Promise<void>,
 ): Promise<void> {
   const jobs: string[] = [];
   for (let i = 0; i < 4; i++) {
@@ -22,7 +23,7 @@
   await cluster.pass(0.25 * (seed % 4));
   for (const job of jobs.slice(0, 6)) void cluster.cancelling(job, confirming);
   await cluster.pass(0.5);
-  await between(leader, confirming);
+  await beforeOutage(leader, confirming);
   await cluster.pass(0.25 * (seed % 3));
   cluster.faults.outage();
   await cluster.pass(12);
@@ -32,48 +33,48 @@
 
 const SEEDS = [1, 4, 6];
 
-const MEETINGS: FaultScenario[] = [
+const SCENARIOS: FaultScenario[] = [
   {
-    name: 'gap: the leader hears of the cancellations from its peer',
-    play: (cluster, seed) => gap(cluster, seed, async () => undefined),
+    name: 'outage after cancellations: the leader learns of them from its peer',
+    play: (cluster, seed) => outageAfterCancellations(cluster, seed, async () => undefined),
   },
   {
-    name: 'gap: the message of the cancellations is lost',
+    name: 'outage after cancellations: the message about them is lost',
     seeds: SEEDS,
     play: (cluster, seed) => {
       cluster.faults.loseMessages('jobCancelled');
-      return gap(cluster, seed, async () => undefined);
+      return outageAfterCancellations(cluster, seed, async () => undefined);
     },
   },
   {
-    name: 'gap: controllers refuse each other',
+    name: 'outage after cancellations: controllers refuse connections of each other',
     seeds: SEEDS,
     play: (cluster, seed) => {
       cluster.faults.refusePeers();
-      return gap(cluster, seed, async () => undefined);
+      return outageAfterCancellations(cluster, seed, async () => undefined);
     },
   },
   {
-    name: 'gap: the confirming controller ends, and has forgotten them when it is asked for them',
+    name: 'outage after cancellations: the confirming controller restarts and loses its list of them',
     seeds: SEEDS,
     play: (cluster, seed) => {
       cluster.faults.loseMessages('jobCancelled');
-      return gap(cluster, seed, async (_leader, confirming) => {
+      return outageAfterCancellations(cluster, seed, async (_leader, confirming) => {
         await cluster.faults.restart(confirming, 0.25);
       });
     },
   },
   {
-    name: 'gap: the write is carried out and its answer lost',
+    name: 'outage after cancellations: the write is applied and its response is lost',
     seeds: SEEDS,
     play: (cluster, seed) => {
       cluster.faults.loseMessages('jobCancelled');
       cluster.faults.share.lostAnswers = 0.5;
-      return gap(cluster, seed, async () => {
+      return outageAfterCancellations(cluster, seed, async () => {
         cluster.faults.share.lostAnswers = 0;
       });
     },
   },
 ];
 
-runScenarios(MEETINGS);
+runScenarios(SCENARIOS);
--- a/test/cancellation-during-outage.test.ts
+++ b/test/cancellation-during-outage.test.ts
@@ -7,11 +7,11 @@
 import type { Fate } from './fakes/store.js';
 import { SimulatedCluster } from './fakes/simulated-cluster.js';
 
-const FOUR = [{ yard: 'a' }, { yard: 'a' }, { yard: 'b' }, { yard: 'b' }];
+const FOUR_MACHINES = [{ yard: 'a' }, { yard: 'a' }, { yard: 'b' }, { yard: 'b' }];
 const CANCEL_MS = 35_000;
-const service = { shape: 'service', pieces: 2, runMs: 0, urgency: 'production' } as const;
+const serviceTemplate = { shape: 'service', pieces: 2, runMs: 0, urgency: 'production' } as const;
 
-interface Gap {
+interface RefusedLeader {
   w: SimulatedCluster;
   leader: number;
   /** The controller that confirms the cancellation, and the third one. */
@@ -22,23 +22,23 @@
   kept: string;
 }
 
-/** A controller of the version before writes no record of itself. */
-const announcesNothing = (_method: string, path: string, body: unknown): Fate =>
+/** Refuses the member record, which a controller of the previous version does not write. */
+const refuseMemberRecord = (_method: string, path: string, body: unknown): Fate =>
   path === '/txn' && JSON.stringify(body).includes('"write":"members/') ? 'refuse' : 'serve';
 
-/** Three controllers, two services that run, and a leader that the store refuses alone. */
-async function refusedLeader(announced = true): Promise<Gap> {
-  const simulatedCluster = new SimulatedCluster(FOUR, 3);
-  if (!announced) for (const node of simulatedCluster.nodes) node.fate = announcesNothing;
+/** Starts three controllers and two services, and lets the store refuse only the leader. */
+async function startWithRefusedLeader(formatsKnown = true): Promise<RefusedLeader> {
+  const simulatedCluster = new SimulatedCluster(FOUR_MACHINES, 3);
+  if (!formatsKnown) for (const node of simulatedCluster.nodes) node.fate = refuseMemberRecord;
   await simulatedCluster.start();
-  const cancelled = await simulatedCluster.submit(service);
-  const kept = await simulatedCluster.submit(service);
+  const cancelled = await simulatedCluster.submit(serviceTemplate);
+  const kept = await simulatedCluster.submit(serviceTemplate);
   await simulatedCluster.until(
     () => simulatedCluster.running(cancelled) + simulatedCluster.running(kept) === 4,
     10,
     'replicas run',
   );
-  // Nothing may rest on the message that tells the leader of a cancellation.
+  // The outcome must not depend on the message that tells the leader of a cancellation.
   simulatedCluster.wire.loses = (_from, _to, message) => message.kind === 'jobCancelled';
   const { leader } = simulatedCluster;
   simulatedCluster.nodes[leader]!.fate = () => 'refuse';
@@ -53,104 +53,108 @@
   };
 }
 
-async function abort({ w: cluster, confirming, cancelled }: Gap): Promise<void> {
+async function cancelJob({ w: cluster, confirming, cancelled }: RefusedLeader): Promise<void> {
   const answer = await cluster.ask(cluster.user(confirming).abort(cancelled));
   assert.deepEqual(answer.body, { ref: cancelled, phase: 'withdrawn' });
 }
 
-/** The store is down for all for `seconds`; what was cancelled has to be gone in time. */
-async function outage({ w: cluster, leader, cancelled }: Gap, seconds: number): Promise<void> {
-  const toldAt = cluster.clock.now();
+/** The store is down for `seconds`; cancelled tasks have to be gone within `CANCEL_MS`. */
+async function runOutage(
+  { w: cluster, leader, cancelled }: RefusedLeader,
+  seconds: number,
+): Promise<void> {
+  const confirmedAt = cluster.clock.now();
   cluster.store.down = true;
   for (let passed = 0; passed < seconds; passed += 0.25) {
     await cluster.pass(0.25);
-    const late = cluster.clock.now() - toldAt >= CANCEL_MS;
-    if (late) assert.equal(cluster.on(cancelled).length, 0, `still there after ${passed} s`);
+    const overdue = cluster.clock.now() - confirmedAt >= CANCEL_MS;
+    if (overdue) assert.equal(cluster.on(cancelled).length, 0, `still there after ${passed} s`);
   }
   cluster.nodes[leader]!.fate = () => 'serve';
   cluster.store.restore();
 }
 
-async function end({ w: cluster, cancelled, kept }: Gap): Promise<void> {
-  await cluster.until(() => cluster.running(kept) === 2, 40, 'what was not cancelled runs');
+async function finish({ w: cluster, cancelled, kept }: RefusedLeader): Promise<void> {
+  await cluster.until(() => cluster.running(kept) === 2, 40, 'the job that was not cancelled runs');
   assert.equal(cluster.on(cancelled).length, 0);
   for (const node of cluster.nodes.keys())
     assert.equal(await cluster.phase(cancelled, node), 'withdrawn');
   await cluster.close();
 }
 
-test('in a long outage work goes on, and what another controller called cancelled ends', async () => {
-  const gap = await refusedLeader();
-  const starts = gap.w.starts.length;
-  await abort(gap);
-  await outage(gap, 60);
-  assert.equal(gap.w.running(gap.kept), 2);
-  assert.equal(gap.w.starts.length, starts);
-  await end(gap);
+test('in a long outage work goes on, and a job whose cancellation another controller confirmed stops', async () => {
+  const scenario = await startWithRefusedLeader();
+  const starts = scenario.w.starts.length;
+  await cancelJob(scenario);
+  await runOutage(scenario, 60);
+  assert.equal(scenario.w.running(scenario.kept), 2);
+  assert.equal(scenario.w.starts.length, starts);
+  await finish(scenario);
 });
 
-const links: {
+const CASES: {
   name: string;
-  confirm?(gap: Gap): Promise<void>;
-  trouble?(gap: Gap): Promise<void>;
-  /** False: nobody is known to read the current frames. */
-  announced?: false;
-  /** Everyone can answer for the cancellations all the same, so that other work goes on. */
-  covered?: true;
+  confirm?(scenario: RefusedLeader): Promise<void>;
+  injectFault?(scenario: RefusedLeader): Promise<void>;
+  /** False: no controller is known to read the current frame versions. */
+  formatsKnown?: false;
+  /** All controllers can still list their cancellations, so that other work goes on. */
+  keepsOtherWork?: true;
 }[] = [
   {
     name: 'connections between controllers are refused',
-    trouble: ({ w: cluster }) => {
+    injectFault: ({ w: cluster }) => {
       for (const { name } of cluster.nodes) cluster.wire.cut.add(name);
       return Promise.resolve();
     },
   },
   {
-    name: 'the confirming controller is ended and forgets',
-    trouble: async ({ w: cluster, confirming }) => {
+    name: 'the confirming controller restarts and loses its list of cancellations',
+    injectFault: async ({ w: cluster, confirming }) => {
       cluster.crash(confirming);
       await cluster.clock.advance(300);
       cluster.restart(confirming);
     },
   },
   {
-    name: 'the confirming controller is ended and stays away',
-    trouble: ({ w: cluster, confirming }) => Promise.resolve(cluster.crash(confirming)),
+    name: 'the confirming controller crashes and stays down',
+    injectFault: ({ w: cluster, confirming }) => Promise.resolve(cluster.crash(confirming)),
   },
   {
-    name: 'the confirming controller stands still',
-    trouble: ({ w: cluster, confirming }) => Promise.resolve(cluster.freeze(confirming, 45_000)),
+    name: 'the confirming controller stalls',
+    injectFault: ({ w: cluster, confirming }) =>
+      Promise.resolve(cluster.freeze(confirming, 45_000)),
   },
   {
-    name: 'the others run the version before',
-    announced: false,
-    trouble: ({ w: cluster, confirming, other }) => {
+    name: 'the others run the previous version',
+    formatsKnown: false,
+    injectFault: ({ w: cluster, confirming, other }) => {
       for (const i of [confirming, other]) cluster.wire.previousVersion.add(cluster.nodes[i]!.name);
       return Promise.resolve();
     },
   },
   {
-    name: 'lists of cancellations are lost, promises not to contest are not',
-    trouble: ({ w: cluster }) => {
+    name: 'cancellation lists are lost, but promises not to campaign arrive',
+    injectFault: ({ w: cluster }) => {
       cluster.wire.loses = (_from, _to, message) =>
         message.kind === 'jobCancelled' || message.kind === 'cancellationsResponse';
       return Promise.resolve();
     },
   },
   {
-    name: 'lists of cancellations come too late',
-    trouble: ({ w: cluster, leader }) => {
+    name: 'cancellation lists arrive too late',
+    injectFault: ({ w: cluster, leader }) => {
       cluster.wire.delayMs = (_from, to) => (to === cluster.nodes[leader]!.name ? 600 : 2);
       return Promise.resolve();
     },
   },
   {
-    name: 'the leader stands still for a while',
-    trouble: ({ w: cluster, leader }) => Promise.resolve(cluster.freeze(leader, 1200)),
-    covered: true,
+    name: 'the leader stalls for a while',
+    injectFault: ({ w: cluster, leader }) => Promise.resolve(cluster.freeze(leader, 1200)),
+    keepsOtherWork: true,
   },
   {
-    name: 'the answer to the cancellation is lost, and another controller tells of it',
+    name: 'the response to the cancellation is lost, and another controller reports it',
     confirm: async ({ w: cluster, confirming, other, cancelled }) => {
       const node = cluster.nodes[confirming]!;
       node.fate = (_method, path, body) =>
@@ -162,10 +166,10 @@
       node.fate = () => 'refuse';
       assert.equal(await cluster.phase(cancelled, other), 'withdrawn');
     },
-    covered: true,
+    keepsOtherWork: true,
   },
   {
-    name: 'the cancellation is carried out late, and a repeated submission tells of it',
+    name: 'the cancellation is applied late, and a repeated submission reports it',
     confirm: async ({ w: cluster, confirming, other, cancelled }) => {
       const node = cluster.nodes[confirming]!;
       node.fate = (_method, path, body) =>
@@ -179,32 +183,32 @@
       );
       assert.deepEqual(answer.body, { ref: cancelled, phase: 'withdrawn' });
     },
-    covered: true,
+    keepsOtherWork: true,
   },
 ];
 
-for (const { name, announced, confirm, trouble, covered } of links) {
+for (const { name, formatsKnown, confirm, injectFault, keepsOtherWork } of CASES) {
   test(`cancelled tasks are gone in time in an outage when ${name}`, async () => {
-    const gap = await refusedLeader(announced);
-    await (confirm ?? abort)(gap);
-    await trouble?.(gap);
-    await outage(gap, 50);
-    assert.equal(gap.w.running(gap.kept), covered ? 2 : 0);
-    assert.deepEqual(gap.w.wire.unreadable, []);
-    gap.w.nodes[gap.confirming]!.fate = () => 'serve';
-    for (const { name: node } of gap.w.nodes) gap.w.wire.cut.delete(node);
-    if (!gap.w.nodes[gap.confirming]!.controller) gap.w.restart(gap.confirming);
-    await end(gap);
+    const scenario = await startWithRefusedLeader(formatsKnown);
+    await (confirm ?? cancelJob)(scenario);
+    await injectFault?.(scenario);
+    await runOutage(scenario, 50);
+    assert.equal(scenario.w.running(scenario.kept), keepsOtherWork ? 2 : 0);
+    assert.deepEqual(scenario.w.wire.unreadable, []);
+    scenario.w.nodes[scenario.confirming]!.fate = () => 'serve';
+    for (const { name: node } of scenario.w.nodes) scenario.w.wire.cut.delete(node);
+    if (!scenario.w.nodes[scenario.confirming]!.controller) scenario.w.restart(scenario.confirming);
+    await finish(scenario);
   });
 }
 
-test('a leader whose watch alone stalls reads the records another way, and keeps its workers', async () => {
-  const gap = await refusedLeader();
-  const { w: cluster, leader, cancelled, kept } = gap;
+test('a leader whose job watch alone fails reads the records without it, and keeps its workers', async () => {
+  const scenario = await startWithRefusedLeader();
+  const { w: cluster, leader, cancelled, kept } = scenario;
   const starts = cluster.starts.length;
   cluster.nodes[leader]!.fate = (_method, path) =>
     path.startsWith('/follow?starts=jobs') ? 'refuse' : 'serve';
-  await abort(gap);
+  await cancelJob(scenario);
   await cluster.until(() => cluster.on(cancelled).length === 0, 12, 'gone');
   await cluster.pass(60);
   assert.equal(cluster.leader, leader);
@@ -214,33 +218,33 @@
 });
 
 test('a leader that cannot read the records renews no lease', async () => {
-  const gap = await refusedLeader();
-  const { w: cluster, leader, confirming, other, cancelled } = gap;
-  // Its successor becomes leader, and can do nothing but hold it.
+  const scenario = await startWithRefusedLeader();
+  const { w: cluster, leader, confirming, other, cancelled } = scenario;
+  // The successor can acquire the leader lease, but cannot read the records.
   cluster.nodes[other]!.fate = (_method, path) => (path.startsWith('/store?') ? 'refuse' : 'serve');
   cluster.crash(leader);
   cluster.nodes[confirming]!.fate = (_method, path) => (path === '/grants' ? 'refuse' : 'serve');
-  await cluster.until(() => cluster.leader === other, 10, 'it leads');
-  await abort(gap);
+  await cluster.until(() => cluster.leader === other, 10, 'the successor leads');
+  await cancelJob(scenario);
   await cluster.pass(CANCEL_MS / 1000);
   assert.equal(cluster.on(cancelled).length, 0);
   cluster.nodes[other]!.fate = () => 'serve';
   cluster.nodes[confirming]!.fate = () => 'serve';
   cluster.restart(leader);
   cluster.nodes[leader]!.fate = () => 'serve';
-  await end(gap);
+  await finish(scenario);
 });
 
 test('a zone delegate renews no lease without knowing which jobs are cancelled', async () => {
-  const simulatedCluster = new SimulatedCluster(FOUR);
+  const simulatedCluster = new SimulatedCluster(FOUR_MACHINES);
   await simulatedCluster.start();
-  const job = await simulatedCluster.submit({ ...service, pieces: 4, gpus: 4 });
+  const job = await simulatedCluster.submit({ ...serviceTemplate, pieces: 4, gpus: 4 });
   await simulatedCluster.until(() => simulatedCluster.running(job) === 4, 10, 'replicas run');
   const { leader } = simulatedCluster;
   simulatedCluster.split(true);
   await simulatedCluster.pass(12);
   assert.equal(simulatedCluster.running(job), 4);
-  // From now on it may write its key, and learns nothing of jobs.
+  // From now on the delegate can write its key, but its reads of the job records are lost.
   simulatedCluster.nodes[1 - leader]!.fate = (_method, path, body) =>
     path === '/txn' && (body as { then: unknown[] }).then.length === 0 ? 'lose request' : 'serve';
   await simulatedCluster.ask(simulatedCluster.user(leader).abort(job));
@@ -250,15 +254,15 @@
   await simulatedCluster.close();
 });
 
-test('a watch asks for whole milliseconds, since others would count as none', () => {
+test('a watch requests its hold time in whole milliseconds, since fractions count as no hold time', () => {
   assert.match(STORE_PATHS.watch('jobs/', 7, 1143.75), /&holdMs=1144$/);
 });
 
-test('a log of cancellations answers only for times of which nothing is missing', async () => {
+test('a cancellation log answers only for a period for which it is complete', async () => {
   const clock = new FakeClock();
   await clock.advance(1000);
   const log = new CancellationLog(clock, clock.now(), 60_000, 3);
-  assert.equal(log.since(999), null, 'an earlier process may have told of more');
+  assert.equal(log.since(999), null, 'a previous process may have confirmed others');
   assert.deepEqual(log.since(1000), []);
   await clock.advance(1000);
   assert.equal(log.add('req-1'), true);
@@ -270,15 +274,15 @@
   await clock.advance(1000);
   log.add('req-3');
   log.add('req-4');
-  assert.equal(log.since(1500), null, 'the oldest had to make room');
+  assert.equal(log.since(1500), null, 'the oldest entry was evicted');
   assert.deepEqual(log.since(2500), ['req-2', 'req-3', 'req-4']);
   await clock.advance(60_001);
-  assert.equal(log.since(2500), null, 'too old to be kept');
+  assert.equal(log.since(2500), null, 'older than the retention time');
   assert.deepEqual(log.since(5000), []);
 });
 
-test('frames of kinds that the version before knows are as it wrote them, later ones are marked', () => {
-  const old: PeerMessage[] = [
+test('messages that the previous version knows are encoded as it did, later ones with a later frame version', () => {
+  const previousMessages: PeerMessage[] = [
     { kind: 'hello', member: 'berth-1', ageMs: 1 },
     { kind: 'leaderHeartbeat', fencingToken: 1, first: true, progress: [] },
     { kind: 'jobCancelled', id: 'req-1' },
@@ -288,17 +292,17 @@
     { kind: 'promiseCheckResponse', requestId: 1, free: true },
     { kind: 'storeStatus', available: true },
   ];
-  old.forEach((message, kind) => {
+  previousMessages.forEach((message, kind) => {
     const frame = encode(message);
     assert.deepEqual([frame.readUInt8(2), frame.readUInt8(3)], [3, kind], message.kind);
   });
-  const current: PeerMessage[] = [
+  const currentMessages: PeerMessage[] = [
     { kind: 'cancellationsRequest', requestId: 7, sinceMs: 1200 },
     { kind: 'cancellationsResponse', requestId: 7, cancelled: ['req-1', 'req-2'] },
     { kind: 'cancellationsResponse', requestId: 7, cancelled: [] },
     { kind: 'cancellationsResponse', requestId: 7, cancelled: null },
   ];
-  for (const message of current) assert.equal(encode(message).readUInt8(2), 4);
-  const all = [...old, ...current];
+  for (const message of currentMessages) assert.equal(encode(message).readUInt8(2), 4);
+  const all = [...previousMessages, ...currentMessages];
   assert.deepEqual(new Decoder().push(Buffer.concat(all.map(encode))), all);
 });
--- a/test/leader-failover.test.ts
+++ b/test/leader-failover.test.ts
@@ -2,8 +2,8 @@
 import { machines, runScenarios, type FaultScenario } from './fakes/fault-scenario.js';
 import type { SimulatedCluster } from './fakes/simulated-cluster.js';
 
-/** Some long work of each kind, running. */
-async function work(cluster: SimulatedCluster, runMs = 40_000): Promise<string[]> {
+/** Submits a long array, service and gang and waits until each of them runs. */
+async function startWork(cluster: SimulatedCluster, runMs = 40_000): Promise<string[]> {
   const jobs = [
     await cluster.accept({ pieces: 6, runMs }),
     await cluster.accept({ shape: 'service', pieces: 3, runMs: 0, urgency: 'production' }),
@@ -16,12 +16,12 @@
       samePlace: true,
     }),
   ];
-  await cluster.until(() => jobs.every((job) => cluster.running(job) > 0), 20, 'all kinds run');
+  await cluster.until(() => jobs.every((job) => cluster.running(job) > 0), 20, 'all jobs run');
   return jobs;
 }
 
-/** Users submit and cancel small jobs in the background, until the faults are over. */
-async function trickle(cluster: SimulatedCluster, seconds: number): Promise<void> {
+/** Submits small jobs in the background and cancels about half of them until the faults end. */
+async function submitSmallJobs(cluster: SimulatedCluster, seconds: number): Promise<void> {
   for (
     const until = cluster.clock.now() + seconds * 1000;
     cluster.clock.now() < until && !cluster.settling;
@@ -38,45 +38,45 @@
   }
 }
 
-const MEETINGS: FaultScenario[] = [
+const SCENARIOS: FaultScenario[] = [
   {
-    name: 'a command of a leader that has ended arrives after the new leader began',
+    name: 'a command of a crashed leader arrives after the next leader has taken over',
     play: async (cluster, seed) => {
-      const jobs = await work(cluster);
+      const jobs = await startWork(cluster);
       cluster.faults.share.lateCommands = 1;
       const stopped = await cluster.accept({ pieces: 8, runMs: 60_000, urgency: 'best_effort' });
       await cluster.until(() => cluster.running(stopped) > 0, 10, 'runs');
       void cluster.cancelling(stopped);
       await cluster.pass(0.25 * seed);
-      const old = cluster.leader;
-      cluster.crash(old);
-      // Urgent work displaces what runs, by direct commands of the next leader that come late too.
+      const formerLeader = cluster.leader;
+      cluster.crash(formerLeader);
+      // Production work preempts running work by direct commands of the next leader, also delayed.
       await cluster.accept({ pieces: 20, runMs: 5000, urgency: 'production', crew: 'speech' });
       await cluster.pass(2 + seed);
-      cluster.restart(old);
+      cluster.restart(formerLeader);
       await cluster.pass(20);
       assert.ok(cluster.on(stopped).length === 0);
       assert.equal(jobs.length, 3);
     },
   },
   {
-    name: 'a deposed leader goes on ordering until it learns that it is',
+    name: 'a deposed leader goes on sending commands until it learns that it is deposed',
     play: async (cluster, seed) => {
-      await work(cluster);
-      void trickle(cluster, 20);
-      const old = cluster.leader;
+      await startWork(cluster);
+      void submitSmallJobs(cluster, 20);
+      const formerLeader = cluster.leader;
       cluster.faults.share.lateCommands = 0.5;
-      cluster.freeze(old, 2500 + seed * 1500);
+      cluster.freeze(formerLeader, 2500 + seed * 1500);
       await cluster.pass(12);
       cluster.freeze(cluster.leader, 4000);
       await cluster.pass(15);
     },
   },
   {
-    name: 'controllers hand over and back, all end, and one returns within a second',
+    name: 'leadership changes repeatedly, all controllers crash, and one restarts within a second',
     play: async (cluster, seed) => {
-      await work(cluster);
-      void trickle(cluster, 25);
+      await startWork(cluster);
+      void submitSmallJobs(cluster, 25);
       for (let i = 0; i < 3; i++) {
         await cluster.faults.endLeader(0.5);
         await cluster.pass(1 + cluster.random.next() * 4);
@@ -90,9 +90,9 @@
     },
   },
   {
-    name: 'all controllers are away for longer than a lease, while jobs are cancelled',
+    name: 'all controllers are down for longer than a lease while jobs are cancelled',
     play: async (cluster, seed) => {
-      const jobs = await work(cluster);
+      const jobs = await startWork(cluster);
       for (const job of jobs.slice(0, 2)) void cluster.cancelling(job);
       await cluster.pass(0.25 * seed);
       await cluster.faults.restartAll(14);
@@ -100,11 +100,11 @@
     },
   },
   {
-    name: 'leaders change ten times in two minutes',
+    name: 'the leader changes ten times in two minutes',
     seeds: [1, 2],
     play: async (cluster) => {
-      await work(cluster, 60_000);
-      void trickle(cluster, 110);
+      await startWork(cluster, 60_000);
+      void submitSmallJobs(cluster, 110);
       for (let i = 0; i < 10; i++) {
         await cluster.faults.endLeader(1 + cluster.random.next() * 4);
         await cluster.pass(4 + cluster.random.next() * 5);
@@ -112,9 +112,9 @@
     },
   },
   {
-    name: 'leaders change again and again inside an outage',
+    name: 'the leader changes repeatedly during a store outage',
     play: async (cluster, seed) => {
-      const jobs = await work(cluster);
+      const jobs = await startWork(cluster);
       void cluster.cancelling(jobs[0]!);
       await cluster.pass(0.25 * seed);
       cluster.faults.outage();
@@ -130,15 +130,15 @@
     },
   },
   {
-    name: 'jobs of three tasks end far apart across a change of leader',
+    name: 'tasks of one job complete at distant times across leader changes',
     play: async (cluster, seed) => {
       const refs: string[] = [];
       for (let i = 0; i < 5; i++) refs.push(await cluster.accept({ pieces: 3, runMs: 25_000 }));
       await cluster.until(() => refs.every((ref) => cluster.running(ref) === 3), 20, 'all run');
       for (const ref of refs) {
-        // One task is faster than the others, and ends while nobody or an old leader hears it.
-        const piece = cluster.on(ref)[cluster.random.pick([0, 1, 2])]!;
-        piece.since -= 25_000 - cluster.random.between(500, 6000);
+        // One task completes earlier, while there is no leader or a former one receives the heartbeat.
+        const task = cluster.on(ref)[cluster.random.pick([0, 1, 2])]!;
+        task.since -= 25_000 - cluster.random.between(500, 6000);
       }
       await cluster.pass(seed);
       await cluster.faults.endLeader(3);
@@ -149,24 +149,28 @@
     },
   },
   {
-    name: 'a leader is cut from store and peers, and jobs are cancelled through the new one',
+    name: 'a leader loses the store and its peers, and jobs are cancelled through the new leader',
     play: async (cluster, seed) => {
-      const jobs = await work(cluster);
-      const old = cluster.leader;
-      cluster.faults.isolate(old);
+      const jobs = await startWork(cluster);
+      const formerLeader = cluster.leader;
+      cluster.faults.isolate(formerLeader);
       await cluster.pass(0.5 * seed);
-      for (const job of jobs.slice(0, 2)) void cluster.cancelling(job, (old + 1) % 3);
-      await cluster.until(() => cluster.leader !== old && cluster.leader >= 0, 12, 'another leads');
+      for (const job of jobs.slice(0, 2)) void cluster.cancelling(job, (formerLeader + 1) % 3);
+      await cluster.until(
+        () => cluster.leader !== formerLeader && cluster.leader >= 0,
+        12,
+        'another leads',
+      );
       await cluster.pass(2);
-      const late = await cluster.accept({ pieces: 4, runMs: 30_000, crew: 'speech' });
+      const lateJob = await cluster.accept({ pieces: 4, runMs: 30_000, crew: 'speech' });
       await cluster.pass(5);
-      void cluster.cancelling(late, cluster.leader);
+      void cluster.cancelling(lateJob, cluster.leader);
       await cluster.pass(25);
-      cluster.faults.rejoin(old);
+      cluster.faults.rejoin(formerLeader);
     },
   },
   {
-    name: 'jobs are cancelled in the seconds in which one controller hands over its work',
+    name: 'jobs are cancelled while the leader transfers leadership',
     play: async (cluster, seed) => {
       const refs: string[] = [];
       for (let i = 0; i < 8; i++) {
@@ -175,35 +179,42 @@
         );
       }
       await cluster.until(() => refs.every((ref) => cluster.running(ref) === 2), 20, 'all run');
-      const old = cluster.leader;
-      cluster.nodes[old]!.open = false;
+      const formerLeader = cluster.leader;
+      cluster.nodes[formerLeader]!.open = false;
       for (const ref of refs.slice(0, 6)) {
         void cluster.cancelling(ref).then(() => cluster.queryEverywhere(ref));
         await cluster.pass(0.25 * seed);
       }
-      await cluster.until(() => cluster.leader !== old && cluster.leader >= 0, 15, 'handed over');
-      cluster.nodes[old]!.open = true;
+      await cluster.until(
+        () => cluster.leader !== formerLeader && cluster.leader >= 0,
+        15,
+        'leadership is transferred',
+      );
+      cluster.nodes[formerLeader]!.open = true;
       await cluster.pass(10);
     },
   },
   {
-    name: 'a leader ends while machines with long tasks cannot be reached, or do not hear its answers',
+    name: 'a leader crashes while machines with long tasks are unreachable or lose its responses',
     machines: machines('aaabbb'),
     play: async (cluster, seed) => {
-      const jobs = await work(cluster, 60_000);
-      const [cut, deaf] = [cluster.holding(jobs[0]!), cluster.holding(jobs[1]!).slice(0, 1)];
-      cluster.faults.cutOff(cut);
+      const jobs = await startWork(cluster, 60_000);
+      const [unreachable, deaf] = [
+        cluster.holding(jobs[0]!),
+        cluster.holding(jobs[1]!).slice(0, 1),
+      ];
+      cluster.faults.cutOff(unreachable);
       cluster.faults.deafen(deaf);
       await cluster.pass(seed);
       await cluster.faults.endLeader(4);
       void cluster.cancelling(jobs[seed % 2]!);
       await cluster.pass(6);
-      for (const worker of [...cut, ...deaf]) worker.deaf = worker.mute = false;
+      for (const worker of [...unreachable, ...deaf]) worker.deaf = worker.mute = false;
       await cluster.pass(12);
     },
   },
   {
-    name: 'new machines are up at once and get work while writes lag, and the leader ends',
+    name: 'new machines boot quickly and get work while writes are delayed, and the leader crashes',
     machines: machines('ab'),
     play: async (cluster, seed) => {
       cluster.cloud.bootMs = 1500;
@@ -225,4 +236,4 @@
   },
 ];
 
-runScenarios(MEETINGS);
+runScenarios(SCENARIOS);
--- a/test/store-outage.test.ts
+++ b/test/store-outage.test.ts
@@ -1,12 +1,12 @@
 import { runScenarios, type FaultScenario } from './fakes/fault-scenario.js';
 import type { SimulatedCluster } from './fakes/simulated-cluster.js';
 
-/** Small jobs come, some of them are cancelled, and users look closely. */
-async function rush(cluster: SimulatedCluster, seconds: number): Promise<void> {
-  cluster.onDone = (piece) => void cluster.queryEverywhere(piece.job);
+/** Submits a small job each second, cancels some of them, and queries all of them everywhere. */
+async function submitAndQueryJobs(cluster: SimulatedCluster, seconds: number): Promise<void> {
+  cluster.onDone = (task) => void cluster.queryEverywhere(task.job);
   for (let i = 0; i < seconds && !cluster.settling; i++) {
-    const wish = { pieces: 1 + (i % 3), runMs: 3000, fetchMs: 500 };
-    void cluster.accepting({ ...wish, crew: i % 2 ? 'vision' : 'speech' }).then(async (ref) => {
+    const template = { pieces: 1 + (i % 3), runMs: 3000, fetchMs: 500 };
+    void cluster.accepting({ ...template, crew: i % 2 ? 'vision' : 'speech' }).then(async (ref) => {
       void cluster.queryEverywhere(ref);
       if (cluster.random.next() < 0.6) return;
       await cluster.clock.sleep(cluster.random.between(0, 2500));
@@ -17,22 +17,22 @@
   }
 }
 
-const MEETINGS: FaultScenario[] = [
+const SCENARIOS: FaultScenario[] = [
   {
-    name: 'transactions without an answer are carried out late, after newer ones',
+    name: 'transactions without a response are applied late, after newer ones',
     play: async (cluster, seed) => {
       cluster.faults.share.lateWrites = 0.15 + 0.1 * seed;
       await cluster.accept({ shape: 'service', pieces: 2, runMs: 0 });
-      await rush(cluster, 18);
+      await submitAndQueryJobs(cluster, 18);
       await cluster.pass(8);
     },
   },
   {
-    name: 'transactions are carried out late while leaders change',
+    name: 'transactions are applied late while leaders change',
     play: async (cluster, seed) => {
       cluster.faults.share.lateWrites = 0.3;
       await cluster.accept({ shape: 'gang', pieces: 2, gpus: 4, runMs: 15_000 });
-      void rush(cluster, 20);
+      void submitAndQueryJobs(cluster, 20);
       for (let i = 0; i < 3; i++) {
         await cluster.pass(2 + seed);
         await cluster.faults.endLeader(2);
@@ -41,24 +41,24 @@
     },
   },
   {
-    name: 'only the answers of transactions are lost, while other nodes read what they wrote',
+    name: 'responses to transactions are lost, while other controllers read what they wrote',
     play: async (cluster, seed) => {
       cluster.faults.share.lostAnswers = 0.2 + 0.15 * seed;
-      await rush(cluster, 18);
+      await submitAndQueryJobs(cluster, 18);
       if (seed > 1) await cluster.faults.endLeader(2);
       await cluster.pass(8);
     },
   },
   {
-    name: 'the store answers slowly, refuses the leader alone and then everybody, while users cancel',
+    name: 'the store is slow, refuses only the leader and then all controllers, while users cancel',
     seeds: [1, 2],
     play: async (cluster, seed) => {
       const services = [1, 2, 3].map(() => ({ shape: 'service' as const, pieces: 2, runMs: 0 }));
       const jobs: string[] = [];
-      for (const wish of services) jobs.push(await cluster.accept(wish));
+      for (const template of services) jobs.push(await cluster.accept(template));
       await cluster.until(() => jobs.every((job) => cluster.running(job) === 2), 20, 'all run');
       cluster.store.slowMs = 300 * seed;
-      void rush(cluster, 10);
+      void submitAndQueryJobs(cluster, 10);
       await cluster.pass(4);
       void cluster.cancelling(jobs[0]!);
       cluster.faults.refuse(cluster.leader);
@@ -70,18 +70,18 @@
     },
   },
   {
-    name: 'the store is so slow that no answer comes in time, and users cancel and ask',
+    name: 'the store is so slow that no response arrives in time, while users cancel and query',
     play: async (cluster, seed) => {
       const job = await cluster.accept({ shape: 'service', pieces: 4, runMs: 0 });
       await cluster.until(() => cluster.running(job) === 4, 20, 'runs');
       cluster.store.slowMs = 500 + 300 * seed;
-      void rush(cluster, 8);
+      void submitAndQueryJobs(cluster, 8);
       void cluster.cancelling(job);
       await cluster.pass(12);
     },
   },
   {
-    name: 'a late cancellation lands while the store serves nobody who leads',
+    name: 'a delayed cancellation is applied while the store serves no leader',
     play: async (cluster, seed) => {
       const jobs: string[] = [];
       for (let i = 0; i < 3; i++) jobs.push(await cluster.accept({ pieces: 3, runMs: 60_000 }));
@@ -102,4 +102,4 @@
   },
 ];
 
-runScenarios(MEETINGS);
+runScenarios(SCENARIOS);
--- a/test/store-reachability.test.ts
+++ b/test/store-reachability.test.ts
@@ -5,30 +5,30 @@
 import { FakeClock } from './fakes/clock.js';
 import { SimulatedCluster } from './fakes/simulated-cluster.js';
 
-const TWO = [{ yard: 'a' }, { yard: 'b' }];
+const TWO_MACHINES = [{ yard: 'a' }, { yard: 'b' }];
 
-test('a controller that the store refuses alone lets its users go to others', async () => {
-  const simulatedCluster = new SimulatedCluster(TWO, 3);
+test('a controller refused by the store while others are served becomes unready so that its users are routed to others', async () => {
+  const simulatedCluster = new SimulatedCluster(TWO_MACHINES, 3);
   await simulatedCluster.start();
   const ready = (): boolean[] => simulatedCluster.nodes.map((node) => node.controller!.ready());
   assert.deepEqual(ready(), [true, true, true]);
-  const cut = (simulatedCluster.leader + 1) % 3;
-  simulatedCluster.nodes[cut]!.fate = () => 'refuse';
+  const refused = (simulatedCluster.leader + 1) % 3;
+  simulatedCluster.nodes[refused]!.fate = () => 'refuse';
   const job = await simulatedCluster.submit({ pieces: 1 }, simulatedCluster.leader);
-  void simulatedCluster.user(cut).query(job);
+  void simulatedCluster.user(refused).query(job);
   await simulatedCluster.pass(7);
   assert.deepEqual(
     ready(),
-    [0, 1, 2].map((i) => i !== cut),
+    [0, 1, 2].map((i) => i !== refused),
   );
-  simulatedCluster.nodes[cut]!.fate = () => 'serve';
+  simulatedCluster.nodes[refused]!.fate = () => 'serve';
   await simulatedCluster.pass(4);
   assert.deepEqual(ready(), [true, true, true]);
   await simulatedCluster.close();
 });
 
-test('in an outage that all meet every controller goes on answering users', async () => {
-  const simulatedCluster = new SimulatedCluster(TWO, 3);
+test('in a store outage for all controllers every controller stays ready and answers users', async () => {
+  const simulatedCluster = new SimulatedCluster(TWO_MACHINES, 3);
   await simulatedCluster.start();
   simulatedCluster.store.down = true;
   for (let i = 0; i < 12; i++) {
@@ -42,75 +42,78 @@
   await simulatedCluster.close();
 });
 
-for (const how of ['refuse', 'lose request'] as const) {
-  test(`a controller for which the store does nothing but ${how} knows it without a question, and holds nobody`, async () => {
-    const simulatedCluster = new SimulatedCluster(TWO, 3);
+for (const fate of ['refuse', 'lose request'] as const) {
+  test(`a controller whose store requests all end with '${fate}' becomes unready without user requests and delays no answer`, async () => {
+    const simulatedCluster = new SimulatedCluster(TWO_MACHINES, 3);
     await simulatedCluster.start();
     const job = await simulatedCluster.submit(
       { shape: 'service', runMs: 0 },
       simulatedCluster.leader,
     );
-    const cut = (simulatedCluster.leader + 1) % 3;
-    simulatedCluster.nodes[cut]!.fate = () => how;
-    // One request without an answer, and what its peers say after another heartbeat interval.
+    const refused = (simulatedCluster.leader + 1) % 3;
+    simulatedCluster.nodes[refused]!.fate = () => fate;
+    // One request has to time out, and its peers report the store's status an interval later.
     await simulatedCluster.pass(4);
-    assert.equal(simulatedCluster.nodes[cut]!.controller!.ready(), false);
-    for (const ask of [
-      () => simulatedCluster.user(cut).query(job),
-      () => simulatedCluster.user(cut).abort(job),
-      () => simulatedCluster.user(cut).submit(simulatedCluster.wish({}).body),
+    assert.equal(simulatedCluster.nodes[refused]!.controller!.ready(), false);
+    for (const request of [
+      () => simulatedCluster.user(refused).query(job),
+      () => simulatedCluster.user(refused).abort(job),
+      () => simulatedCluster.user(refused).submit(simulatedCluster.wish({}).body),
     ]) {
-      const from = simulatedCluster.clock.now();
-      const answer = ask();
+      const startedAt = simulatedCluster.clock.now();
+      const answer = request();
       await simulatedCluster.clock.advance(150);
       assert.equal((await simulatedCluster.ask(answer)).status, 503);
       assert.ok(
-        simulatedCluster.clock.now() - from <= 400,
-        `held for ${simulatedCluster.clock.now() - from} ms`,
+        simulatedCluster.clock.now() - startedAt <= 400,
+        `answered after ${simulatedCluster.clock.now() - startedAt} ms`,
       );
     }
-    simulatedCluster.nodes[cut]!.fate = () => 'serve';
+    simulatedCluster.nodes[refused]!.fate = () => 'serve';
     await simulatedCluster.pass(1.5);
-    assert.equal(simulatedCluster.nodes[cut]!.controller!.ready(), true);
-    assert.equal(await simulatedCluster.phase(job, cut), 'running');
+    assert.equal(simulatedCluster.nodes[refused]!.controller!.ready(), true);
+    assert.equal(await simulatedCluster.phase(job, refused), 'running');
     await simulatedCluster.close();
   });
 }
 
-test('the probe of the store wakes up no more often than a probe can fall due', async () => {
+test('the store probe wakes up no more often than a probe can become due', async () => {
   const clock = new FakeClock();
-  let wakes = 0;
-  const counting: Clock = {
+  let wakeUps = 0;
+  const countingClock: Clock = {
     now: () => clock.now(),
     wall: () => clock.wall(),
     sleep: (ms, signal) => {
-      wakes++;
+      wakeUps++;
       return clock.sleep(ms, signal);
     },
   };
-  const asked: number[] = [];
+  const probedAt: number[] = [];
   const store = {
     lastServedAt: 0,
     get: () => {
-      asked.push(clock.now());
+      probedAt.push(clock.now());
       store.lastServedAt = clock.now();
       return Promise.resolve(null);
     },
   };
   const stop = new AbortController();
-  const probing = probeStore(store, counting, 1000, stop.signal);
+  const probing = probeStore(store, countingClock, 1000, stop.signal);
   await clock.advance(60_000);
-  assert.ok(asked.length >= 45 && asked.length <= 60, `${asked.length} probes in a minute`);
-  assert.ok(wakes <= 62, `${wakes} times awake for an idle controller`);
-  const before = asked.length;
-  wakes = 0;
-  // Other requests are answered all the time, as a leader's are.
+  assert.ok(
+    probedAt.length >= 45 && probedAt.length <= 60,
+    `${probedAt.length} probes in a minute`,
+  );
+  assert.ok(wakeUps <= 62, `${wakeUps} wake-ups of an idle controller`);
+  const before = probedAt.length;
+  wakeUps = 0;
+  // Other requests are answered continuously, like those of a leader.
   for (let i = 0; i < 600; i++) {
     store.lastServedAt = clock.now();
     await clock.advance(100);
   }
-  assert.equal(asked.length, before);
-  assert.ok(wakes <= 62, `${wakes} times awake for a busy controller`);
+  assert.equal(probedAt.length, before);
+  assert.ok(wakeUps <= 62, `${wakeUps} wake-ups of a busy controller`);
   stop.abort();
   await probing;
 });
--- a/test/unresponsive-controllers.test.ts
+++ b/test/unresponsive-controllers.test.ts
@@ -2,12 +2,12 @@
 import { machines, runScenarios, type FaultScenario } from './fakes/fault-scenario.js';
 import type { SimulatedCluster } from './fakes/simulated-cluster.js';
 
-const SILENT_S = 90;
+const UNRESPONSIVE_S = 90;
 const LEADER_LEASE_S = 3;
-const CUTS = 10;
+const DISCONNECTIONS = 10;
 
-/** Work of each kind that lasts, running. */
-async function work(cluster: SimulatedCluster): Promise<string> {
+/** Starts a service and a long array and waits until they run; returns the service. */
+async function startWork(cluster: SimulatedCluster): Promise<string> {
   cluster.balanced = true;
   const service = await cluster.accept({
     shape: 'service',
@@ -25,8 +25,8 @@
   return service;
 }
 
-/** Users submit and cancel small jobs, at any controller that takes them. */
-async function trickle(cluster: SimulatedCluster): Promise<void> {
+/** Submits small jobs at any controller that accepts them and cancels about half of them. */
+async function submitSmallJobs(cluster: SimulatedCluster): Promise<void> {
   while (!cluster.settling) {
     void cluster
       .accepting({ pieces: 2, runMs: 3000, fetchMs: 500, crew: 'speech' })
@@ -46,109 +46,113 @@
   return () => terms;
 }
 
-async function replaced(cluster: SimulatedCluster, old: number, seconds: number): Promise<void> {
+async function waitForAnotherLeader(
+  cluster: SimulatedCluster,
+  formerLeader: number,
+  seconds: number,
+): Promise<void> {
   await cluster.until(
-    () => cluster.leader !== old && cluster.leader >= 0,
+    () => cluster.leader !== formerLeader && cluster.leader >= 0,
     seconds,
     'another leads',
   );
 }
 
-/** Cuts one leader after the other from its workers, each for half a minute. */
-async function cutLeaders(cluster: SimulatedCluster, service: string): Promise<void> {
-  for (let i = 0; i < CUTS; i++) {
-    const cut = cluster.leader;
-    cluster.nodes[cut]!.open = false;
-    await replaced(cluster, cut, 8);
+/** Disconnects one leader after the other from its workers, each for half a minute. */
+async function disconnectLeaders(cluster: SimulatedCluster, service: string): Promise<void> {
+  for (let i = 0; i < DISCONNECTIONS; i++) {
+    const disconnected = cluster.leader;
+    cluster.nodes[disconnected]!.open = false;
+    await waitForAnotherLeader(cluster, disconnected, 8);
     await cluster.pass(30);
-    assert.equal(cluster.running(service), 3, `cut ${i}`);
-    cluster.nodes[cut]!.open = true;
+    assert.equal(cluster.running(service), 3, `disconnection ${i}`);
+    cluster.nodes[disconnected]!.open = true;
     await cluster.pass(cluster.random.between(0, 3));
   }
 }
 
-const MEETINGS: FaultScenario[] = [
+const SCENARIOS: FaultScenario[] = [
   {
-    name: 'the leader is silent for 90 s, with orders and answers under way',
+    name: 'the leader is unresponsive for 90 s, with commands and responses in flight',
     machines: machines('aabbaa'),
     play: async (cluster, seed) => {
-      const service = await work(cluster);
-      void trickle(cluster);
-      // Something to displace, to launch and to cancel is under way as it stops.
+      const service = await startWork(cluster);
+      void submitSmallJobs(cluster);
+      // Preemptions, launches and cancellations are in flight when it stalls.
       void cluster.accepting({ pieces: 12, runMs: 5000, urgency: 'urgent', crew: 'speech' });
       await cluster.pass(0.25 * seed);
-      const old = cluster.leader;
-      cluster.freeze(old, SILENT_S * 1000);
-      await replaced(cluster, old, LEADER_LEASE_S * 2);
-      await cluster.pass(SILENT_S + 10);
+      const formerLeader = cluster.leader;
+      cluster.freeze(formerLeader, UNRESPONSIVE_S * 1000);
+      await waitForAnotherLeader(cluster, formerLeader, LEADER_LEASE_S * 2);
+      await cluster.pass(UNRESPONSIVE_S + 10);
       assert.equal(cluster.running(service), 3);
     },
   },
   {
-    name: 'a follower is silent for 90 s: the others lead, vote and answer without waiting for it',
+    name: 'a follower is unresponsive for 90 s: the others lead, vote and answer without waiting for it',
     play: async (cluster, seed) => {
-      await work(cluster);
+      await startWork(cluster);
       const terms = countTerms(cluster);
       const { leader } = cluster;
-      const silent = (leader + seed) % 3;
-      cluster.freeze(silent, SILENT_S * 1000);
-      const others = [0, 1, 2].filter((i) => i !== silent);
-      for (let i = 0; i < SILENT_S; i += 5) {
-        const from = cluster.clock.now();
+      const unresponsive = (leader + seed) % 3;
+      cluster.freeze(unresponsive, UNRESPONSIVE_S * 1000);
+      const others = [0, 1, 2].filter((i) => i !== unresponsive);
+      for (let i = 0; i < UNRESPONSIVE_S; i += 5) {
+        const startedAt = cluster.clock.now();
         const job = await cluster.submit(
           { runMs: 1500, fetchMs: 500, crew: 'speech' },
           others[i % 2],
         );
         assert.ok(
-          cluster.clock.now() - from <= 500,
-          `accepted after ${cluster.clock.now() - from} ms`,
+          cluster.clock.now() - startedAt <= 500,
+          `accepted after ${cluster.clock.now() - startedAt} ms`,
         );
         await cluster.pass(5);
         assert.equal(await cluster.phase(job, others[(i + 1) % 2]), 'done');
       }
-      // Where the silent one is the next that workers would try, leadership goes once to the one behind it;
-      // but not where it is alone in its zone, which may be cut off.
+      // If workers would try the unresponsive controller next, leadership is transferred once to the
+      // one after it, unless it is the only one in its zone, which may be partitioned.
       const zoneOf = (i: number): string => cluster.zoneOf(cluster.nodes[i]!);
-      const cutOff = !others.some((i) => zoneOf(i) === zoneOf(silent));
-      assert.equal(terms(), silent === (leader + 1) % 3 && !cutOff ? 1 : 0);
+      const maybePartitioned = !others.some((i) => zoneOf(i) === zoneOf(unresponsive));
+      assert.equal(terms(), unresponsive === (leader + 1) % 3 && !maybePartitioned ? 1 : 0);
     },
   },
   {
-    name: 'two controllers are silent at once, and one returns as the third goes',
+    name: 'two controllers are unresponsive at once, and one resumes as the third stalls',
     machines: machines('aabbaa'),
     play: async (cluster, seed) => {
-      await work(cluster);
-      void trickle(cluster);
+      await startWork(cluster);
+      void submitSmallJobs(cluster);
       const [first, second] = [cluster.leader, (cluster.leader + 1) % 3];
       const third = (cluster.leader + 2) % 3;
       cluster.freeze(first, (40 + seed) * 1000);
-      cluster.freeze(second, SILENT_S * 1000);
+      cluster.freeze(second, UNRESPONSIVE_S * 1000);
       await cluster.until(() => cluster.leader === third, LEADER_LEASE_S * 3, 'the third leads');
       await cluster.pass(36);
-      // The one returns within a second of the other's going.
-      cluster.freeze(third, SILENT_S * 1000);
+      // The first controller resumes within a second of the third one's stall.
+      cluster.freeze(third, UNRESPONSIVE_S * 1000);
       await cluster.until(
         () => cluster.leader === first,
         LEADER_LEASE_S * 3 + 5,
         'the first leads again',
       );
-      await cluster.pass(SILENT_S + 5);
+      await cluster.pass(UNRESPONSIVE_S + 5);
     },
   },
   {
-    name: 'ten leaders in a row lose their workers for 30 s each',
+    name: 'ten leaders in a row are disconnected from their workers for 30 s each',
     seeds: [1, 2, 3],
     play: async (cluster) => {
-      const service = await work(cluster);
+      const service = await startWork(cluster);
       const terms = countTerms(cluster);
-      await cutLeaders(cluster, service);
-      assert.equal(terms(), CUTS, 'one change of leader for each cut');
+      await disconnectLeaders(cluster, service);
+      assert.equal(terms(), DISCONNECTIONS, 'one leader change for each disconnection');
     },
   },
   {
-    name: 'a leader without users keeps office, and so does one without peers',
+    name: 'a leader that users or peers cannot reach keeps leading',
     play: async (cluster, seed) => {
-      const service = await work(cluster);
+      const service = await startWork(cluster);
       const terms = countTerms(cluster);
       const { leader } = cluster;
       if (seed === 1) cluster.nodes[leader]!.usersOpen = false;
@@ -164,4 +168,4 @@
   },
 ];
 
-runScenarios(MEETINGS);
+runScenarios(SCENARIOS);
