--- a/test/mixed-version-faults.test.ts
+++ b/test/mixed-version-faults.test.ts
@@ -13,27 +13,27 @@
 } from './fakes/versions.js';
 import type { SimulatedCluster } from './fakes/simulated-cluster.js';
 
-const ALL = [0, 1, 2];
+const ALL_NODES = [0, 1, 2];
 
-/** When the limits fall: after so many of the three upgrades; null: never. */
-type Fall = 0 | 1 | 2 | 3 | null;
+/** The number of upgrades, of three, after which the store's limits drop; null: they never do. */
+type UpgradesBeforeDrop = 0 | 1 | 2 | 3 | null;
 
-interface Roll {
+interface RollingUpgrade {
   name: string;
-  fall: Fall;
-  /** Called after each upgrade. */
-  trouble(cluster: SimulatedCluster, seed: number, upgraded: number): Promise<void>;
-  /** The faults are such that running work survives them: nothing of it is started again. */
+  upgradesBeforeDrop: UpgradesBeforeDrop;
+  /** Injects a fault; called after each upgrade. */
+  injectFault(cluster: SimulatedCluster, seed: number, upgraded: number): Promise<void>;
+  /** Running work survives the faults: none of it is started again. */
   keepsWork?: true;
   seeds?: number[];
 }
 
-/** The real controllers of a release are upgraded one after the other, while work comes and goes. */
-const meeting = (
+/** A scenario in which released controllers are upgraded one by one while jobs come and go. */
+const createScenario = (
   release: Release,
-  { name, fall, trouble, keepsWork, seeds = [1, 2] }: Roll,
+  { name, upgradesBeforeDrop, injectFault, keepsWork, seeds = [1, 2] }: RollingUpgrade,
 ): FaultScenario => ({
-  name: `a roll from ${release}: ${name}`,
+  name: `rolling upgrade from ${release}: ${name}`,
   seeds,
   machines: machines('abababab'),
   state: { next: NEXT },
@@ -41,83 +41,94 @@
   play: async (cluster, seed) => {
     const work = await startLongWork(cluster);
     const starts = startsOf(cluster, work);
-    await limitsFall(cluster, fall === 0);
-    // The leader goes first each time for the first seed, so that leadership passes on at each upgrade.
-    const old = new Set(ALL);
-    for (let upgraded = 1; old.size > 0; upgraded++) {
-      const node = seed === 1 && old.has(cluster.leader) ? cluster.leader : [...old][0]!;
-      old.delete(node);
-      await someWork(cluster);
+    await dropLimits(cluster, upgradesBeforeDrop === 0);
+    // With the first seed the leader is upgraded first each time, so that leadership changes each time.
+    const notUpgraded = new Set(ALL_NODES);
+    for (let upgraded = 1; notUpgraded.size > 0; upgraded++) {
+      const node =
+        seed === 1 && notUpgraded.has(cluster.leader) ? cluster.leader : [...notUpgraded][0]!;
+      notUpgraded.delete(node);
+      await submitShortJobs(cluster);
       await change(cluster, node, 'current');
       await cluster.pass(seed * 2);
-      await trouble(cluster, seed, upgraded);
-      await limitsFall(cluster, fall === upgraded);
+      await injectFault(cluster, seed, upgraded);
+      await dropLimits(cluster, upgradesBeforeDrop === upgraded);
     }
     cluster.faults.over();
-    await someWork(cluster);
-    await cluster.until(() => runKeys(cluster).every(ranged), 90, 'all records are ranged');
+    await submitShortJobs(cluster);
+    await cluster.until(
+      () => runKeys(cluster).every(ranged),
+      90,
+      'all run records use the ranged layout',
+    );
     assert.ok(cluster.nodes.every((node) => node.program.version === 'current'));
-    if (keepsWork) assert.equal(startsOf(cluster, work), starts, 'nothing is started again');
-    await cluster.until(() => allRun(cluster, work), 120, 'the long work runs');
-    await cancelLong(cluster, work);
+    if (keepsWork) assert.equal(startsOf(cluster, work), starts, 'no task is started again');
+    await cluster.until(() => allRun(cluster, work), 120, 'the long-running jobs run');
+    await cancelLongWork(cluster, work);
   },
 });
 
-async function limitsFall(cluster: SimulatedCluster, now: boolean): Promise<void> {
-  if (!now) return;
+async function dropLimits(cluster: SimulatedCluster, due: boolean): Promise<void> {
+  if (!due) return;
   cluster.store.limits = NEXT;
   await cluster.pass(5);
 }
 
-/** Work that ends, work that is cancelled, and pipelines once every controller knows them. */
-async function someWork(cluster: SimulatedCluster): Promise<void> {
-  const first = await cluster.accept({ pieces: 5, gpus: 0, runMs: 6000, crew: 'speech' });
-  const gone = await cluster.accept({ shape: 'gang', pieces: 2, gpus: 2, runMs: LONG_MS });
+/** Submits jobs that complete, one that is cancelled, and pipelines if all controllers support them. */
+async function submitShortJobs(cluster: SimulatedCluster): Promise<void> {
+  const prerequisite = await cluster.accept({ pieces: 5, gpus: 0, runMs: 6000, crew: 'speech' });
+  const cancelled = await cluster.accept({ shape: 'gang', pieces: 2, gpus: 2, runMs: LONG_MS });
   if (cluster.nodes.every((node) => node.program.version !== '78ff1b1')) {
-    await cluster.accept({ shape: 'gang', pieces: 2, gpus: 1, runMs: 4000, waitsOn: [first] });
-    await cluster.accept({ pieces: 2, runMs: 4000, waitsOn: [gone] });
+    await cluster.accept({
+      shape: 'gang',
+      pieces: 2,
+      gpus: 1,
+      runMs: 4000,
+      waitsOn: [prerequisite],
+    });
+    await cluster.accept({ pieces: 2, runMs: 4000, waitsOn: [cancelled] });
   }
   await cluster.pass(3);
-  assert.equal(await cluster.cancel(gone), 'withdrawn');
+  assert.equal(await cluster.cancel(cancelled), 'withdrawn');
 }
 
-/** What would outlast the scenario ends by its users. */
-async function cancelLong(cluster: SimulatedCluster, work: LongWork): Promise<void> {
+/** Cancels the jobs that would outlast the scenario. */
+async function cancelLongWork(cluster: SimulatedCluster, work: LongWork): Promise<void> {
   await cluster.cancel(work.array);
   await cluster.cancel(work.gang);
 }
 
-const calm = async (cluster: SimulatedCluster): Promise<void> => cluster.pass(5);
+const noFault = async (cluster: SimulatedCluster): Promise<void> => cluster.pass(5);
 
-const ROLLS: Roll[] = [
-  ...([0, 1, 2, 3] as const).map((fall): Roll => ({
-    name: `limits fall after ${fall} upgrades`,
-    fall,
-    trouble: calm,
-    seeds: [1 + (fall % 2)],
+const ROLLING_UPGRADES: RollingUpgrade[] = [
+  ...([0, 1, 2, 3] as const).map((upgradesBeforeDrop): RollingUpgrade => ({
+    name: `limits drop after ${upgradesBeforeDrop} upgrades`,
+    upgradesBeforeDrop,
+    injectFault: noFault,
+    seeds: [1 + (upgradesBeforeDrop % 2)],
   })),
-  { name: 'no limits fall', fall: null, trouble: calm, keepsWork: true },
+  { name: 'limits do not drop', upgradesBeforeDrop: null, injectFault: noFault, keepsWork: true },
   {
-    name: 'a process comes back old before its turn',
-    fall: 3,
-    trouble: async (cluster) => {
-      const old = cluster.nodes.findIndex((node) => node.program.version !== 'current');
-      if (old >= 0) await cluster.faults.restart(old, 2);
+    name: 'a process restarts with the old version before its upgrade',
+    upgradesBeforeDrop: 3,
+    injectFault: async (cluster) => {
+      const notUpgraded = cluster.nodes.findIndex((node) => node.program.version !== 'current');
+      if (notUpgraded >= 0) await cluster.faults.restart(notUpgraded, 2);
       await cluster.pass(5);
     },
     keepsWork: true,
   },
   {
-    name: 'all controllers end right after the last upgrade',
-    fall: 3,
-    trouble: async (cluster, seed, upgraded) => {
+    name: 'all controllers crash right after the last upgrade',
+    upgradesBeforeDrop: 3,
+    injectFault: async (cluster, seed, upgraded) => {
       if (upgraded === 3) await cluster.faults.restartAll(seed);
     },
   },
   {
     name: 'the store is down for a while after each upgrade',
-    fall: 2,
-    trouble: async (cluster, seed) => {
+    upgradesBeforeDrop: 2,
+    injectFault: async (cluster, seed) => {
       cluster.faults.outage();
       await cluster.pass(3 + seed * 10);
       cluster.faults.outageOver();
@@ -125,17 +136,17 @@
     },
   },
   {
-    name: 'controllers refuse each other',
-    fall: 2,
-    trouble: async (cluster) => {
+    name: 'controllers refuse connections of each other',
+    upgradesBeforeDrop: 2,
+    injectFault: async (cluster) => {
       cluster.faults.refusePeers();
       await cluster.pass(6);
     },
   },
   {
-    name: 'the leader is cut off from the store and the others',
-    fall: 2,
-    trouble: async (cluster, seed) => {
+    name: 'the leader loses the store and the other controllers',
+    upgradesBeforeDrop: 2,
+    injectFault: async (cluster, seed) => {
       const { leader } = cluster;
       if (leader < 0) return;
       cluster.faults.isolate(leader);
@@ -145,9 +156,9 @@
     },
   },
   {
-    name: 'answers of the store are lost, writes and reports come late',
-    fall: 3,
-    trouble: async (cluster) => {
+    name: 'responses of the store are lost, writes and heartbeats are delayed',
+    upgradesBeforeDrop: 3,
+    injectFault: async (cluster) => {
       Object.assign(cluster.faults.share, { lostAnswers: 0.1, lateWrites: 0.05, lateReports: 0.1 });
       await cluster.pass(6);
       Object.assign(cluster.faults.share, { lostAnswers: 0, lateWrites: 0, lateReports: 0 });
@@ -155,4 +166,8 @@
   },
 ];
 
-runScenarios(RELEASES.flatMap((release) => ROLLS.map((roll) => meeting(release, roll))));
+runScenarios(
+  RELEASES.flatMap((release) =>
+    ROLLING_UPGRADES.map((rollingUpgrade) => createScenario(release, rollingUpgrade)),
+  ),
+);
--- a/test/quota-and-zone-faults.test.ts
+++ b/test/quota-and-zone-faults.test.ts
@@ -1,8 +1,8 @@
 import { machines, runScenarios, type FaultScenario } from './fakes/fault-scenario.js';
 import type { SimulatedCluster } from './fakes/simulated-cluster.js';
 
-/** Both teams with GPUs are at their limits, with more waiting behind; the machines are full. */
-async function full(cluster: SimulatedCluster): Promise<string[]> {
+/** Fills the limits of both teams with GPUs, with more jobs pending; returns the running jobs. */
+async function fillLimits(cluster: SimulatedCluster): Promise<string[]> {
   const jobs: string[] = [];
   for (let i = 0; i < 4; i++)
     jobs.push(await cluster.accept({ pieces: 4, gpus: 2, runMs: 90_000 }));
@@ -15,17 +15,17 @@
   return jobs;
 }
 
-/** More room than the teams' limits allow: only these keep what waits from starting. */
-const LARGE = machines('aaaaaaaabbbbbbbb');
+/** More capacity than the teams' limits allow, so that only the limits hold back pending jobs. */
+const LARGE_FLEET = machines('aaaaaaaabbbbbbbb');
 
-const MEETINGS: FaultScenario[] = [
+const SCENARIOS: FaultScenario[] = [
   {
-    name: 'every team is at its limit, jobs are cancelled whose machines hang, and the leader ends',
-    machines: LARGE,
+    name: 'every team is at its limit, jobs are cancelled whose machines hang, and the leader crashes',
+    machines: LARGE_FLEET,
     play: async (cluster, seed) => {
-      const jobs = await full(cluster);
+      const jobs = await fillLimits(cluster);
       for (const job of [jobs[0]!, jobs[4]!]) {
-        // Some go on within their lease, some only after it.
+        // Some machines resume within their lease, others only after it.
         cluster.faults.hang(cluster.holding(job), cluster.random.pick([4, 8, 14]));
         void cluster.cancelling(job);
       }
@@ -35,25 +35,25 @@
     },
   },
   {
-    name: 'every team is at its limit, jobs are cancelled whose machines are cut off, and the leader ends',
-    machines: LARGE,
+    name: 'every team is at its limit, jobs are cancelled whose machines are unreachable, and the leader crashes',
+    machines: LARGE_FLEET,
     play: async (cluster, seed) => {
-      const jobs = await full(cluster);
-      const cut = [jobs[1]!, jobs[5]!].flatMap((job) => cluster.holding(job));
-      cluster.faults.cutOff(cut);
+      const jobs = await fillLimits(cluster);
+      const unreachable = [jobs[1]!, jobs[5]!].flatMap((job) => cluster.holding(job));
+      cluster.faults.cutOff(unreachable);
       await cluster.pass(0.5 * seed);
       for (const job of [jobs[1]!, jobs[5]!]) void cluster.cancelling(job);
       await cluster.faults.endLeader(2);
       await cluster.pass(4 + seed);
-      for (const worker of cut) worker.deaf = worker.mute = false;
+      for (const worker of unreachable) worker.deaf = worker.mute = false;
       await cluster.pass(15);
     },
   },
   {
-    name: 'a team is at its limit, its leader changes twice, and a job on silent machines is cancelled',
-    machines: LARGE,
+    name: 'a team is at its limit, the leader changes twice, and a job on silent machines is cancelled',
+    machines: LARGE_FLEET,
     play: async (cluster, seed) => {
-      const jobs = await full(cluster);
+      const jobs = await fillLimits(cluster);
       const silent = cluster.holding(jobs[2]!);
       cluster.faults.mute(silent);
       await cluster.faults.endLeader(2);
@@ -67,12 +67,14 @@
     },
   },
   {
-    name: 'old reports tell the next leader that cancelled work is gone, which hangs at a limit',
-    machines: LARGE,
+    name: 'outdated heartbeats report no tasks to the next leader while cancelled tasks hang, at the limits',
+    machines: LARGE_FLEET,
     play: async (cluster, seed) => {
-      const empty = [...cluster.workers.values()].map((x) => structuredClone(x.sent.at(-1)!));
-      const jobs = await full(cluster);
-      cluster.faults.keepForNext(empty);
+      const reportsWithoutTasks = [...cluster.workers.values()].map((worker) =>
+        structuredClone(worker.sent.at(-1)!),
+      );
+      const jobs = await fillLimits(cluster);
+      cluster.faults.keepForNext(reportsWithoutTasks);
       const cancelled = [jobs[0]!, jobs[4]!];
       cluster.faults.hang(
         cancelled.flatMap((job) => cluster.holding(job)),
@@ -81,16 +83,16 @@
       for (const job of cancelled) void cluster.cancelling(job);
       await cluster.pass(0.5);
       await cluster.faults.endLeader(3);
-      for (const report of empty) cluster.faults.everywhere(report);
+      for (const report of reportsWithoutTasks) cluster.faults.everywhere(report);
       await cluster.pass(15);
     },
   },
   {
-    name: 'a team of CPUs alone stays within its limit while machines hang and the leader ends',
+    name: 'a team with only a CPU limit stays within it while machines hang and the leader crashes',
     play: async (cluster, seed) => {
-      const wish = { crew: 'desk', gpus: 0, vcpus: 4, pieces: 4 };
-      const first = await cluster.accept({ ...wish, runMs: 30_000 });
-      await cluster.accept({ ...wish, runMs: 5000 });
+      const template = { crew: 'desk', gpus: 0, vcpus: 4, pieces: 4 };
+      const first = await cluster.accept({ ...template, runMs: 30_000 });
+      await cluster.accept({ ...template, runMs: 5000 });
       await cluster.until(() => cluster.running(first) === 4, 15, 'the limit is used');
       cluster.faults.hang(cluster.holding(first).slice(0, 2), 6 + 3 * seed);
       void cluster.cancelling(first);
@@ -100,14 +102,20 @@
     },
   },
   {
-    name: 'jobs bound to one zone, arrays too, lose machines',
+    name: 'jobs restricted to one zone, including arrays, lose machines',
     machines: machines('aaabbb'),
     play: async (cluster, seed) => {
-      const wish = { runMs: 30_000, samePlace: true };
+      const template = { runMs: 30_000, samePlace: true };
       const jobs = [
-        await cluster.accept({ ...wish, pieces: 10, gpus: 2 }),
-        await cluster.accept({ ...wish, shape: 'gang', pieces: 2, gpus: 8, crew: 'speech' }),
-        await cluster.accept({ ...wish, shape: 'service', pieces: 3, runMs: 0, crew: 'speech' }),
+        await cluster.accept({ ...template, pieces: 10, gpus: 2 }),
+        await cluster.accept({ ...template, shape: 'gang', pieces: 2, gpus: 8, crew: 'speech' }),
+        await cluster.accept({
+          ...template,
+          shape: 'service',
+          pieces: 3,
+          runMs: 0,
+          crew: 'speech',
+        }),
         await cluster.accept({ pieces: 4, gpus: 2, runMs: 30_000, yard: 'b', crew: 'speech' }),
         await cluster.accept({ pieces: 4, runMs: 30_000, apart: true, crew: 'speech' }),
       ];
@@ -126,7 +134,7 @@
     },
   },
   {
-    name: 'a zone with workers and a controller is cut off for longer than a lease',
+    name: 'a zone with workers and a controller is partitioned for longer than a lease',
     machines: machines('aaabbb'),
     play: async (cluster, seed) => {
       const jobs = [
@@ -146,7 +154,7 @@
     },
   },
   {
-    name: 'there is more work than room, urgent and not, and answers to workers come late',
+    name: 'work of all priorities exceeds the capacity, and responses to workers are delayed',
     play: async (cluster, seed) => {
       cluster.cloud.capacity = 4;
       for (const [i] of cluster.nodes.entries()) cluster.faults.holdAnswers(i, 300 * seed);
@@ -168,4 +176,4 @@
   },
 ];
 
-runScenarios(MEETINGS);
+runScenarios(SCENARIOS);
--- a/test/successor-policy.test.ts
+++ b/test/successor-policy.test.ts
@@ -7,11 +7,11 @@
 import { passOffice } from './fakes/versions.js';
 import { SimulatedCluster } from './fakes/simulated-cluster.js';
 
-const SILENT_MS = 90_000;
+const UNRESPONSIVE_MS = 90_000;
 const LEASE_S = 10;
 
-/** A simulation in which a service runs, and how many of its workers have lost their leases. */
-async function withService(seed: number): Promise<{
+/** Starts a cluster with a running service; `lost` counts the workers whose leases have expired. */
+async function startWithService(seed: number): Promise<{
   w: SimulatedCluster;
   service: string;
   lost(): number;
@@ -32,117 +32,124 @@
   };
 }
 
-/** Unresponsive controllers respond again before the scenario ends. */
-async function end(cluster: SimulatedCluster): Promise<void> {
-  await cluster.pass(SILENT_MS / 1000);
+/** Closes the cluster once unresponsive controllers respond again. */
+async function closeAfterStalls(cluster: SimulatedCluster): Promise<void> {
+  await cluster.pass(UNRESPONSIVE_MS / 1000);
   await cluster.close();
 }
 
-async function replaced(cluster: SimulatedCluster, old: number): Promise<number> {
+async function waitForAnotherLeader(
+  cluster: SimulatedCluster,
+  formerLeader: number,
+): Promise<number> {
   await cluster.until(
-    () => cluster.leader !== old && cluster.leader >= 0,
+    () => cluster.leader !== formerLeader && cluster.leader >= 0,
     LEASE_S,
     'another leads',
   );
   return cluster.leader;
 }
 
-// A worker gives each unresponsive controller 5 s: two in a row on its failover cost it its lease. Who
-// follows an unresponsive leader has to be one with a responsive backup.
+// A worker spends 5 s on each unresponsive controller: two in a row during its failover cost it its
+// lease. The successor of an unresponsive leader has to be a controller with a responsive backup.
 for (const first of [0, 1]) {
   test(`controller ${first} and the leader after it become unresponsive, and no worker loses its lease`, async () => {
-    const { w: cluster, lost } = await withService(first);
+    const { w: cluster, lost } = await startWithService(first);
     if (cluster.leader !== first) {
       cluster.freeze(cluster.leader, LEASE_S * 500);
-      await replaced(cluster, cluster.leader);
+      await waitForAnotherLeader(cluster, cluster.leader);
       await cluster.pass(LEASE_S);
     }
     assert.equal(cluster.leader, first);
-    cluster.freeze(first, SILENT_MS);
-    const second = await replaced(cluster, first);
+    cluster.freeze(first, UNRESPONSIVE_MS);
+    const second = await waitForAnotherLeader(cluster, first);
     await cluster.pass(LEASE_S);
-    cluster.freeze(second, SILENT_MS);
-    await replaced(cluster, second);
+    cluster.freeze(second, UNRESPONSIVE_MS);
+    await waitForAnotherLeader(cluster, second);
     await cluster.pass(2 * LEASE_S);
     assert.equal(lost(), 0);
-    await end(cluster);
+    await closeAfterStalls(cluster);
   });
 }
 
-// The leader that is left had given up before its workers could be there, and turned them away for a
-// second round. If it hears no other controller it may also be cut off from all: then it gives up
-// sooner, but leads again when they come.
-test('workers that have to pass two unresponsive controllers are answered by the third as they come', async () => {
-  const { w: cluster, service, lost } = await withService(1);
+// The remaining leader had resigned before its workers could reach it, and rejected them for a second
+// round. A leader that receives nothing from other controllers may itself be isolated: it resigns
+// sooner then, but has to lead again when its workers reach it.
+test('workers that try two unresponsive controllers first are answered by the third one at once', async () => {
+  const { w: cluster, service, lost } = await startWithService(1);
   const first = cluster.leader;
   const [next, third] = [(first + 1) % 3, (first + 2) % 3];
-  cluster.freeze(next, SILENT_MS);
+  cluster.freeze(next, UNRESPONSIVE_MS);
   await cluster.pass(LEASE_S);
-  cluster.freeze(first, SILENT_MS);
+  cluster.freeze(first, UNRESPONSIVE_MS);
   await cluster.until(() => cluster.leader === third, LEASE_S, 'the third leads');
-  // A lease and the heartbeat interval in which it began; one that is turned away comes 11 s later.
+  // A lease and the heartbeat interval in which it began; a rejected worker retries 11 s later.
   await cluster.pass(1.25 * LEASE_S);
   assert.equal(cluster.leader, third);
   assert.ok([...cluster.workers.values()].every((worker) => worker.shift <= 2));
   await cluster.until(() => cluster.running(service) === 4, 3, 'replicas run again');
   assert.equal(lost(), 4);
-  await end(cluster);
+  await closeAfterStalls(cluster);
 });
 
-// While a follower was unresponsive the leader stayed where its workers would have met two such in a row.
-test('a leader before an unresponsive controller hands over, and its end then costs no lease', async () => {
-  const { w: cluster, service, lost } = await withService(1);
-  // The next after it is not alone in its zone: unresponsive, but not behind a partition.
+// The leader had kept leading although its workers' failover would have met two unresponsive
+// controllers in a row, itself and the follower after it.
+test('a leader whose next controller is unresponsive transfers leadership, so that no stall costs a lease', async () => {
+  const { w: cluster, service, lost } = await startWithService(1);
+  // The next controller is not the only one in its zone: unresponsive, but not partitioned.
   const first = 2;
   await passOffice(cluster, first);
   const [next, third] = [(first + 1) % 3, (first + 2) % 3];
-  // A term has to have lasted for a while.
+  // Leadership is transferred only after a term has lasted for a while.
   await cluster.pass(2 * LEASE_S);
-  cluster.freeze(next, SILENT_MS);
+  cluster.freeze(next, UNRESPONSIVE_MS);
   await cluster.until(() => cluster.leader === third, LEASE_S, 'the third leads');
   const { stamp } = cluster.store.keys.get('leader')!;
   await cluster.pass(0.2);
-  const from = cluster.starts.length;
+  const startsBefore = cluster.starts.length;
   const job = await cluster.submit({ runMs: 1500, fetchMs: 500 }, third);
-  await cluster.until(() => cluster.starts.length > from, 2, 'work starts again');
+  await cluster.until(() => cluster.starts.length > startsBefore, 2, 'work starts again');
   await cluster.pass(LEASE_S);
   assert.equal(await cluster.phase(job, third), 'done');
   assert.equal(cluster.store.keys.get('leader')?.stamp, stamp);
-  cluster.freeze(third, SILENT_MS);
+  cluster.freeze(third, UNRESPONSIVE_MS);
   await cluster.until(() => cluster.leader === first, LEASE_S, 'the first leads again');
   await cluster.pass(LEASE_S);
   assert.equal(lost(), 0);
   assert.equal(cluster.running(service), 4);
-  await end(cluster);
+  await closeAfterStalls(cluster);
 });
 
-/** Whether one of five controllers, in zones a, b, a, b, a, lets others lead so that a cut costs no lease. */
-function standsBack(self: number, count: number, leaseMs: number): boolean {
+/**
+ * Whether the policy of controller `self` of `count`, in zones a, b, a, b, a, yields leadership so
+ * that a partition between zones costs no lease.
+ */
+function yieldsAcrossZones(self: number, count: number, leaseMs: number): boolean {
   const names = Array.from({ length: count }, (_, i) => `berth-${i}`);
   const zones = new Map(names.map((name, i) => [name, i % 2 === 0 ? 'a' : 'b']));
   const peers = names.filter((_, i) => i !== self);
   const transport = { peers, lastHeardAt: () => 0 } as unknown as PeerTransport;
-  const facts = { self: names[self]!, zones, heartbeatIntervalMs: 1000, leaseMs };
-  return new SuccessorPolicy(new FakeClock(), transport, facts).shouldYieldAcrossZones(null);
+  const options = { self: names[self]!, zones, heartbeatIntervalMs: 1000, leaseMs };
+  return new SuccessorPolicy(new FakeClock(), transport, options).shouldYieldAcrossZones(null);
 }
 
-// The workers of the far zone wait 5 s for the leader behind the cut and 5 s for another one there.
-test('a controller whose next one is in its own zone leaves leadership to others, as a cut between zones would cost leases', () => {
+// Workers of the other zone wait 5 s for the partitioned leader and 5 s for another one in its zone.
+test('a controller whose next one is in its own zone yields leadership, as a partition would cost leases', () => {
   assert.deepEqual(
-    [0, 1, 2].map((self) => standsBack(self, 3, 10_000)),
+    [0, 1, 2].map((self) => yieldsAcrossZones(self, 3, 10_000)),
     [false, false, true],
   );
   assert.deepEqual(
-    [0, 1, 2, 3, 4].map((self) => standsBack(self, 5, 10_000)),
+    [0, 1, 2, 3, 4].map((self) => yieldsAcrossZones(self, 5, 10_000)),
     [false, false, false, false, true],
   );
-  assert.equal(standsBack(4, 5, 15_250), false, 'a longer lease lasts');
+  assert.equal(yieldsAcrossZones(4, 5, 15_250), false, 'a longer lease covers the failover');
 });
 
-// The leader handed over as it heard no controller of the other zone, and the delegate there, which knows
-// the token before alone, lost all workers that it had kept.
-test('a cut between zones is no reason to hand over', async () => {
-  const { w: cluster, service, lost } = await withService(1);
+// The leader had transferred leadership because it received nothing from the other zone. The delegate
+// there knows only the previous fencing token, and lost all workers that it had kept alive.
+test('a partition between zones causes no transfer of leadership', async () => {
+  const { w: cluster, service, lost } = await startWithService(1);
   await cluster.pass(3 * LEASE_S);
   const { stamp } = cluster.store.keys.get('leader')!;
   cluster.split(true);
@@ -151,5 +158,5 @@
   assert.equal(lost(), 0);
   assert.equal(cluster.running(service), 4);
   cluster.split(false);
-  await end(cluster);
+  await closeAfterStalls(cluster);
 });
--- a/test/unreadable-records.test.ts
+++ b/test/unreadable-records.test.ts
@@ -3,14 +3,18 @@
 import { SimulatedCluster } from './fakes/simulated-cluster.js';
 import type { Fate } from './fakes/store.js';
 
-const FOUR = [{ yard: 'a' }, { yard: 'a' }, { yard: 'b' }, { yard: 'b' }];
+const FOUR_MACHINES = [{ yard: 'a' }, { yard: 'a' }, { yard: 'b' }, { yard: 'b' }];
 
-/** The store renews leases and takes writes, but lets no records be read or followed. */
-const unreadable = (_method: string, path: string): Fate =>
+/** The store renews leases and accepts writes, but refuses reads and watches of job records. */
+const refuseJobReads = (_method: string, path: string): Fate =>
   path.startsWith('/store?') || path.startsWith('/follow?starts=jobs') ? 'refuse' : 'serve';
 
-async function withService(): Promise<{ w: SimulatedCluster; service: string; terms(): number }> {
-  const simulatedCluster = new SimulatedCluster(FOUR, 3);
+async function startWithService(): Promise<{
+  w: SimulatedCluster;
+  service: string;
+  terms(): number;
+}> {
+  const simulatedCluster = new SimulatedCluster(FOUR_MACHINES, 3);
   await simulatedCluster.start();
   const service = await simulatedCluster.accept({
     shape: 'service',
@@ -24,18 +28,26 @@
   return { w: simulatedCluster, service, terms: () => terms };
 }
 
-// It stayed in leadership and turned its workers away for as long as it could not read.
-for (const since of ['its term began', 'it has led for a while']) {
-  test(`a leader that has read no records since ${since} hands over, and no lease runs out`, async () => {
-    const { w: cluster, service, terms } = await withService();
-    let broken = cluster.leader;
-    if (since === 'its term began') {
-      broken = (cluster.leader + 1) % 3;
-      cluster.nodes[broken]!.fate = unreadable;
+// Such a leader had kept leading and had rejected its workers for as long as it could not read.
+for (const unreadableSince of ['its term began', 'it has led for a while']) {
+  test(`a leader that has read no records since ${unreadableSince} resigns, and no lease expires`, async () => {
+    const { w: cluster, service, terms } = await startWithService();
+    let blocked = cluster.leader;
+    if (unreadableSince === 'its term began') {
+      blocked = (cluster.leader + 1) % 3;
+      cluster.nodes[blocked]!.fate = refuseJobReads;
       cluster.crash(cluster.leader);
-      await cluster.until(() => cluster.leader === broken, 5, 'it leads');
-    } else cluster.nodes[broken]!.fate = unreadable;
-    await cluster.until(() => cluster.leader !== broken && cluster.leader >= 0, 9, 'another leads');
+      await cluster.until(
+        () => cluster.leader === blocked,
+        5,
+        'the controller that cannot read leads',
+      );
+    } else cluster.nodes[blocked]!.fate = refuseJobReads;
+    await cluster.until(
+      () => cluster.leader !== blocked && cluster.leader >= 0,
+      9,
+      'another leads',
+    );
     const done = await cluster.submit({ runMs: 1500, fetchMs: 500 }, cluster.leader);
     await cluster.pass(20);
     assert.equal(await cluster.phase(done, cluster.leader), 'done');
@@ -46,9 +58,9 @@
   });
 }
 
-// What others told of cancellations once counted as news of the records: they were not read again.
-test('a leader whose watch alone stalls keeps office and learns of new jobs', async () => {
-  const { w: cluster, terms } = await withService();
+// Cancellation lists of peers had counted as updates of the records, which were not read again.
+test('a leader whose watches alone fail keeps leading and learns of new jobs', async () => {
+  const { w: cluster, terms } = await startWithService();
   const { leader } = cluster;
   cluster.nodes[leader]!.fate = (_method, path) =>
     path.startsWith('/follow?') ? 'refuse' : 'serve';
@@ -60,15 +72,15 @@
   await cluster.close();
 });
 
-test('where no controller can read the records, office changes ever less often', async () => {
-  const { w: cluster, service, terms } = await withService();
-  for (const node of cluster.nodes) node.fate = unreadable;
+test('if no controller can read the records, the leader changes less and less often', async () => {
+  const { w: cluster, service, terms } = await startWithService();
+  for (const node of cluster.nodes) node.fate = refuseJobReads;
   await cluster.pass(100);
-  const first = terms();
+  const firstTerms = terms();
   await cluster.pass(200);
-  assert.ok(first <= 9, `${first} terms at first`);
-  assert.ok(terms() - first <= 5, `${terms() - first} more terms`);
+  assert.ok(firstTerms <= 9, `${firstTerms} terms at first`);
+  assert.ok(terms() - firstTerms <= 5, `${terms() - firstTerms} more terms`);
   for (const node of cluster.nodes) node.fate = () => 'serve';
-  await cluster.until(() => cluster.running(service) === 4, 40, 'it runs again');
+  await cluster.until(() => cluster.running(service) === 4, 40, 'the service runs again');
   await cluster.close();
 });
--- a/test/unresponsive-workers.test.ts
+++ b/test/unresponsive-workers.test.ts
@@ -3,27 +3,27 @@
 import { parseHeartbeat } from '../src/wire/worker-heartbeat.js';
 import { SimulatedCluster } from './fakes/simulated-cluster.js';
 
-const FOUR = [{ yard: 'a' }, { yard: 'a' }, { yard: 'b' }, { yard: 'b' }];
+const FOUR_MACHINES = [{ yard: 'a' }, { yard: 'a' }, { yard: 'b' }, { yard: 'b' }];
 const LEASE_S = 10;
 const BOOT_S = 40;
 
-/** Counts the terms that begin while a scenario goes on. */
+/** Counts the leader terms from now on, including the current one. */
 function countTerms(cluster: SimulatedCluster): () => number {
   const tokens = new Set<number>();
-  const look = (): void => {
+  const recordTerm = (): void => {
     const key = cluster.store.keys.get('leader');
     if (key) tokens.add(key.stamp);
   };
   void (async () => {
     for (;;) {
-      look();
+      recordTerm();
       await cluster.clock.sleep(100);
     }
   })();
   return () => tokens.size;
 }
 
-/** All machines die at once; `listed`: the cloud goes on listing them as running. */
+/** All machines die at once; if `listed`, the cloud still lists them as running. */
 function allMachinesDie(cluster: SimulatedCluster, listed: boolean): void {
   for (const worker of cluster.workers.values()) {
     worker.dead = true;
@@ -33,26 +33,26 @@
 
 for (const listed of [false, true]) {
   for (const leaderEnds of [false, true]) {
-    const name = `${listed ? 'are listed all the same' : 'are no longer listed'}${leaderEnds ? ', and the leader ends' : ''}`;
-    test(`all machines die and ${name}: others are rented and the jobs end`, async () => {
-      const simulatedCluster = new SimulatedCluster(FOUR, 3);
+    const name = `${listed ? 'are still listed' : 'are no longer listed'}${leaderEnds ? ', and the leader crashes' : ''}`;
+    test(`all machines die and ${name}: others are rented and the jobs complete`, async () => {
+      const simulatedCluster = new SimulatedCluster(FOUR_MACHINES, 3);
       await simulatedCluster.start();
       const job = await simulatedCluster.submit({ pieces: 4, gpus: 8, runMs: 15_000 });
       await simulatedCluster.until(() => simulatedCluster.running(job) === 4, 10, 'all run');
       const terms = countTerms(simulatedCluster);
       allMachinesDie(simulatedCluster, listed);
       if (leaderEnds) {
-        const old = simulatedCluster.leader;
-        simulatedCluster.crash(old);
+        const formerLeader = simulatedCluster.leader;
+        simulatedCluster.crash(formerLeader);
         await simulatedCluster.pass(10);
-        simulatedCluster.restart(old);
+        simulatedCluster.restart(formerLeader);
       }
-      // Each controller may give leadership up once before it waits for the proof that nothing runs.
-      const givingUpS = listed ? 3 * LEASE_S : 0;
+      // Each controller may resign once before one waits for the proof that nothing runs.
+      const resignationsS = listed ? 3 * LEASE_S : 0;
       await simulatedCluster.until(
         () => simulatedCluster.running(job) === 4,
-        givingUpS + 2 * LEASE_S + BOOT_S + 20,
-        'runs anew',
+        resignationsS + 2 * LEASE_S + BOOT_S + 20,
+        'all run again',
       );
       await simulatedCluster.pass(25);
       for (const node of simulatedCluster.nodes.keys())
@@ -63,8 +63,8 @@
   }
 }
 
-test('where machines are listed but never report, leaders give office up ever less often', async () => {
-  const simulatedCluster = new SimulatedCluster(FOUR, 3);
+test('if machines are listed but never report, leaders resign less and less often', async () => {
+  const simulatedCluster = new SimulatedCluster(FOUR_MACHINES, 3);
   simulatedCluster.cloud.capacity = 4;
   await simulatedCluster.start();
   const job = await simulatedCluster.submit({ pieces: 4, gpus: 8, runMs: 60_000 });
@@ -79,108 +79,115 @@
   await simulatedCluster.close();
 });
 
-test('a leader that is cut from its workers again gives office up as soon as before', async () => {
-  const simulatedCluster = new SimulatedCluster(FOUR, 3);
+test('a leader that is disconnected from its workers again resigns as soon as the first time', async () => {
+  const simulatedCluster = new SimulatedCluster(FOUR_MACHINES, 3);
   await simulatedCluster.start();
   const job = await simulatedCluster.submit({ shape: 'service', pieces: 4, runMs: 0 });
   await simulatedCluster.until(() => simulatedCluster.running(job) === 4, 10, 'replicas run');
   for (let round = 0; round < 3; round++) {
-    const cut = simulatedCluster.leader;
-    simulatedCluster.nodes[cut]!.open = false;
+    const disconnected = simulatedCluster.leader;
+    simulatedCluster.nodes[disconnected]!.open = false;
     await simulatedCluster.until(
-      () => simulatedCluster.leader !== cut && simulatedCluster.leader >= 0,
+      () => simulatedCluster.leader !== disconnected && simulatedCluster.leader >= 0,
       8,
-      `handed over, round ${round}`,
+      `another leads, round ${round}`,
     );
     await simulatedCluster.pass(12);
     assert.equal(simulatedCluster.running(job), 4);
-    simulatedCluster.nodes[cut]!.open = true;
+    simulatedCluster.nodes[disconnected]!.open = true;
     await simulatedCluster.pass(12);
   }
   assert.equal(simulatedCluster.starts.length, 4);
   await simulatedCluster.close();
 });
 
-test('late copies of reports do not keep a leader in office that no worker reaches', async () => {
-  const simulatedCluster = new SimulatedCluster(FOUR, 3);
+test('late copies of heartbeats do not keep a leader that no worker reaches from resigning', async () => {
+  const simulatedCluster = new SimulatedCluster(FOUR_MACHINES, 3);
   await simulatedCluster.start();
   const job = await simulatedCluster.submit({ shape: 'service', pieces: 4, runMs: 0 });
   await simulatedCluster.until(() => simulatedCluster.running(job) === 4, 10, 'replicas run');
-  const cut = simulatedCluster.leader;
+  const disconnected = simulatedCluster.leader;
   const copies = [...simulatedCluster.workers.values()].map((worker) => worker.sent.at(-1)!);
-  const { controller } = simulatedCluster.nodes[cut]!;
-  simulatedCluster.nodes[cut]!.open = false;
-  const handedOver = (): boolean => simulatedCluster.leader !== cut && simulatedCluster.leader >= 0;
-  for (let i = 0; i < 8 && !handedOver(); i++) {
+  const { controller } = simulatedCluster.nodes[disconnected]!;
+  simulatedCluster.nodes[disconnected]!.open = false;
+  const anotherLeads = (): boolean =>
+    simulatedCluster.leader !== disconnected && simulatedCluster.leader >= 0;
+  for (let i = 0; i < 8 && !anotherLeads(); i++) {
     for (const copy of copies) void controller!.receiveHeartbeat(parseHeartbeat(copy)!);
     await simulatedCluster.pass(1);
   }
-  assert.ok(handedOver());
+  assert.ok(anotherLeads());
   await simulatedCluster.pass(12);
   assert.equal(simulatedCluster.running(job), 4);
   await simulatedCluster.close();
 });
 
-test('after an outage in which workers were turned away their leader keeps office', async () => {
-  const simulatedCluster = new SimulatedCluster(FOUR, 3);
+test('the leader keeps leading after an outage in which it rejected its workers', async () => {
+  const simulatedCluster = new SimulatedCluster(FOUR_MACHINES, 3);
   await simulatedCluster.start();
   const job = await simulatedCluster.submit({ pieces: 4, runMs: 120_000 });
   await simulatedCluster.until(() => simulatedCluster.running(job) === 4, 10, 'all run');
   const terms = countTerms(simulatedCluster);
-  // Promises not to contest come, lists of cancellations do not: past the bound workers are turned away.
+  // Promises not to campaign arrive, cancellation lists do not: past the bound workers are rejected.
   simulatedCluster.wire.loses = (_from, _to, message) => message.kind === 'cancellationsResponse';
   simulatedCluster.store.down = true;
   await simulatedCluster.pass(60);
   assert.equal(simulatedCluster.running(job), 0);
   simulatedCluster.store.restore();
-  await simulatedCluster.until(() => simulatedCluster.running(job) === 4, 15, 'runs anew');
+  await simulatedCluster.until(() => simulatedCluster.running(job) === 4, 15, 'all run again');
   assert.equal(terms(), 1);
   await simulatedCluster.close();
 });
 
-// Workers try two silent controllers before they come to the third, which takes a lease. That one
-// heard nobody for half a lease, resigned and turned all of them away for another round.
-test('the only controller that is left takes office again before its workers come', async () => {
-  const simulatedCluster = new SimulatedCluster(FOUR, 3);
+// Workers try two unresponsive controllers before the third one, which takes as long as a lease. The
+// third one had received no heartbeat for half a lease, resigned, and rejected all of them for
+// another round.
+test('the only remaining controller leads again before its workers reach it', async () => {
+  const simulatedCluster = new SimulatedCluster(FOUR_MACHINES, 3);
   await simulatedCluster.start();
   const job = await simulatedCluster.submit({ shape: 'service', pieces: 4, runMs: 0 });
   await simulatedCluster.until(() => simulatedCluster.running(job) === 4, 10, 'replicas run');
   const frozen = simulatedCluster.leader;
-  const [down, alone] = [(frozen + 1) % 3, (frozen + 2) % 3];
-  simulatedCluster.crash(down);
-  simulatedCluster.nodes[down]!.open = false;
+  const [crashed, remaining] = [(frozen + 1) % 3, (frozen + 2) % 3];
+  simulatedCluster.crash(crashed);
+  simulatedCluster.nodes[crashed]!.open = false;
   simulatedCluster.freeze(frozen, 40_000);
-  // From the last answer before the silence, the leases have run out when they come to the third.
+  // Leases count from the last response before the stall: they expire before the third one is tried.
   await simulatedCluster.until(
     () => simulatedCluster.running(job) === 0,
     LEASE_S + 1,
-    'leases run out',
+    'leases expire',
   );
   await simulatedCluster.until(() => simulatedCluster.running(job) === 4, 4, 'replicas run again');
-  assert.equal(simulatedCluster.leader, alone);
-  simulatedCluster.nodes[down]!.open = true;
-  simulatedCluster.restart(down);
+  assert.equal(simulatedCluster.leader, remaining);
+  simulatedCluster.nodes[crashed]!.open = true;
+  simulatedCluster.restart(crashed);
   await simulatedCluster.pass(40);
   await simulatedCluster.close();
 });
 
-// It is back in leadership with nobody to hand it to, and waits for leases and a boot before it resigns again.
-test('a leader that no worker reaches hands over to the first controller that comes back', async () => {
-  const simulatedCluster = new SimulatedCluster(FOUR, 3);
+// A leader that resigned without a successor leads again. It must not wait for leases and a machine
+// boot before it resigns to a controller that restarts.
+test('a leader that no worker reaches resigns in favor of the first controller that restarts', async () => {
+  const simulatedCluster = new SimulatedCluster(FOUR_MACHINES, 3);
   await simulatedCluster.start();
   const job = await simulatedCluster.submit({ shape: 'service', pieces: 4, runMs: 0 });
   await simulatedCluster.until(() => simulatedCluster.running(job) === 4, 10, 'replicas run');
-  const [first, second, alone] = [
+  const [first, second, remaining] = [
     simulatedCluster.leader,
     (simulatedCluster.leader + 1) % 3,
     (simulatedCluster.leader + 2) % 3,
   ];
-  simulatedCluster.nodes[alone]!.open = false;
-  for (const ended of [first, second]) simulatedCluster.crash(ended);
+  simulatedCluster.nodes[remaining]!.open = false;
+  for (const crashed of [first, second]) simulatedCluster.crash(crashed);
   await simulatedCluster.pass(LEASE_S * 2);
-  assert.equal(simulatedCluster.leader, alone);
+  assert.equal(simulatedCluster.leader, remaining);
   simulatedCluster.restart(second);
-  await simulatedCluster.until(() => simulatedCluster.leader === second, 8, 'handed over');
+  await simulatedCluster.until(
+    () => simulatedCluster.leader === second,
+    8,
+    'the restarted controller leads',
+  );
   await simulatedCluster.until(() => simulatedCluster.running(job) === 4, 10, 'replicas run again');
   await simulatedCluster.close();
 });
--- a/test/worker-faults.test.ts
+++ b/test/worker-faults.test.ts
@@ -1,47 +1,49 @@
 import { runScenarios, type FaultScenario } from './fakes/fault-scenario.js';
 import type { SimulatedCluster } from './fakes/simulated-cluster.js';
 
-async function work(cluster: SimulatedCluster, runMs = 30_000): Promise<string[]> {
+async function startWork(cluster: SimulatedCluster, runMs = 30_000): Promise<string[]> {
   const jobs = [
     await cluster.accept({ pieces: 6, runMs }),
     await cluster.accept({ shape: 'service', pieces: 3, runMs: 0, urgency: 'production' }),
     await cluster.accept({ shape: 'gang', pieces: 2, gpus: 4, runMs, crew: 'speech' }),
   ];
-  await cluster.until(() => jobs.every((job) => cluster.running(job) > 0), 20, 'all kinds run');
+  await cluster.until(() => jobs.every((job) => cluster.running(job) > 0), 20, 'all jobs run');
   return jobs;
 }
 
-/** Newest reports of all workers, as they are now. */
-const reportsNow = (cluster: SimulatedCluster): object[] =>
-  [...cluster.workers.values()].filter((x) => !x.dead).map((x) => structuredClone(x.sent.at(-1)!));
+/** Copies of the latest heartbeats of all live workers. */
+const latestReports = (cluster: SimulatedCluster): object[] =>
+  [...cluster.workers.values()]
+    .filter((worker) => !worker.dead)
+    .map((worker) => structuredClone(worker.sent.at(-1)!));
 
-const MEETINGS: FaultScenario[] = [
+const SCENARIOS: FaultScenario[] = [
   {
-    name: 'an old report reaches every controller just as a new leader begins',
+    name: 'an outdated heartbeat reaches every controller just as a new leader takes over',
     seeds: [1, 2, 3, 4],
     play: async (cluster, seed) => {
-      const empty = reportsNow(cluster);
-      const jobs = await work(cluster);
-      cluster.faults.keepForNext([...empty, ...reportsNow(cluster)]);
+      const reportsWithoutTasks = latestReports(cluster);
+      const jobs = await startWork(cluster);
+      cluster.faults.keepForNext([...reportsWithoutTasks, ...latestReports(cluster)]);
       void cluster.cancelling(jobs[0]!);
       await cluster.pass(0.25 * seed);
-      const old = cluster.leader;
-      cluster.crash(old);
-      await cluster.anotherLeads(old, 10);
+      const formerLeader = cluster.leader;
+      cluster.crash(formerLeader);
+      await cluster.anotherLeads(formerLeader, 10);
       await cluster.pass(seed);
-      for (const report of empty) cluster.faults.everywhere(report);
-      cluster.restart(old);
+      for (const report of reportsWithoutTasks) cluster.faults.everywhere(report);
+      cluster.restart(formerLeader);
       await cluster.pass(15);
     },
   },
   {
-    name: 'reports are kept for the next leader, and copies come late everywhere',
+    name: 'heartbeats are held back until the next leader, and late copies arrive everywhere',
     seeds: [1, 2, 3, 4],
     play: async (cluster, seed) => {
       cluster.faults.share.reportsForNext = 0.3;
       cluster.faults.share.lateReports = 0.3;
       cluster.faults.copiesEverywhere = seed % 2 === 0;
-      const jobs = await work(cluster);
+      const jobs = await startWork(cluster);
       await cluster.accept({ pieces: 8, runMs: 4000, crew: 'speech' });
       await cluster.pass(3);
       await cluster.faults.endLeader(2);
@@ -53,7 +55,7 @@
     },
   },
   {
-    name: 'a report that a start has overtaken arrives again at the leader that gave the start',
+    name: 'a heartbeat older than a start arrives again at the leader that commanded the start',
     play: async (cluster, seed) => {
       cluster.faults.share.lateReports = 0.5;
       for (let i = 0; i < 10; i++) {
@@ -65,30 +67,30 @@
     },
   },
   {
-    name: 'an old report of an earlier session arrives after newer ones',
+    name: 'a heartbeat of an earlier agent epoch arrives after newer ones',
     play: async (cluster, seed) => {
-      const jobs = await work(cluster, 60_000);
-      const before = reportsNow(cluster);
-      // Their leases run out, and they begin another session.
+      const jobs = await startWork(cluster, 60_000);
+      const earlierReports = latestReports(cluster);
+      // Their leases expire, and they begin another agent epoch.
       const silent = cluster.holding(jobs[0]!);
       cluster.faults.cutOff(silent);
       await cluster.pass(11);
       for (const worker of silent) worker.deaf = worker.mute = false;
       for (let i = 0; i < 10; i++) {
-        for (const report of before) cluster.faults.everywhere(report);
+        for (const report of earlierReports) cluster.faults.everywhere(report);
         await cluster.pass(0.5);
         if (i === seed * 2) void cluster.faults.endLeader(2);
       }
       void cluster.cancelling(jobs[0]!);
-      for (const report of before) cluster.faults.everywhere(report);
+      for (const report of earlierReports) cluster.faults.everywhere(report);
       await cluster.pass(12);
     },
   },
   {
-    name: 'commands and their answers are held up for seconds, and machines hang and go on',
+    name: 'commands and their responses are delayed for seconds, and machines hang and resume',
     play: async (cluster, seed) => {
       cluster.faults.share.lateCommands = 0.6;
-      const jobs = await work(cluster);
+      const jobs = await startWork(cluster);
       await cluster.accept({ pieces: 12, runMs: 5000, urgency: 'production', crew: 'speech' });
       void cluster.cancelling(jobs[0]!);
       cluster.faults.hang(cluster.holding(jobs[0]!).slice(0, 2), 3 + 2 * seed);
@@ -100,22 +102,22 @@
     },
   },
   {
-    name: 'cancelled tasks hang with their machines, for less and for longer than a lease',
+    name: 'machines with cancelled tasks hang, for less and for longer than a lease',
     seeds: [1, 2, 3, 4],
     play: async (cluster, seed) => {
-      const jobs = await work(cluster, 90_000);
-      const held = jobs.slice(0, 2).flatMap((job) => cluster.holding(job));
+      const jobs = await startWork(cluster, 90_000);
+      const holders = jobs.slice(0, 2).flatMap((job) => cluster.holding(job));
       for (const job of jobs.slice(0, 2)) void cluster.cancelling(job);
-      cluster.faults.hang(held, 5 * seed);
+      cluster.faults.hang(holders, 5 * seed);
       await cluster.pass(1);
       if (seed % 2) await cluster.faults.endLeader(3);
       await cluster.pass(40);
     },
   },
   {
-    name: 'workers open no connection to any controller, while direct commands reach them',
+    name: 'workers can connect to no controller, while direct commands reach them',
     play: async (cluster, seed) => {
-      const jobs = await work(cluster);
+      const jobs = await startWork(cluster);
       cluster.faults.mute([...cluster.workers.values()]);
       await cluster.pass(seed);
       void cluster.cancelling(jobs[seed % 3]!);
@@ -125,9 +127,9 @@
     },
   },
   {
-    name: 'workers hear no answers, jobs are cancelled and the leader ends',
+    name: 'workers receive no responses, jobs are cancelled and the leader crashes',
     play: async (cluster, seed) => {
-      const jobs = await work(cluster);
+      const jobs = await startWork(cluster);
       const deaf = [...cluster.workers.values()].filter((_x, i) => i % 2 === seed % 2);
       cluster.faults.deafen(deaf);
       await cluster.pass(seed);
@@ -141,4 +143,4 @@
   },
 ];
 
-runScenarios(MEETINGS);
+runScenarios(SCENARIOS);
--- a/test/zone-delegate.test.ts
+++ b/test/zone-delegate.test.ts
@@ -2,11 +2,11 @@
 import { test } from 'node:test';
 import { SimulatedCluster } from './fakes/simulated-cluster.js';
 
-const FOUR = [{ yard: 'a' }, { yard: 'a' }, { yard: 'b' }, { yard: 'b' }];
-const far = (cluster: SimulatedCluster): string => (cluster.leader === 0 ? 'b' : 'a');
+const FOUR_MACHINES = [{ yard: 'a' }, { yard: 'a' }, { yard: 'b' }, { yard: 'b' }];
+const remoteZone = (cluster: SimulatedCluster): string => (cluster.leader === 0 ? 'b' : 'a');
 
-test('work in a zone that the leader cannot reach goes on, and the leader knows', async () => {
-  const simulatedCluster = new SimulatedCluster(FOUR);
+test('work in a zone that the leader cannot reach goes on, and the leader starts no replacement', async () => {
+  const simulatedCluster = new SimulatedCluster(FOUR_MACHINES);
   await simulatedCluster.start();
   const job = await simulatedCluster.submit({ shape: 'service', pieces: 4, gpus: 4, runMs: 0 });
   await simulatedCluster.until(() => simulatedCluster.running(job) === 4, 10, 'replicas run');
@@ -18,14 +18,14 @@
   await simulatedCluster.pass(10);
   assert.equal(simulatedCluster.running(job), 4);
   assert.equal(simulatedCluster.starts.length, 4);
-  // The leader commands the zone again.
+  // The leader commands workers of the zone again.
   await simulatedCluster.ask(simulatedCluster.user(simulatedCluster.leader).abort(job));
   await simulatedCluster.until(() => simulatedCluster.on(job).length === 0, 5, 'gone');
   await simulatedCluster.close();
 });
 
-test('a job that is cancelled leaves the cut-off zone too', async () => {
-  const simulatedCluster = new SimulatedCluster(FOUR);
+test('a cancelled job is also stopped in the partitioned zone', async () => {
+  const simulatedCluster = new SimulatedCluster(FOUR_MACHINES);
   await simulatedCluster.start();
   const job = await simulatedCluster.submit({ shape: 'service', pieces: 4, gpus: 4, runMs: 0 });
   await simulatedCluster.until(() => simulatedCluster.running(job) === 4, 10, 'replicas run');
@@ -40,19 +40,21 @@
   await simulatedCluster.close();
 });
 
-test('a machine that dies behind the cut is given up only when no zone delegate can have answered it', async () => {
-  const simulatedCluster = new SimulatedCluster(FOUR);
+test('a machine that dies in a partitioned zone counts as lost only once no zone delegate can have renewed its lease', async () => {
+  const simulatedCluster = new SimulatedCluster(FOUR_MACHINES);
   await simulatedCluster.start();
   const job = await simulatedCluster.submit({ pieces: 4, gpus: 8, runMs: 100_000 });
   await simulatedCluster.until(() => simulatedCluster.running(job) === 4, 10, 'all run');
-  const zone = far(simulatedCluster);
+  const zone = remoteZone(simulatedCluster);
   simulatedCluster.split(true);
   await simulatedCluster.pass(12);
-  const lost = [...simulatedCluster.workers.values()].find((x) => x.yard === zone)!;
-  lost.dead = true;
-  simulatedCluster.cloud.hosts.delete(lost.id);
+  const deadWorker = [...simulatedCluster.workers.values()].find(
+    (candidate) => candidate.yard === zone,
+  )!;
+  deadWorker.dead = true;
+  simulatedCluster.cloud.hosts.delete(deadWorker.id);
   await simulatedCluster.pass(10);
-  // Both the kept machine and the dead one are unresponsive to the leader: neither is taken for gone.
+  // The live machine and the dead one are both unresponsive to the leader: neither counts as lost.
   assert.equal(simulatedCluster.starts.length, 4);
   simulatedCluster.split(false);
   await simulatedCluster.until(
@@ -64,10 +66,10 @@
   await simulatedCluster.close();
 });
 
-test('a zone goes on when the leader ends during the cut and another leads behind it', async () => {
-  const simulatedCluster = new SimulatedCluster(FOUR, 3);
+test('work in both zones goes on if the leader crashes during a partition and another takes over', async () => {
+  const simulatedCluster = new SimulatedCluster(FOUR_MACHINES, 3);
   await simulatedCluster.start();
-  // The leader to end is in zone a, where another controller stays.
+  // The leader that crashes has to be in zone a, where another controller remains.
   if (simulatedCluster.leader === 1) {
     simulatedCluster.crash(1);
     await simulatedCluster.until(
@@ -77,19 +79,19 @@
     );
     simulatedCluster.restart(1);
   }
-  const old = simulatedCluster.leader;
-  const other = old === 0 ? 2 : 0;
+  const formerLeader = simulatedCluster.leader;
+  const other = formerLeader === 0 ? 2 : 0;
   const job = await simulatedCluster.submit(
     { shape: 'service', pieces: 4, gpus: 4, runMs: 0 },
     other,
   );
   await simulatedCluster.until(() => simulatedCluster.running(job) === 4, 10, 'replicas run');
-  const before = simulatedCluster.starts.length;
+  const startsBefore = simulatedCluster.starts.length;
   simulatedCluster.split(true);
   await simulatedCluster.pass(6);
-  simulatedCluster.crash(old);
+  simulatedCluster.crash(formerLeader);
   await simulatedCluster.until(
-    () => simulatedCluster.leader !== old && simulatedCluster.leader >= 0,
+    () => simulatedCluster.leader !== formerLeader && simulatedCluster.leader >= 0,
     10,
     'another leads',
   );
@@ -98,7 +100,7 @@
   simulatedCluster.split(false);
   await simulatedCluster.pass(12);
   assert.equal(simulatedCluster.running(job), 4);
-  assert.equal(simulatedCluster.starts.length, before);
+  assert.equal(simulatedCluster.starts.length, startsBefore);
   await simulatedCluster.ask(simulatedCluster.user(simulatedCluster.leader).abort(job));
   await simulatedCluster.until(() => simulatedCluster.on(job).length === 0, 6, 'gone');
   await simulatedCluster.close();
