--- a/test/opportunistic-faults.test.ts
+++ b/test/opportunistic-faults.test.ts
@@ -2,11 +2,11 @@
 import { runScenarios, type FaultScenario } from './fakes/fault-scenario.js';
 import type { SimulatedCluster } from './fakes/simulated-cluster.js';
 
-/** What the store allows, and what the controllers' settings say of it. */
+/** The write rate that the store allows and that the controllers' settings state. */
 const WRITES_PER_SECOND = 20;
 
-/** Run records of jobs of which the store holds only the final state. */
-const leftovers = (cluster: SimulatedCluster): string[] =>
+/** Keys of run records that remain although their job record holds only the final state. */
+const remainingRunRecords = (cluster: SimulatedCluster): string[] =>
   [...cluster.store.keys.keys()].filter((key) => {
     const [prefix, id] = key.split('/');
     const job =
@@ -14,50 +14,58 @@
     return job && !job.spec;
   });
 
-/** One-task jobs of a team without a guarantee, six a second, a quarter of them cancelled. */
-async function probes(cluster: SimulatedCluster, seconds: number): Promise<void> {
+/** Submits one-task jobs of a team without a guarantee, six per second, and cancels a quarter. */
+async function submitOpportunisticJobs(cluster: SimulatedCluster, seconds: number): Promise<void> {
   for (let i = 0; i < seconds * 6; i++) {
-    const wish = { crew: 'guests', gpus: 0, vcpus: 0.25, urgency: 'best_effort', fetchMs: 500 };
+    const template = { crew: 'guests', gpus: 0, vcpus: 0.25, urgency: 'best_effort', fetchMs: 500 };
     void cluster
-      .accepting({ ...wish, runMs: cluster.random.between(2000, 6000) })
+      .accepting({ ...template, runMs: cluster.random.between(2000, 6000) })
       .then(async (ref) => {
         if (i % 4 !== 0) return;
         await cluster.clock.sleep(cluster.random.between(0, 4000));
         await cluster.cancelling(ref);
       });
-    // Two come together, then one alone.
+    // Pauses after two of three jobs, so that two are submitted together and one alone.
     if (i % 3 > 0) await cluster.pass(0.25);
   }
 }
 
-const MEETINGS: FaultScenario[] = [
+const SCENARIOS: FaultScenario[] = [
   {
-    name: 'one-task jobs come six a second at the limit of the store, and leaders end among them',
+    name: 'six one-task jobs per second reach the write limit of the store while leaders crash',
     state: { writeRps: WRITES_PER_SECOND },
     before: (cluster) => (cluster.store.limits = { writeRps: WRITES_PER_SECOND }),
     play: async (cluster, seed) => {
-      const steady = await cluster.accept({ shape: 'service', pieces: 4, runMs: 0 });
+      const guaranteedService = await cluster.accept({ shape: 'service', pieces: 4, runMs: 0 });
       await cluster.until(
-        () => cluster.running(steady) === 4,
+        () => cluster.running(guaranteedService) === 4,
         20,
-        'a service with a guarantee runs',
+        'the service of a team with a guarantee runs',
       );
-      let most = 0;
+      let maxRemaining = 0;
       for (let i = 0; i < 3; i++) {
-        await probes(cluster, 8);
-        most = Math.max(most, leftovers(cluster).length);
+        await submitOpportunisticJobs(cluster, 8);
+        maxRemaining = Math.max(maxRemaining, remainingRunRecords(cluster).length);
         if (i === seed - 1) cluster.faults.share.lostAnswers = 0.2;
-        const waits = await cluster.accept({ pieces: 4, runMs: 5000 });
-        await cluster.until(() => cluster.running(waits) === 4, 12, 'a guarantee is not delayed');
+        const guaranteedJob = await cluster.accept({ pieces: 4, runMs: 5000 });
+        await cluster.until(
+          () => cluster.running(guaranteedJob) === 4,
+          12,
+          'guaranteed work is not delayed',
+        );
         if (i < 2) await cluster.faults.endLeader(2);
       }
       cluster.faults.share.lostAnswers = 0;
-      assert.ok(most > 0, 'ends were written before what they leave was deleted');
-      await cluster.until(() => leftovers(cluster).length === 0, 40, 'the rest is deleted');
+      assert.ok(maxRemaining > 0, 'completions are written before the run records are deleted');
+      await cluster.until(
+        () => remainingRunRecords(cluster).length === 0,
+        40,
+        'the remaining run records are deleted',
+      );
     },
   },
   {
-    name: 'a leader ends between the end of a job and the deletes of its run records',
+    name: 'a leader crashes between the completion of a job and the deletion of its run records',
     seeds: [1],
     before: (cluster) => {
       cluster.doneBefore('req-900000');
@@ -67,27 +75,31 @@
       }
     },
     play: async (cluster) => {
-      const gone = (): boolean => cluster.store.get('runs/req-900000/0') === undefined;
-      await cluster.until(gone, 10, 'its successor deletes what was left');
+      const isDeleted = (): boolean => cluster.store.get('runs/req-900000/0') === undefined;
+      await cluster.until(isDeleted, 10, 'the next leader deletes the remaining run record');
       assert.equal(await cluster.phase('req-900000'), 'done');
-      // Of a job that has no record at all nobody knows what it means.
+      // The run record of a job without a job record is kept, since its state is unknown.
       assert.notEqual(cluster.store.get('runs/req-900001/0'), undefined);
       assert.deepEqual(cluster.starts, []);
     },
   },
   {
-    name: 'the store deletes what jobs left, its answer is lost, and the leader ends',
+    name: 'responses to the deletions of run records are lost, and the leader crashes',
     state: { writeRps: WRITES_PER_SECOND },
     before: (cluster) => (cluster.store.limits = { writeRps: WRITES_PER_SECOND }),
     play: async (cluster, seed) => {
-      await probes(cluster, 8);
+      await submitOpportunisticJobs(cluster, 8);
       cluster.faults.share.lostAnswers = 0.5;
       await cluster.pass(3 * seed);
       await cluster.faults.endLeader(2);
       cluster.faults.share.lostAnswers = 0;
-      await cluster.until(() => leftovers(cluster).length === 0, 40, 'the rest is deleted');
+      await cluster.until(
+        () => remainingRunRecords(cluster).length === 0,
+        40,
+        'the remaining run records are deleted',
+      );
     },
   },
 ];
 
-runScenarios(MEETINGS);
+runScenarios(SCENARIOS);
--- a/test/query-storms.test.ts
+++ b/test/query-storms.test.ts
@@ -3,28 +3,28 @@
 import type { ApiResponse } from '../src/jobs/job-api.js';
 import { Nodes } from './fakes/nodes.js';
 
-const SIZE = 5;
+const CONTROLLERS = 5;
 const REQUESTS_PER_S = 200;
-const STORMED = 0;
+const LOADED = 0;
 const OTHER = 1;
 const USERS = 2000;
 
-/** Asks without waiting, and notes the answer and how long it took. */
-function timing(
+/** Records the response to a request and its duration, without waiting for it. */
+function measure(
   nodes: Nodes,
   request: Promise<ApiResponse>,
 ): { answer: ApiResponse | null; ms: number } {
   const startedAt = nodes.clock.now();
-  const timed: { answer: ApiResponse | null; ms: number } = { answer: null, ms: 0 };
+  const measured: { answer: ApiResponse | null; ms: number } = { answer: null, ms: 0 };
   void request.then((answer) => {
-    timed.answer = answer;
-    timed.ms = nodes.clock.now() - startedAt;
+    measured.answer = answer;
+    measured.ms = nodes.clock.now() - startedAt;
   });
-  return timed;
+  return measured;
 }
 
 async function withJobs(count: number): Promise<Nodes> {
-  const nodes = new Nodes(2, { rps: REQUESTS_PER_S }, SIZE);
+  const nodes = new Nodes(2, { rps: REQUESTS_PER_S }, CONTROLLERS);
   for (let i = 0; i < count; i++) {
     nodes.put(`jobs/req-${i}`, { w: 'w', phase: i % 2 ? 'done' : 'open', tasks: 1 });
   }
@@ -32,58 +32,58 @@
   return nodes;
 }
 
-test('a controller that has just started meets a storm of queries: submissions, cancellations and leadership come first', async () => {
+test('in a query storm at a controller that has just started, submissions, cancellations and leadership have priority', async () => {
   const nodes = await withJobs(USERS);
-  nodes.restart(STORMED);
+  nodes.restart(LOADED);
   const queries = Array.from({ length: USERS }, (_, i) =>
-    timing(nodes, nodes.query(STORMED, `req-${i}`)),
+    measure(nodes, nodes.query(LOADED, `req-${i}`)),
   );
   await nodes.clock.advance(200);
-  const submission = timing(nodes, nodes.submitting(STORMED, 'req-90000'));
-  const repeat = timing(nodes, nodes.submitting(STORMED, 'req-2'));
-  const cancellation = timing(nodes, nodes.aborting(STORMED, 'req-4'));
+  const submission = measure(nodes, nodes.submitting(LOADED, 'req-90000'));
+  const repeat = measure(nodes, nodes.submitting(LOADED, 'req-2'));
+  const cancellation = measure(nodes, nodes.aborting(LOADED, 'req-4'));
   await nodes.clock.advance(2000);
   assert.equal(submission.answer?.status, 201);
   assert.equal(repeat.answer?.status, 200);
   assert.equal(cancellation.answer?.status, 200);
   for (const { ms } of [submission, repeat, cancellation]) assert.ok(ms <= 200, `${ms} ms`);
 
-  // Whoever has no answer learns at once that there is none, and when to come back.
+  // Queries that are not served get a prompt 503 that says when to retry.
   assert.ok(queries.every((query) => query.answer !== null));
-  const busy = queries.filter((query) => query.answer!.status === 503);
-  assert.ok(busy.every((query) => query.answer!.retryAfter! >= 1 && query.ms <= 1600));
+  const rejected = queries.filter((query) => query.answer!.status === 503);
+  assert.ok(rejected.every((query) => query.answer!.retryAfter! >= 1 && query.ms <= 1600));
   const served = queries.filter((query) => query.answer!.status === 200).length;
   assert.ok(served >= USERS / 4, `${served} queries answered`);
-  // The controller's share of the request rate of all queries, with its burst.
-  const most = (REQUESTS_PER_S / 2 / SIZE) * 2.5 + 10;
-  const requests = nodes.sent.filter((s) => s.node === STORMED).length;
-  assert.ok(requests <= most, `${requests} requests to the store`);
+  // The controller's share of the request rate for queries, with its burst.
+  const maxRequests = (REQUESTS_PER_S / 2 / CONTROLLERS) * 2.5 + 10;
+  const requests = nodes.sent.filter((s) => s.node === LOADED).length;
+  assert.ok(requests <= maxRequests, `${requests} requests to the store`);
 });
 
-test('in a storm at every controller a job that is over at one of them is over at all, for whoever asks next', async () => {
+test('in a query storm at every controller, a job cancelled at one of them is cancelled in all later answers', async () => {
   const nodes = await withJobs(400);
-  const storm = async (): Promise<void> => {
+  const runStorm = async (): Promise<void> => {
     for (let round = 0; round < 40; round++) {
       for (let i = 0; i < 400; i++) void nodes.query(round % 2, `req-${i}`);
       await nodes.clock.advance(50);
     }
   };
-  const done = storm();
+  const storm = runStorm();
   for (let job = 0; job < 40; job += 2) {
-    assert.equal((await nodes.abort(STORMED, `req-${job}`)).status, 200);
-    const answers = [nodes.query(OTHER, `req-${job}`), nodes.query(STORMED, `req-${job}`)];
+    assert.equal((await nodes.abort(LOADED, `req-${job}`)).status, 200);
+    const answers = [nodes.query(OTHER, `req-${job}`), nodes.query(LOADED, `req-${job}`)];
     for (const { status, body } of await nodes.after(Promise.all(answers))) {
       if (status === 200) assert.equal((body as { phase: string }).phase, 'withdrawn');
       else assert.equal(status, 503);
     }
   }
-  await done;
+  await storm;
 });
 
-test('queries that nobody waits for any more cost the store nothing', async () => {
+test('queries whose users have given up cause no requests to the store', async () => {
   const nodes = await withJobs(2000);
   nodes.fate = () => 'lose request';
-  for (let i = 0; i < 2000; i += 2) void nodes.query(STORMED, `req-${i}`);
+  for (let i = 0; i < 2000; i += 2) void nodes.query(LOADED, `req-${i}`);
   await nodes.clock.advance(2500);
   nodes.fate = () => 'serve';
   const before = nodes.sent.length;
--- a/test/request-cascade.test.ts
+++ b/test/request-cascade.test.ts
@@ -4,23 +4,23 @@
 import { makeOld, NEXT } from './fakes/upgrade.js';
 import { SimulatedCluster } from './fakes/simulated-cluster.js';
 
-const WISH = { runMs: 120_000, fetchMs: 500, crew: 'speech' };
+const TEMPLATE = { runMs: 120_000, fetchMs: 500, crew: 'speech' };
 
-interface Tree {
+interface JobTree {
   root: string;
-  /** All that need the root, directly or through others: more than one transaction may change. */
+  /** All jobs that depend on the root, also indirectly: too many for a single transaction. */
   dependents: string[];
-  /** A pipeline of its own, which nobody cancels. */
+  /** An independent pipeline, which is not cancelled. */
   others: string[];
 }
 
-async function tree(cluster: SimulatedCluster): Promise<Tree> {
-  const root = await cluster.accept({ ...WISH, pieces: 6 });
+async function submitTree(cluster: SimulatedCluster): Promise<JobTree> {
+  const root = await cluster.accept({ ...TEMPLATE, pieces: 6 });
   const dependents: string[] = [];
   for (let i = 0; i < 18; i++) {
     const waitsOn = i < 6 ? [root] : [dependents[i - 6]!, dependents[i - 5]!];
     dependents.push(
-      await cluster.accept({ ...WISH, shape: i % 5 === 4 ? 'gang' : 'array', waitsOn }),
+      await cluster.accept({ ...TEMPLATE, shape: i % 5 === 4 ? 'gang' : 'array', waitsOn }),
     );
   }
   const first = await cluster.accept({ runMs: 30_000, pieces: 2 });
@@ -33,8 +33,11 @@
   return { root, dependents, others };
 }
 
-/** What every scenario ends with: nothing of the tree has run or runs, and nothing else is cancelled. */
-async function check(cluster: SimulatedCluster, { root, dependents, others }: Tree): Promise<void> {
+/** Asserts that the whole tree is cancelled, that no dependent job has started, and the rest is done. */
+async function assertCascade(
+  cluster: SimulatedCluster,
+  { root, dependents, others }: JobTree,
+): Promise<void> {
   await cluster.settle();
   for (const ref of [root, ...dependents]) {
     for (const node of [0, 1, 2]) assert.equal(await cluster.phase(ref, node), 'withdrawn', ref);
@@ -45,14 +48,14 @@
   await cluster.until(
     () => dependents.every((ref) => cluster.stored(ref) === 'cancelled'),
     60,
-    'records',
+    'the records of all dependents say cancelled',
   );
 }
 
-/** Cancels the root through a node that does not lead and ends at once. */
-async function cancelAndEnd(
+/** Cancels the root through a follower that crashes right after the response; returns the follower. */
+async function cancelAndCrash(
   cluster: SimulatedCluster,
-  { root }: Tree,
+  { root }: JobTree,
   leader: number,
 ): Promise<number> {
   const node = (leader + 1) % 3;
@@ -61,78 +64,83 @@
   return node;
 }
 
-const MEETINGS: FaultScenario[] = [
+const SCENARIOS: FaultScenario[] = [
   {
-    name: 'a cascade through the gap: the store refuses the leader, then everybody, and its limits fall',
+    name: 'a cascading cancellation: the store refuses the leader, then all controllers, and its limits drop',
     state: { next: NEXT },
     play: async (cluster, seed) => {
-      const all = await tree(cluster);
+      const jobTree = await submitTree(cluster);
       const { leader } = cluster;
       cluster.faults.refuse(leader);
       await cluster.pass(0.5 * seed);
-      const ended = await cancelAndEnd(cluster, all, leader);
+      const crashed = await cancelAndCrash(cluster, jobTree, leader);
       await cluster.pass(0.5);
       cluster.faults.outage();
-      cluster.restart(ended);
+      cluster.restart(crashed);
       cluster.store.limits = NEXT;
-      // Longer than a cancellation may take.
+      // Longer than `cancel_s`.
       await cluster.pass(38);
-      assert.equal(cluster.on(all.root).length, 0);
+      assert.equal(cluster.on(jobTree.root).length, 0);
       cluster.faults.outageOver();
       cluster.faults.serve(leader);
-      for (const waitsOn of [[all.root], [all.dependents[17]!], [all.dependents[3]!]]) {
-        const ref = await cluster.accept({ ...WISH, waitsOn });
-        all.dependents.push(ref);
+      for (const waitsOn of [[jobTree.root], [jobTree.dependents[17]!], [jobTree.dependents[3]!]]) {
+        const ref = await cluster.accept({ ...TEMPLATE, waitsOn });
+        jobTree.dependents.push(ref);
       }
-      await check(cluster, all);
+      await assertCascade(cluster, jobTree);
     },
   },
   {
-    name: 'a cascade of more than a transaction as leaders end, refused peers and lost answers about',
+    name: 'a cascading cancellation of several transactions with crashing leaders, refused peers and lost responses',
     state: { next: NEXT },
     play: async (cluster, seed) => {
-      const all = await tree(cluster);
+      const jobTree = await submitTree(cluster);
       cluster.store.limits = NEXT;
       cluster.faults.refusePeers();
       cluster.faults.share.lostAnswers = 0.15;
       cluster.faults.share.lateWrites = 0.1;
-      const ended = await cancelAndEnd(cluster, all, cluster.leader);
+      const crashed = await cancelAndCrash(cluster, jobTree, cluster.leader);
       for (let i = 0; i < 3; i++) {
         await cluster.pass(0.7 * seed);
         await cluster.faults.endLeader(1);
-        all.dependents.push(await cluster.accept({ ...WISH, waitsOn: [all.dependents[5 * i]!] }));
+        jobTree.dependents.push(
+          await cluster.accept({ ...TEMPLATE, waitsOn: [jobTree.dependents[5 * i]!] }),
+        );
       }
-      if (!cluster.nodes[ended]!.controller) cluster.restart(ended);
-      await check(cluster, all);
+      if (!cluster.nodes[crashed]!.controller) cluster.restart(crashed);
+      await assertCascade(cluster, jobTree);
     },
   },
   {
-    name: 'a cascade while the upgrade is not complete and the limits fall before it is',
+    name: 'a cascading cancellation during an upgrade, with limits that drop before the upgrade is complete',
     state: { next: NEXT },
     before: (cluster) => makeOld(cluster, 1),
     play: async (cluster, seed) => {
-      const all = await tree(cluster);
+      const jobTree = await submitTree(cluster);
       cluster.store.limits = NEXT;
       await cluster.pass(seed);
-      await cluster.cancel(all.root);
+      await cluster.cancel(jobTree.root);
       for (let i = 0; i < 2; i++) {
         await cluster.faults.endLeader(2);
         await cluster.pass(6);
       }
-      all.dependents.push(
-        await cluster.accept({ ...WISH, waitsOn: [all.dependents[7]!, all.others[1]!] }),
+      jobTree.dependents.push(
+        await cluster.accept({
+          ...TEMPLATE,
+          waitsOn: [jobTree.dependents[7]!, jobTree.others[1]!],
+        }),
       );
-      await check(cluster, all);
+      await assertCascade(cluster, jobTree);
     },
   },
 ];
 
-runScenarios(MEETINGS);
+runScenarios(SCENARIOS);
 
-test('the records of six hundred jobs cancelled with another hold up nobody else', async () => {
+test('updating the records of 600 jobs cancelled with their prerequisite delays no other job', async () => {
   const simulatedCluster = new SimulatedCluster(machines('aabb'), 2, 0, NEXT);
   await simulatedCluster.start();
-  const root = await simulatedCluster.submit({ ...WISH, pieces: 2 });
+  const root = await simulatedCluster.submit({ ...TEMPLATE, pieces: 2 });
   const { at, spec } = simulatedCluster.store.get(`jobs/${root}`) as { at: number; spec: object };
   const dependents = Array.from({ length: 600 }, (_, i) => `req-5${String(i).padStart(5, '0')}`);
   for (const ref of dependents) {
@@ -147,7 +155,7 @@
   await simulatedCluster.until(() => simulatedCluster.running(other) === 12, 5, 'another job runs');
   const open = (): number =>
     dependents.filter((ref) => simulatedCluster.stored(ref) === 'open').length;
-  assert.ok(open() > 400, 'its records were not waited for');
-  await simulatedCluster.until(() => open() === 0, 120, 'and follow all the same');
+  assert.ok(open() > 400, 'the other job did not wait for the records');
+  await simulatedCluster.until(() => open() === 0, 120, 'all records are updated nevertheless');
   await simulatedCluster.close();
 });
--- a/test/request-takeover.test.ts
+++ b/test/request-takeover.test.ts
@@ -2,9 +2,12 @@
 import { test } from 'node:test';
 import { SimulatedCluster } from './fakes/simulated-cluster.js';
 
-const FOUR = [{ yard: 'a' }, { yard: 'a' }, { yard: 'b' }, { yard: 'b' }];
+const FOUR_MACHINES = [{ yard: 'a' }, { yard: 'a' }, { yard: 'b' }, { yard: 'b' }];
 
-/** The moments between the last task of a job and the first of the one that needs it. */
+/**
+ * The moments between the last task of a job and the first task of the next job, which depends on
+ * it. The seed of each test depends on the lengths of these texts and of the keys of `FAULTS`.
+ */
 const MOMENTS = [
   'the last task ends',
   'its report has come',
@@ -16,34 +19,34 @@
 ] as const;
 type Moment = (typeof MOMENTS)[number];
 
-/** Calls `then` once, as the moment comes; `write` decides what becomes of a write that is the moment. */
-function at(
+/** Calls `then` once at `moment`. If that moment is a write, the write is lost and applied 9 s later. */
+function runAtMoment(
   cluster: SimulatedCluster,
   moment: Moment,
   [first, next]: [string, string],
-  then: () => void,
+  callback: () => void,
 ): void {
-  let over = false;
-  const once = (): void => {
-    if (!over) then();
-    over = true;
+  let called = false;
+  const callOnce = (): void => {
+    if (!called) callback();
+    called = true;
   };
   cluster.onDone = ({ job }) => {
     if (job !== first || cluster.on(first).length > 0) return;
-    if (moment === 'the last task ends') once();
-    if (moment === 'its report has come') void cluster.clock.sleep(4).then(once);
+    if (moment === 'the last task ends') callOnce();
+    if (moment === 'its report has come') void cluster.clock.sleep(4).then(callOnce);
   };
-  const written: Partial<Record<Moment, string>> = {
+  const writeTexts: Partial<Record<Moment, string>> = {
     'its end is written': `"write":"jobs/${first}"`,
     'the start of the next is written': `"write":"runs/${next}/`,
   };
-  const text = written[moment];
+  const text = writeTexts[moment];
   const { leader } = cluster;
   if (text !== undefined) {
     cluster.nodes[leader]!.fate = (_m, path, body) => {
-      if (over || path !== '/txn' || !JSON.stringify(body).includes(text)) return 'serve';
-      once();
-      // Nobody hears of it; it comes to the store long after.
+      if (called || path !== '/txn' || !JSON.stringify(body).includes(text)) return 'serve';
+      callOnce();
+      // The write gets no response and is applied long afterwards.
       return { applyAfterMs: 9000 };
     };
   }
@@ -55,19 +58,19 @@
       key === `jobs/${first}` &&
       cluster.stored(first) === 'done'
     ) {
-      once();
+      callOnce();
     }
-    if (moment === 'the start of the next is stored' && key.startsWith(`runs/${next}/`)) once();
+    if (moment === 'the start of the next is stored' && key.startsWith(`runs/${next}/`)) callOnce();
   };
   if (moment === 'the next has begun') {
     void cluster
-      .until(() => cluster.on(next).length > 0, 60, 'the next begins')
-      .then(once, () => undefined);
+      .until(() => cluster.on(next).length > 0, 60, 'the dependent job starts')
+      .then(callOnce, () => undefined);
   }
 }
 
-/** What becomes of the leader at that moment. */
-const ENDS: Record<string, (cluster: SimulatedCluster, leader: number) => void> = {
+/** The fault that is injected at that moment; the lengths of the keys are part of the seed. */
+const FAULTS: Record<string, (cluster: SimulatedCluster, leader: number) => void> = {
   'the leader ends and comes back': (cluster, leader) => {
     cluster.crash(leader);
     void cluster.clock.sleep(2500).then(() => cluster.restart(leader));
@@ -84,9 +87,9 @@
 };
 
 for (const moment of MOMENTS) {
-  for (const [what, end] of Object.entries(ENDS)) {
-    test(`as ${moment}, ${what}`, async () => {
-      const simulatedCluster = new SimulatedCluster(FOUR, 3, moment.length + what.length);
+  for (const [fault, injectFault] of Object.entries(FAULTS)) {
+    test(`when ${moment}, ${fault}`, async () => {
+      const simulatedCluster = new SimulatedCluster(FOUR_MACHINES, 3, moment.length + fault.length);
       await simulatedCluster.start();
       void simulatedCluster.keepAsking();
       simulatedCluster.faults.share.lateReports = 0.3;
@@ -99,16 +102,20 @@
         fetchMs: 500,
         waitsOn: [first],
       });
-      const gang = { shape: 'gang', pieces: 2, runMs: 4000, fetchMs: 500 } as const;
-      const last = await simulatedCluster.accept({ ...gang, crew: 'speech', waitsOn: [next] });
+      const gangTemplate = { shape: 'gang', pieces: 2, runMs: 4000, fetchMs: 500 } as const;
+      const last = await simulatedCluster.accept({
+        ...gangTemplate,
+        crew: 'speech',
+        waitsOn: [next],
+      });
       const { leader } = simulatedCluster;
-      let came = false;
-      at(simulatedCluster, moment, [first, next], () => {
-        came = true;
+      let reached = false;
+      runAtMoment(simulatedCluster, moment, [first, next], () => {
+        reached = true;
         void simulatedCluster.queryEverywhere(first);
-        end(simulatedCluster, leader);
+        injectFault(simulatedCluster, leader);
       });
-      await simulatedCluster.until(() => came, 60, moment);
+      await simulatedCluster.until(() => reached, 60, moment);
       await simulatedCluster.pass(25);
       await simulatedCluster.settle();
       assert.equal(simulatedCluster.stored(last), 'done');
--- a/test/search-regressions.test.ts
+++ b/test/search-regressions.test.ts
@@ -5,7 +5,7 @@
 const LEASE_S = 10;
 const CANCEL_S = 35;
 
-/** Each team has as much running as its limit allows, or more than that waiting. */
+/** Submits enough work for each team to fill its limit; returns the jobs once all of them run. */
 async function fillLimits(cluster: SimulatedCluster): Promise<string[]> {
   const jobs = [
     await cluster.accept({ pieces: 12, gpus: 2, runMs: 40_000 }),
@@ -16,8 +16,8 @@
   return jobs;
 }
 
-/** Users submit small jobs, and call off some of them as they end. */
-async function trickle(cluster: SimulatedCluster): Promise<void> {
+/** Submits small jobs and cancels about half of them around their completion. */
+async function submitSmallJobs(cluster: SimulatedCluster): Promise<void> {
   while (!cluster.settling) {
     void cluster
       .accepting({ pieces: 2, runMs: 3000, fetchMs: 500, crew: 'speech' })
@@ -31,12 +31,12 @@
   }
 }
 
-const MEETINGS: FaultScenario[] = [
+const SCENARIOS: FaultScenario[] = [
   {
-    name: 'every leader stands still past its lease within 20 s, answers are lost, jobs are called off',
+    name: 'a leader stalls past its lease every 20 s, while responses are lost and jobs are cancelled',
     play: async (cluster) => {
       await fillLimits(cluster);
-      void trickle(cluster);
+      void submitSmallJobs(cluster);
       cluster.faults.share.lostAnswers = 0.2;
       cluster.faults.share.reportsForNext = 0.3;
       for (let i = 0; i < 5; i++) {
@@ -47,11 +47,11 @@
     },
   },
   {
-    name: 'the store is out for longer than a lease, all controllers end in it, all workers return at once',
+    name: 'all controllers crash in a store outage longer than a lease, and all workers return at once',
     machines: machines('aabbaa'),
     play: async (cluster, seed) => {
       const jobs = await fillLimits(cluster);
-      void trickle(cluster);
+      void submitSmallJobs(cluster);
       cluster.faults.share.lateReports = 0.3;
       for (const outageS of [LEASE_S * 2, CANCEL_S + 5]) {
         void cluster.cancelling(jobs.shift()!);
@@ -69,28 +69,28 @@
     },
   },
   {
-    name: 'machines out of reach hear nothing from the second on in which the leader ends',
+    name: 'unreachable machines can send again, but receive no responses, as the leader crashes',
     machines: machines('aabbab'),
     play: async (cluster, seed) => {
       const jobs = await fillLimits(cluster);
       cluster.faults.share.reportsForNext = 0.5;
       cluster.faults.share.lateReports = 0.3;
-      const some = [...cluster.workers.values()].slice(0, 3);
+      const unreachable = [...cluster.workers.values()].slice(0, 3);
       for (let i = 0; i < 3; i++) {
-        cluster.faults.mute(some);
+        cluster.faults.mute(unreachable);
         await cluster.pass(LEASE_S - 3 + seed * 2);
-        for (const x of some) x.mute = false;
-        cluster.faults.deafen(some);
+        for (const worker of unreachable) worker.mute = false;
+        cluster.faults.deafen(unreachable);
         if (jobs.length > 1) void cluster.cancelling(jobs.shift()!);
         await cluster.faults.endLeader(seed * 0.5);
         await cluster.pass(LEASE_S + 2);
-        for (const x of some) x.deaf = false;
+        for (const worker of unreachable) worker.deaf = false;
         await cluster.pass(6);
       }
     },
   },
   {
-    name: 'a large job that fails everywhere is sent in while the leader is silent, and another ends',
+    name: 'a large job that fails everywhere is submitted while a leader is unresponsive and the next crashes',
     play: async (cluster, seed) => {
       const service = await cluster.accept({
         shape: 'service',
@@ -100,26 +100,26 @@
       });
       await cluster.until(() => cluster.running(service) === 3, 20, 'the service runs');
       cluster.freeze(cluster.leader, 60_000);
-      const broken = await cluster.accept({ pieces: 2500, gpus: 0, failsAfterMs: 800 });
+      const failingJob = await cluster.accept({ pieces: 2500, gpus: 0, failsAfterMs: 800 });
       await cluster.pass(5 + seed);
       await cluster.faults.endLeader(30);
-      const sound = await cluster.accept({ pieces: 8, runMs: 5000 });
+      const healthyJob = await cluster.accept({ pieces: 8, runMs: 5000 });
       await cluster.until(
-        () => cluster.stored(sound) === 'done',
+        () => cluster.stored(healthyJob) === 'done',
         60,
-        'work of the same team is done',
+        'other work of the same team is done',
       );
-      const starts = cluster.starts.filter((name) => name.startsWith(`${broken}/`)).length;
-      // Each leader tries it as a whole twice at most, as far as there is room.
+      const starts = cluster.starts.filter((name) => name.startsWith(`${failingJob}/`)).length;
+      // Each leader tries the whole job at most twice, as far as the capacity allows.
       assert.ok(starts < 1000, `${starts} starts of the job that fails`);
-      await cluster.cancel(broken);
+      await cluster.cancel(failingJob);
       assert.equal(cluster.running(service), 3);
       await cluster.pass(60);
     },
   },
   {
-    // The fake workers kept their tasks until an answer that they waited for was given up.
-    name: 'nothing is on a machine once its lease has ended, also while it waits for an answer',
+    // The fake workers had kept their tasks until the request in flight timed out.
+    name: 'no task is on a machine once its lease has expired, even while a response is outstanding',
     seeds: [1],
     play: async (cluster) => {
       await fillLimits(cluster);
@@ -128,7 +128,7 @@
       await cluster.until(
         () => cluster.clock.now() > leaseExpiry + LEASE_S * 1000,
         20,
-        'all leases have ended',
+        'all leases have expired',
       );
       assert.deepEqual(
         cluster.machines.seen().flatMap((m) => m.tasks),
@@ -139,4 +139,4 @@
   },
 ];
 
-runScenarios(MEETINGS);
+runScenarios(SCENARIOS);
--- a/test/user-request-faults.test.ts
+++ b/test/user-request-faults.test.ts
@@ -2,11 +2,11 @@
 import { runScenarios, type FaultScenario } from './fakes/fault-scenario.js';
 import type { SimulatedCluster } from './fakes/simulated-cluster.js';
 
-/** Users submit small jobs for a while, and do something with each. */
-async function stream(
+/** Submits small jobs at an interval, queries each of them everywhere and passes it to `then`. */
+async function submitStream(
   cluster: SimulatedCluster,
   count: number,
-  everyMs: number,
+  intervalMs: number,
   then: (ref: string, i: number) => void,
 ): Promise<void> {
   for (let i = 0; i < count; i++) {
@@ -17,53 +17,53 @@
         void cluster.queryEverywhere(ref);
         then(ref, i);
       });
-    await cluster.pass(everyMs / 1000);
+    await cluster.pass(intervalMs / 1000);
   }
 }
 
-const MEETINGS: FaultScenario[] = [
+const SCENARIOS: FaultScenario[] = [
   {
-    name: 'users ask at all nodes within milliseconds after a job was accepted, ended or cancelled',
+    name: 'users query all controllers within milliseconds after a job is accepted, completed or cancelled',
     play: async (cluster) => {
-      cluster.onDone = (piece) => {
+      cluster.onDone = (task) => {
         for (const ms of [0, 900, 1500, 3000]) {
-          void cluster.clock.sleep(ms).then(() => cluster.queryEverywhere(piece.job));
+          void cluster.clock.sleep(ms).then(() => cluster.queryEverywhere(task.job));
         }
       };
-      await stream(cluster, 16, 1000, (ref, i) => {
+      await submitStream(cluster, 16, 1000, (ref, i) => {
         if (i % 3 === 0) void cluster.cancelling(ref).then(() => cluster.queryEverywhere(ref));
       });
       await cluster.pass(10);
     },
   },
   {
-    name: 'a cancellation, a question or a repeat meets the end of the last task',
+    name: 'a cancellation, a query or a repeated submission coincides with the end of the last task',
     play: async (cluster) => {
-      cluster.onDone = (piece) => {
-        const afterMs = cluster.random.pick([0, 3, 20, 300, 800, 1100, 1500]);
-        void cluster.clock.sleep(afterMs).then(() => {
-          void cluster.queryEverywhere(piece.job);
-          void cluster.cancelling(piece.job).then(() => cluster.queryEverywhere(piece.job));
+      cluster.onDone = (task) => {
+        const delayMs = cluster.random.pick([0, 3, 20, 300, 800, 1100, 1500]);
+        void cluster.clock.sleep(delayMs).then(() => {
+          void cluster.queryEverywhere(task.job);
+          void cluster.cancelling(task.job).then(() => cluster.queryEverywhere(task.job));
         });
       };
-      await stream(cluster, 20, 500, () => undefined);
+      await submitStream(cluster, 20, 500, () => undefined);
       await cluster.pass(12);
     },
   },
   {
-    name: 'one-task jobs come four a second for a minute, a quarter of them cancelled',
+    name: 'four one-task jobs are submitted per second for a minute, and a quarter of them cancelled',
     seeds: [1],
     play: async (cluster) => {
-      await stream(cluster, 240, 250, (ref, i) => {
+      await submitStream(cluster, 240, 250, (ref, i) => {
         if (i % 4 !== 0) return;
-        const afterMs = cluster.random.between(0, 3000);
-        void cluster.clock.sleep(afterMs).then(() => cluster.cancelling(ref));
+        const delayMs = cluster.random.between(0, 3000);
+        void cluster.clock.sleep(delayMs).then(() => cluster.cancelling(ref));
       });
       await cluster.pass(10);
     },
   },
   {
-    name: 'odd requests: what cannot run or lacks a field, and cancellations of what is done',
+    name: 'invalid submissions, jobs that cannot run, and cancellations of completed and unknown jobs',
     play: async (cluster) => {
       const done = await cluster.accept({ runMs: 2000 });
       const open = await cluster.accept({ shape: 'service', runMs: 0 });
@@ -96,26 +96,26 @@
     },
   },
   {
-    name: 'users ask closely while answers get lost, the store lags and the leader ends',
+    name: 'users query often while responses are lost, writes are delayed and the leader crashes',
     play: async (cluster) => {
-      cluster.onDone = (piece) => void cluster.queryEverywhere(piece.job);
+      cluster.onDone = (task) => void cluster.queryEverywhere(task.job);
       cluster.faults.share.lostAnswers = 0.3;
       cluster.faults.share.lateWrites = 0.2;
-      const rush = stream(cluster, 20, 500, (ref, i) => {
+      const submissions = submitStream(cluster, 20, 500, (ref, i) => {
         if (i % 2 === 0) void cluster.cancelling(ref).then(() => cluster.queryEverywhere(ref));
       });
       await cluster.pass(4);
       await cluster.faults.endLeader(2);
-      await rush;
+      await submissions;
       await cluster.pass(10);
     },
   },
   {
-    name: 'answers of one controller are held up for seconds while users cancel and ask',
+    name: 'responses of one controller are delayed for seconds while users cancel and query',
     play: async (cluster, seed) => {
       cluster.faults.holdAnswers(seed % 3, 3000);
-      cluster.onDone = (piece) => void cluster.queryEverywhere(piece.job);
-      await stream(cluster, 16, 700, (ref, i) => {
+      cluster.onDone = (task) => void cluster.queryEverywhere(task.job);
+      await submitStream(cluster, 16, 700, (ref, i) => {
         if (i % 2 === 0) void cluster.cancelling(ref).then(() => cluster.queryEverywhere(ref));
       });
       await cluster.pass(10);
@@ -123,4 +123,4 @@
   },
 ];
 
-runScenarios(MEETINGS);
+runScenarios(SCENARIOS);
