--- a/test/fault-search.test.ts
+++ b/test/fault-search.test.ts
@@ -2,32 +2,34 @@
 import { simulateSeed } from './fakes/fault-search.js';
 
 /**
- * A seeded search over orders of faults, in place of one fixed scenario for each: every simulation picks two
- * or three of them, their moments and their victims, and plays under the checker of all rules.
+ * A seeded search over combinations of faults, instead of a fixed scenario for each: every simulation
+ * picks two or three faults, their times and their victims, and runs under the rule checker.
  */
 
-/** Worlds that are played each time; more with SEARCH_SEEDS=FROM-TO. */
-const [FROM, TO] = (process.env.SEARCH_SEEDS ?? '1-40').split('-').map(Number) as [number, number];
+/** The range of seeds to simulate; SEARCH_SEEDS=FROM-TO sets another one. */
+const [FIRST_SEED, LAST_SEED] = (process.env.SEARCH_SEEDS ?? '1-40').split('-').map(Number) as [
+  number,
+  number,
+];
 
-for (let seed = FROM; seed <= TO; seed++) {
-  test(`two or three troubles meet at moments of their own (seed ${seed})`, () =>
-    simulateSeed(seed));
+for (let seed = FIRST_SEED; seed <= LAST_SEED; seed++) {
+  test(`two or three faults coincide (seed ${seed})`, () => simulateSeed(seed));
 }
 
-for (let seed = FROM; seed <= TO; seed++) {
-  test(`two or three troubles meet while shares are moved (seed ${seed})`, () =>
+for (let seed = FIRST_SEED; seed <= LAST_SEED; seed++) {
+  test(`two or three faults coincide with quota transfers (seed ${seed})`, () =>
     simulateSeed(seed, { quotaTransfers: true }));
 }
 
-for (let seed = FROM; seed <= TO; seed++) {
-  test(`two or three troubles meet while a version is rolled out (seed ${seed})`, () =>
+for (let seed = FIRST_SEED; seed <= LAST_SEED; seed++) {
+  test(`two or three faults coincide with a service rollout (seed ${seed})`, () =>
     simulateSeed(seed, { rollout: true }));
 }
 
-/** Fewer of these: with five controllers each takes longer. */
-const THREE_ZONES_TO = Math.min(TO, FROM + 11);
+/** The last seed for five controllers: fewer are simulated, since each takes longer. */
+const LAST_THREE_ZONES_SEED = Math.min(LAST_SEED, FIRST_SEED + 11);
 
-for (let seed = FROM; seed <= THREE_ZONES_TO; seed++) {
-  test(`two or three troubles meet among five controllers in three zones (seed ${seed})`, () =>
+for (let seed = FIRST_SEED; seed <= LAST_THREE_ZONES_SEED; seed++) {
+  test(`two or three faults coincide with five controllers in three zones (seed ${seed})`, () =>
     simulateSeed(seed, { threeZones: true }));
 }
--- a/test/heartbeat-reader.test.ts
+++ b/test/heartbeat-reader.test.ts
@@ -20,7 +20,7 @@
 const request = (body: string, headers = '', path = '/v1/report'): string =>
   `POST ${path} HTTP/1.1\r\nHost: x\r\nContent-Length: ${Buffer.byteLength(body)}\r\n${headers}\r\n${body}`;
 
-/** A connection whose remote side is the test. */
+/** Opens a connection whose remote side is the test. */
 function openConnection(receiver?: HeartbeatReceiver) {
   let sent = '';
   const received: WorkerHeartbeat[] = [];
@@ -32,11 +32,11 @@
       done();
     },
   });
-  const accept: HeartbeatReceiver = (heartbeat) => {
+  const acceptHeartbeat: HeartbeatReceiver = (heartbeat) => {
     received.push(heartbeat);
     return { kind: 'commands', fencingToken: 7, commands: [] };
   };
-  readHeartbeats(socket as Socket, receiver ?? accept, (_socket, rest) => {
+  readHeartbeats(socket as Socket, receiver ?? acceptHeartbeat, (_socket, rest) => {
     passedOn.push(rest.toString());
   });
   const push = async (text: string): Promise<void> => {
@@ -70,7 +70,7 @@
   assert.equal(connection.received.length, 1);
 });
 
-test('what is not plainly a heartbeat goes to the general server with all bytes read', async () => {
+test('other requests are passed to the general server with all bytes read so far', async () => {
   const others = [
     request('{}', '', '/work'),
     'GET /ready HTTP/1.1\r\n\r\n',
@@ -89,7 +89,7 @@
   }
 });
 
-test('a connection is closed after the answer if its worker asked for that', async () => {
+test('a connection is closed after the response if the worker requested it', async () => {
   const connection = openConnection(() => ({ kind: 'redirect', leader: 'berth-2' }));
   await connection.push(request(BODY, 'Connection: close\r\n'));
   assert.deepEqual(connection.statuses(), [421]);
--- a/test/membership.test.ts
+++ b/test/membership.test.ts
@@ -9,19 +9,23 @@
 import { FakeStore, type Fate } from './fakes/store.js';
 import { fakeRandom, settings } from './fakes/simulated-cluster.js';
 
-/** A version of frames that no program has yet. */
+/** A frame version that no program supports yet. */
 const NEXT_FRAMES = Math.max(...FRAME_VERSIONS) + 1;
 
 const NAMES = ['berth-0', 'berth-1', 'berth-2'];
 const NEXT = { valueBytes: 2048, txnOps: 4, writeRps: 15 };
 
-/** Three controllers above one store, each to be started by the test. */
-function three() {
+/** Sets up one store for three controllers; the test starts each of them with `start`. */
+function threeControllers() {
   const clock = new FakeClock();
   const fakeStore = new FakeStore(clock);
-  const end = new AbortController();
+  const stop = new AbortController();
   const log = { error() {}, warn() {}, info() {}, debug() {} };
-  const start = (self: string, fate: () => Fate = () => 'serve', own?: SupportedFormats) => {
+  const start = (
+    self: string,
+    fate: () => Fate = () => 'serve',
+    supportedFormats?: SupportedFormats,
+  ) => {
     const runtime = { clock, random: fakeRandom(self), log, startedAt: clock.now() };
     const base = settings();
     const store = new Store(
@@ -36,16 +40,16 @@
       runtime as unknown as Runtime,
       { self, peers, size: NAMES.length },
       2000,
-      own,
+      supportedFormats,
     );
-    void membership.run(end.signal);
+    void membership.run(stop.signal);
     return { store, membership };
   };
-  return { clock, fakeStore, end, start };
+  return { clock, fakeStore, stop, start };
 }
 
-test('an upgrade is complete once every controller has a record, and stays so', async () => {
-  const { clock, fakeStore, end, start } = three();
+test('an upgrade is complete once every controller has a member record, and stays complete', async () => {
+  const { clock, fakeStore, stop, start } = threeControllers();
   const first = start('berth-0');
   const second = start('berth-1');
   await clock.advance(60_000);
@@ -67,7 +71,7 @@
       [4, 2048],
     );
   }
-  // The records outlive their processes; one that starts later reads them at once.
+  // The records outlive their processes; a controller that starts later reads them at once.
   assert.deepEqual(fakeStore.get('members/berth-2'), {
     name: 'berth-2',
     version: '0.1.0',
@@ -75,16 +79,16 @@
     recordFormat: 3,
     frameVersions: [...FRAME_VERSIONS],
   });
-  const again = start('berth-1');
-  const looked = again.membership.refresh();
+  const restarted = start('berth-1');
+  const refreshed = restarted.membership.refresh();
   await clock.advance(100);
-  await looked;
-  assert.equal(again.membership.allRead(RECORD_FORMATS.rangedRuns), true);
-  end.abort();
+  await refreshed;
+  assert.equal(restarted.membership.allRead(RECORD_FORMATS.rangedRuns), true);
+  stop.abort();
 });
 
-test('a record of an older format, a stranger, or an unreadable one counts for nothing', async () => {
-  const { clock, fakeStore, end, start } = three();
+test('member records of an older format, of an unknown controller or without valid content do not count', async () => {
+  const { clock, fakeStore, stop, start } = threeControllers();
   const record = {
     name: 'berth-2',
     version: '0',
@@ -104,13 +108,13 @@
   assert.equal(
     first.membership.allRead(RECORD_FORMATS.rangedRuns),
     true,
-    'a later format includes ours',
+    'a later format includes the current one',
   );
-  end.abort();
+  stop.abort();
 });
 
-test('a record is written as soon as the store serves, also if answers are lost', async () => {
-  const { clock, fakeStore, end, start } = three();
+test('a member record is written as soon as the store serves, even if responses are lost', async () => {
+  const { clock, fakeStore, stop, start } = threeControllers();
   fakeStore.down = true;
   let lost = 0;
   start('berth-0', () => (lost++ < 2 ? 'lose answer' : 'serve'));
@@ -119,19 +123,19 @@
   fakeStore.down = false;
   await clock.advance(15_000);
   assert.ok(fakeStore.get('members/berth-0'));
-  end.abort();
+  stop.abort();
 });
 
-test('a lower rate is kept by everything on a controller once refusals go on', async () => {
-  const { clock, fakeStore, end, start } = three();
+test('a controller keeps all its writes to a lower rate once refusals continue', async () => {
+  const { clock, fakeStore, stop, start } = threeControllers();
   const { store } = start('berth-0');
   fakeStore.limits = { writeRps: 15 };
   let applied = 0;
   for (let i = 0; i < 400; i++) {
     void store
-      .commit([], [{ put: `k/${i}`, value: { i } }], 1, end.signal)
+      .commit([], [{ put: `k/${i}`, value: { i } }], 1, stop.signal)
       .then(() => applied++)
-      .catch((error: unknown) => assert.ok(end.signal.aborted, String(error)));
+      .catch((error: unknown) => assert.ok(stop.signal.aborted, String(error)));
   }
   await clock.advance(10_000);
   assert.equal(store.limits.effective().writeRps, 15);
@@ -139,11 +143,11 @@
   await clock.advance(10_000);
   assert.ok(fakeStore.rateRefused - refused < 20, `${fakeStore.rateRefused - refused} refusals`);
   assert.ok(applied > 200, `${applied} applied in 20 s`);
-  end.abort();
+  stop.abort();
 });
 
-test('a refused size lowers the limits at once, and is told to the caller', async () => {
-  const { clock, fakeStore, end, start } = three();
+test('a rejected transaction size lowers the limits at once, and the caller gets the error', async () => {
+  const { clock, fakeStore, stop, start } = threeControllers();
   const { store } = start('berth-0');
   await clock.advance(1000);
   fakeStore.limits = { txnOps: 4 };
@@ -156,15 +160,15 @@
   await refused;
   assert.equal(store.limits.effective().txnOps, 4);
   assert.equal(store.limits.effective().valueBytes, 2048);
-  end.abort();
+  stop.abort();
 });
 
-test('a later format and later frames are judged by themselves, not for those before', async () => {
-  const { clock, fakeStore, end, start } = three();
+test('support for a later record format or frame version is determined separately from earlier ones', async () => {
+  const { clock, fakeStore, stop, start } = threeControllers();
   const { keys } = releasedStores().after;
   const { rangedRuns } = RECORD_FORMATS;
   const later = { recordFormat: rangedRuns + 1, frameVersions: [...FRAME_VERSIONS, NEXT_FRAMES] };
-  // The others run 104c759, and have written their records long before this upgrade.
+  // The others run release 104c759 and wrote their records long before this upgrade.
   const released = keys['members/berth-1']!.value;
   for (const name of ['berth-1', 'berth-2'])
     fakeStore.write(`members/${name}`, { ...released, name });
@@ -172,18 +176,22 @@
   await clock.advance(20_000);
   assert.equal(membership.allRead(rangedRuns), true, 'ranged records are read by all');
   assert.equal(store.limits.effective().txnOps, 4);
-  assert.equal(membership.allRead(later.recordFormat), false, 'nobody is taken for new');
+  assert.equal(
+    membership.allRead(later.recordFormat),
+    false,
+    'no other controller counts as upgraded',
+  );
   assert.equal(membership.readsFrameVersion('berth-1', CANCELLATIONS_VERSION), true);
   assert.equal(membership.readsFrameVersion('berth-1', NEXT_FRAMES), false);
   for (const name of ['berth-1', 'berth-2']) start(name, undefined, later);
   await clock.advance(5000);
   assert.equal(membership.allRead(later.recordFormat), true);
   assert.equal(membership.readsFrameVersion('berth-2', NEXT_FRAMES), true);
-  end.abort();
+  stop.abort();
 });
 
-test('frames of a new version are noticed also where the record format stays', async () => {
-  const { clock, end, start } = three();
+test('a new frame version is detected even if the record format stays the same', async () => {
+  const { clock, stop, start } = threeControllers();
   const later = {
     recordFormat: RECORD_FORMATS.rangedRuns,
     frameVersions: [...FRAME_VERSIONS, NEXT_FRAMES],
@@ -195,17 +203,17 @@
   for (const name of ['berth-1', 'berth-2']) start(name, undefined, later);
   await clock.advance(5000);
   assert.equal(membership.readsFrameVersion('berth-2', NEXT_FRAMES), true);
-  end.abort();
+  stop.abort();
 });
 
-test('a late copy of a record does not replace that of a later program', async () => {
-  const { clock, fakeStore, end, start } = three();
+test('a delayed write of a member record does not replace that of a later program', async () => {
+  const { clock, fakeStore, stop, start } = threeControllers();
   let first = true;
   const { rangedRuns } = RECORD_FORMATS;
   const fate = (): Fate => {
-    const late = first;
+    const isFirst = first;
     first = false;
-    return late ? 'apply late' : 'serve';
+    return isFirst ? 'apply late' : 'serve';
   };
   start('berth-0', fate, { recordFormat: rangedRuns, frameVersions: FRAME_VERSIONS });
   await clock.advance(5000);
@@ -214,5 +222,5 @@
   for (const apply of fakeStore.late.splice(0)) apply();
   const { recordFormat } = fakeStore.get('members/berth-0') as { recordFormat: number };
   assert.equal(recordFormat, Math.max(...Object.values(RECORD_FORMATS)));
-  end.abort();
+  stop.abort();
 });
--- a/test/peer.test.ts
+++ b/test/peer.test.ts
@@ -9,9 +9,9 @@
 } from '../src/peer/frames.js';
 import { SimulatedCluster } from './fakes/simulated-cluster.js';
 
-const TWO = [{ yard: 'a' }, { yard: 'b' }];
+const TWO_MACHINES = [{ yard: 'a' }, { yard: 'b' }];
 
-test('frames come out as they went in, however the stream is cut', () => {
+test('frames are decoded as encoded, however the stream is split into chunks', () => {
   const sent: PeerMessage[] = [
     { kind: 'hello', member: 'berth-1', ageMs: 12_345 },
     {
@@ -25,12 +25,12 @@
   ];
   const bytes = Buffer.concat(sent.map(encode));
   const decoder = new Decoder();
-  const got: PeerMessage[] = [];
-  for (const byte of bytes) got.push(...decoder.push(Buffer.from([byte])));
-  assert.deepEqual(got, sent);
+  const decoded: PeerMessage[] = [];
+  for (const byte of bytes) decoded.push(...decoder.push(Buffer.from([byte])));
+  assert.deepEqual(decoded, sent);
 });
 
-test('the counts of thousands of jobs come in frames that the decoder takes', () => {
+test('the progress of thousands of jobs is split into frames that the decoder accepts', () => {
   const counts = Array.from({ length: 3000 }, (_, i) => ({
     id: `${i}`.padEnd(255, 'x'),
     done: i,
@@ -39,35 +39,35 @@
   const frames = leaderHeartbeats(7, counts).map(encode);
   assert.ok(frames.length > 1);
   const decoder = new Decoder();
-  const got = frames
+  const decoded = frames
     .flatMap((buffer) => decoder.push(buffer))
     .filter((message) => message.kind === 'leaderHeartbeat');
   assert.deepEqual(
-    got.flatMap((m) => m.progress),
+    decoded.flatMap((message) => message.progress),
     counts,
   );
   assert.deepEqual(
-    got.map((m) => m.first),
+    decoded.map((message) => message.first),
     [true, ...Array<boolean>(frames.length - 1).fill(false)],
   );
-  // A leader without jobs is heard all the same.
+  // A leader without jobs sends a heartbeat too.
   assert.equal(leaderHeartbeats(7, []).length, 1);
 });
 
-test('a broken frame is told apart', () => {
-  const good = encode({ kind: 'jobCancelled', id: 'req-5' });
-  const spoil = (at: number): Buffer => {
-    const b = Buffer.from(good);
-    b.writeUInt8(b.readUInt8(at) ^ 0xff, at);
-    return b;
+test('a corrupted frame is rejected', () => {
+  const frame = encode({ kind: 'jobCancelled', id: 'req-5' });
+  const corrupt = (at: number): Buffer => {
+    const bytes = Buffer.from(frame);
+    bytes.writeUInt8(bytes.readUInt8(at) ^ 0xff, at);
+    return bytes;
   };
-  for (const at of [0, 2, 3, 4, 9, good.length - 1]) {
-    assert.throws(() => new Decoder().push(spoil(at)), FrameError, `byte ${at}`);
+  for (const at of [0, 2, 3, 4, 9, frame.length - 1]) {
+    assert.throws(() => new Decoder().push(corrupt(at)), FrameError, `byte ${at}`);
   }
 });
 
 test('running work survives an outage of the store longer than any lease', async () => {
-  const simulatedCluster = new SimulatedCluster(TWO);
+  const simulatedCluster = new SimulatedCluster(TWO_MACHINES);
   await simulatedCluster.start();
   const job = await simulatedCluster.submit({
     shape: 'service',
@@ -88,26 +88,26 @@
   await simulatedCluster.close();
 });
 
-test('in an outage a leader without the vote of every other loses its workers, not its safety', async () => {
-  const simulatedCluster = new SimulatedCluster(TWO);
+test('in an outage a leader without the votes of all others loses its workers, but violates no rule', async () => {
+  const simulatedCluster = new SimulatedCluster(TWO_MACHINES);
   await simulatedCluster.start();
   const job = await simulatedCluster.submit({ pieces: 2, runMs: 60_000 });
   await simulatedCluster.until(() => simulatedCluster.running(job) === 2, 10, 'runs');
-  const old = simulatedCluster.leader;
+  const firstLeader = simulatedCluster.leader;
   simulatedCluster.store.down = true;
-  simulatedCluster.crash(1 - old);
+  simulatedCluster.crash(1 - firstLeader);
   await simulatedCluster.pass(16);
   assert.equal(simulatedCluster.on(job).length, 0);
-  simulatedCluster.restart(1 - old);
+  simulatedCluster.restart(1 - firstLeader);
   simulatedCluster.store.restore();
   await simulatedCluster.until(() => simulatedCluster.running(job) === 2, 25, 'runs again');
   await simulatedCluster.close();
 });
 
-test('nothing is started on votes alone', async () => {
-  const simulatedCluster = new SimulatedCluster(TWO);
+test('no task is started while the lease is extended only by votes', async () => {
+  const simulatedCluster = new SimulatedCluster(TWO_MACHINES);
   await simulatedCluster.start();
-  const old = simulatedCluster.leader;
+  const firstLeader = simulatedCluster.leader;
   const job = await simulatedCluster.submit({ pieces: 16, runMs: 15_000 });
   await simulatedCluster.until(() => simulatedCluster.running(job) === 16, 10, 'runs');
   await simulatedCluster.pass(10);
@@ -116,48 +116,52 @@
   assert.equal(simulatedCluster.starts.length, 16);
   simulatedCluster.store.restore();
   await simulatedCluster.pass(8);
-  assert.equal(await simulatedCluster.phase(job, old), 'done');
+  assert.equal(await simulatedCluster.phase(job, firstLeader), 'done');
   await simulatedCluster.close();
 });
 
 test('a controller that started during an outage votes and does not campaign', async () => {
-  const simulatedCluster = new SimulatedCluster(TWO);
+  const simulatedCluster = new SimulatedCluster(TWO_MACHINES);
   await simulatedCluster.start();
   const job = await simulatedCluster.submit({ pieces: 4, runMs: 60_000 });
   await simulatedCluster.until(() => simulatedCluster.running(job) === 4, 10, 'runs');
-  const old = simulatedCluster.leader;
+  const firstLeader = simulatedCluster.leader;
   simulatedCluster.store.down = true;
   await simulatedCluster.pass(2);
-  simulatedCluster.crash(1 - old);
-  // Briefly: while it is away it gives no vote, and the lease extension ends with the last one.
+  simulatedCluster.crash(1 - firstLeader);
+  // Only briefly: it grants no vote while it is down, and the lease extension ends with the last vote.
   await simulatedCluster.pass(0.5);
-  simulatedCluster.restart(1 - old);
+  simulatedCluster.restart(1 - firstLeader);
   await simulatedCluster.pass(15);
   assert.equal(simulatedCluster.running(job), 4);
   simulatedCluster.store.restore();
   await simulatedCluster.pass(10);
-  assert.equal(simulatedCluster.leader, old);
+  assert.equal(simulatedCluster.leader, firstLeader);
   assert.equal(simulatedCluster.running(job), 4);
   await simulatedCluster.close();
 });
 
-test('a leader that no worker reaches hands over to one that they do', async () => {
-  const simulatedCluster = new SimulatedCluster(TWO);
+test('a leader that no worker reaches transfers leadership to a controller that workers reach', async () => {
+  const simulatedCluster = new SimulatedCluster(TWO_MACHINES);
   await simulatedCluster.start();
   const job = await simulatedCluster.submit({ pieces: 4, runMs: 60_000 });
   await simulatedCluster.until(() => simulatedCluster.running(job) === 4, 10, 'runs');
-  const old = simulatedCluster.leader;
-  simulatedCluster.nodes[old]!.open = false;
-  await simulatedCluster.until(() => simulatedCluster.leader === 1 - old, 8, 'handed over');
+  const firstLeader = simulatedCluster.leader;
+  simulatedCluster.nodes[firstLeader]!.open = false;
+  await simulatedCluster.until(
+    () => simulatedCluster.leader === 1 - firstLeader,
+    8,
+    'the other controller leads',
+  );
   await simulatedCluster.pass(12);
   assert.equal(simulatedCluster.running(job), 4);
   assert.equal(simulatedCluster.starts.length, 4);
-  simulatedCluster.nodes[old]!.open = true;
+  simulatedCluster.nodes[firstLeader]!.open = true;
   await simulatedCluster.close();
 });
 
-test('a follower shows how far a job is', async () => {
-  const simulatedCluster = new SimulatedCluster(TWO);
+test('a follower reports the progress of a job', async () => {
+  const simulatedCluster = new SimulatedCluster(TWO_MACHINES);
   await simulatedCluster.start();
   const job = await simulatedCluster.submit({ pieces: 3, runMs: 60_000 });
   await simulatedCluster.until(() => simulatedCluster.running(job) === 3, 10, 'runs');
@@ -168,44 +172,48 @@
   await simulatedCluster.close();
 });
 
-test('a new leader that no worker ever reaches hands over too', async () => {
-  const simulatedCluster = new SimulatedCluster(TWO, 3);
+test('a new leader that no worker has ever reached resigns too', async () => {
+  const simulatedCluster = new SimulatedCluster(TWO_MACHINES, 3);
   await simulatedCluster.start();
   const job = await simulatedCluster.submit({ shape: 'service', pieces: 2, runMs: 0 });
   await simulatedCluster.until(() => simulatedCluster.running(job) === 2, 10, 'replicas run');
   const first = simulatedCluster.leader;
-  const [cut, other] = [0, 1, 2].filter((i) => i !== first) as [number, number];
-  // The next to lead is cut from the workers before its term begins.
-  simulatedCluster.nodes[cut]!.open = false;
+  const [disconnected, other] = [0, 1, 2].filter((i) => i !== first) as [number, number];
+  // The next leader is disconnected from the workers before its term begins.
+  simulatedCluster.nodes[disconnected]!.open = false;
   simulatedCluster.nodes[other]!.fate = () => 'refuse';
   simulatedCluster.crash(first);
-  await simulatedCluster.until(() => simulatedCluster.leader === cut, 10, 'it leads');
+  await simulatedCluster.until(
+    () => simulatedCluster.leader === disconnected,
+    10,
+    'the disconnected controller leads',
+  );
   simulatedCluster.nodes[other]!.fate = () => 'serve';
   await simulatedCluster.until(() => simulatedCluster.leader === other, 12, 'it resigns');
   await simulatedCluster.until(() => simulatedCluster.running(job) === 2, 20, 'replicas run again');
   await simulatedCluster.close();
 });
 
-test('of those left when a leader ends, the one that was restarted last leads', async () => {
-  for (const young of [0, 1, 2]) {
-    const simulatedCluster = new SimulatedCluster(TWO, 3);
+test('when a leader crashes, the remaining controller that was restarted last takes over', async () => {
+  for (const restarted of [0, 1, 2]) {
+    const simulatedCluster = new SimulatedCluster(TWO_MACHINES, 3);
     await simulatedCluster.start();
-    if (simulatedCluster.leader !== young) {
-      simulatedCluster.crash(young);
+    if (simulatedCluster.leader !== restarted) {
+      simulatedCluster.crash(restarted);
       await simulatedCluster.pass(4);
-      simulatedCluster.restart(young);
+      simulatedCluster.restart(restarted);
       await simulatedCluster.pass(4);
-      const old = simulatedCluster.leader;
-      simulatedCluster.crash(old);
-      await simulatedCluster.anotherLeads(old, 8);
-      assert.equal(simulatedCluster.leader, young);
+      const firstLeader = simulatedCluster.leader;
+      simulatedCluster.crash(firstLeader);
+      await simulatedCluster.anotherLeads(firstLeader, 8);
+      assert.equal(simulatedCluster.leader, restarted);
     }
     await simulatedCluster.close();
   }
 });
 
-test('without connections between controllers answers stay right and the leader stays', async () => {
-  const simulatedCluster = new SimulatedCluster(TWO, 3);
+test('without connections between controllers, answers stay correct and the leader keeps leading', async () => {
+  const simulatedCluster = new SimulatedCluster(TWO_MACHINES, 3);
   await simulatedCluster.start();
   const { leader } = simulatedCluster;
   const follower = (leader + 1) % 3;
@@ -214,13 +222,13 @@
   await simulatedCluster.until(() => simulatedCluster.running(job) === 2, 10, 'replicas run');
   await simulatedCluster.pass(20);
   assert.equal(simulatedCluster.leader, leader);
-  // The cancellation reaches the leader by the store's news alone.
+  // The cancellation reaches the leader only through its watch of the store.
   const { body } = await simulatedCluster.ask(simulatedCluster.user(follower).abort(job));
   assert.deepEqual(body, { ref: job, phase: 'withdrawn' });
   await simulatedCluster.until(() => simulatedCluster.on(job).length === 0, 5, 'gone');
   assert.equal(await simulatedCluster.phase(job, leader), 'withdrawn');
-  // An outage that outlasts the workers' leases costs running work, since nobody can promise not to
-  // campaign, and nothing else: what runs afterwards was started once its leases had ended.
+  // An outage longer than the workers' leases costs running work, since no controller can promise not
+  // to campaign, and nothing else: tasks are started again only after their leases have expired.
   const array = await simulatedCluster.submit({ pieces: 2, runMs: 60_000 });
   await simulatedCluster.until(() => simulatedCluster.running(array) === 2, 10, 'tasks run');
   simulatedCluster.store.down = true;
--- a/test/rule-checker.test.ts
+++ b/test/rule-checker.test.ts
@@ -6,16 +6,16 @@
 import { SimulatedCluster } from './fakes/simulated-cluster.js';
 
 const CANCEL_MS = 35_000;
-const ROOM = { cpus: 48, gpus: 8, memoryGb: 288 };
+const CAPACITY = { cpus: 48, gpus: 8, memoryGb: 288 };
 
-/** A checker with machines that a scenario moves by hand. */
-class Scene {
+/** A rule checker with machines and a clock that a test case controls. */
+class Scenario {
   time = 0;
   readonly machines: MachineSeen[] = [];
   readonly checker = new RuleChecker({
     fleet: {
       types: new Map([
-        ['g8', { room: ROOM, zones: ['a', 'b'] }],
+        ['g8', { room: CAPACITY, zones: ['a', 'b'] }],
         ['g4', { room: { cpus: 24, gpus: 4, memoryGb: 144 }, zones: ['a'] }],
       ]),
       teams: new Map([
@@ -35,21 +35,21 @@
     return machine;
   }
 
-  /** A user asks and is answered at once. */
-  ask(
+  /** A user sends a request and gets the response at once. */
+  request(
     action: 'submit' | 'query' | 'abort',
     ref: string,
     status: number,
     phase: string | null = null,
     body?: unknown,
   ): void {
-    const question = this.checker.asked(action, ref, 'berth-0', body);
-    this.checker.answered(question, { status, phase }, body);
+    const pendingRequest = this.checker.asked(action, ref, 'berth-0', body);
+    this.checker.answered(pendingRequest, { status, phase }, body);
   }
 
-  accept(ref: string, wish: object = {}): object {
-    const body = { ...BODY, ref, ...wish };
-    this.ask('submit', ref, 201, 'pending', body);
+  accept(ref: string, overrides: object = {}): object {
+    const body = { ...BODY, ref, ...overrides };
+    this.request('submit', ref, 201, 'pending', body);
     return body;
   }
 
@@ -58,7 +58,7 @@
     if (state !== 'fetching') this.checker.started(machine, job, task);
   }
 
-  /** Time passes, with a look every second. */
+  /** Advances the time and checks the rules every second. */
   pass(ms: number): void {
     for (const until = this.time + ms; this.time < until;) {
       this.time = Math.min(until, this.time + 1000);
@@ -74,471 +74,491 @@
 
 const BODY = { ...SUBMISSION, pieces: 2, snapshotEveryS: 0 };
 
-/** What happens, and the rule that it breaks; null: none. */
-const CASES: [string, Rule | null, (s: Scene) => void][] = [
+/** Test cases: what happens, the rule that it violates, or null for none, and the steps. */
+const CASES: [string, Rule | null, (scenario: Scenario) => void][] = [
   [
     'a task starts while it is on another machine',
     'ran_twice',
-    (s) => {
-      s.accept('req-1');
-      s.start(s.machine(), 'req-1');
-      s.start(s.machine(), 'req-1');
+    (scenario) => {
+      scenario.accept('req-1');
+      scenario.start(scenario.machine(), 'req-1');
+      scenario.start(scenario.machine(), 'req-1');
     },
   ],
   [
-    'a task starts while it waits for its image elsewhere',
+    'a task starts while it fetches its image on another machine',
     null,
-    (s) => {
-      s.accept('req-1');
-      s.start(s.machine(), 'req-1', 0, 'fetching');
-      s.start(s.machine(), 'req-1');
+    (scenario) => {
+      scenario.accept('req-1');
+      scenario.start(scenario.machine(), 'req-1', 0, 'fetching');
+      scenario.start(scenario.machine(), 'req-1');
     },
   ],
   [
-    'a team has more GPUs than its limit, one machine being out of reach',
+    'a team uses more GPUs than its limit, including those of an unreachable machine',
     'quota',
-    (s) => {
-      s.accept('req-1', { gpus: 8, pieces: 3 });
-      s.start(s.machine('a', { usable: false }), 'req-1', 0);
-      s.start(s.machine(), 'req-1', 1);
-      s.start(s.machine(), 'req-1', 2);
+    (scenario) => {
+      scenario.accept('req-1', { gpus: 8, pieces: 3 });
+      scenario.start(scenario.machine('a', { usable: false }), 'req-1', 0);
+      scenario.start(scenario.machine(), 'req-1', 1);
+      scenario.start(scenario.machine(), 'req-1', 2);
     },
   ],
   [
-    'a team has more CPUs than its limit',
+    'a team uses more CPUs than its limit',
     'quota',
-    (s) => {
-      s.accept('req-1', { crew: 'desk', gpus: 0, vcpus: 6 });
-      s.start(s.machine(), 'req-1', 0);
-      s.start(s.machine(), 'req-1', 1);
+    (scenario) => {
+      scenario.accept('req-1', { crew: 'desk', gpus: 0, vcpus: 6 });
+      scenario.start(scenario.machine(), 'req-1', 0);
+      scenario.start(scenario.machine(), 'req-1', 1);
     },
   ],
   [
-    'a team has all of its limit',
+    'a team uses exactly its limit',
     null,
-    (s) => {
-      s.accept('req-1', { gpus: 8 });
-      s.start(s.machine(), 'req-1', 0);
-      s.start(s.machine(), 'req-1', 1);
+    (scenario) => {
+      scenario.accept('req-1', { gpus: 8 });
+      scenario.start(scenario.machine(), 'req-1', 0);
+      scenario.start(scenario.machine(), 'req-1', 1);
     },
   ],
   [
-    'a type that is not allowed',
+    'a task runs on a machine type that is not allowed',
     'wrong_place',
-    (s) => {
-      s.accept('req-1', { hulls: ['g8'] });
-      s.start(s.machine('a', { type: 'g4' }), 'req-1');
+    (scenario) => {
+      scenario.accept('req-1', { hulls: ['g8'] });
+      scenario.start(scenario.machine('a', { type: 'g4' }), 'req-1');
     },
   ],
   [
-    'a zone that is not allowed',
+    'a task runs in a zone that is not allowed',
     'wrong_place',
-    (s) => {
-      s.accept('req-1', { yard: 'b' });
-      s.start(s.machine('a'), 'req-1');
+    (scenario) => {
+      scenario.accept('req-1', { yard: 'b' });
+      scenario.start(scenario.machine('a'), 'req-1');
     },
   ],
   [
-    'a spot machine that is not allowed',
+    'a task runs on a spot machine although that is not allowed',
     'wrong_place',
-    (s) => {
-      s.accept('req-1');
-      s.start(s.machine('a', { spot: true }), 'req-1');
+    (scenario) => {
+      scenario.accept('req-1');
+      scenario.start(scenario.machine('a', { spot: true }), 'req-1');
     },
   ],
   [
-    'tasks of one zone in two',
+    'tasks of a single-zone job run in two zones',
     'wrong_place',
-    (s) => {
-      s.accept('req-1', { samePlace: true });
-      s.start(s.machine('a'), 'req-1', 0);
-      s.start(s.machine('b'), 'req-1', 1);
+    (scenario) => {
+      scenario.accept('req-1', { samePlace: true });
+      scenario.start(scenario.machine('a'), 'req-1', 0);
+      scenario.start(scenario.machine('b'), 'req-1', 1);
     },
   ],
   [
-    'more than half of a spread job in one zone',
+    'more than half of the tasks of a spread job run in one zone',
     'wrong_place',
-    (s) => {
-      s.accept('req-1', { apart: true, pieces: 3 });
-      for (const task of [0, 1, 2]) s.start(s.machine('a'), 'req-1', task);
+    (scenario) => {
+      scenario.accept('req-1', { apart: true, pieces: 3 });
+      for (const task of [0, 1, 2]) scenario.start(scenario.machine('a'), 'req-1', task);
     },
   ],
   [
-    'half of a spread job, rounded up, in one zone, on spot machines that are allowed',
+    'half of the tasks of a spread job, rounded up, run in one zone, on allowed spot machines',
     null,
-    (s) => {
-      s.accept('req-1', { apart: true, pieces: 3, driftwood: true, hulls: ['g8'], yard: 'a' });
-      for (const task of [0, 1]) s.start(s.machine('a', { spot: true }), 'req-1', task);
+    (scenario) => {
+      scenario.accept('req-1', {
+        apart: true,
+        pieces: 3,
+        driftwood: true,
+        hulls: ['g8'],
+        yard: 'a',
+      });
+      for (const task of [0, 1])
+        scenario.start(scenario.machine('a', { spot: true }), 'req-1', task);
     },
   ],
   [
     'a cancelled task stays on a machine that hangs',
     'ran_cancelled',
-    (s) => {
-      s.accept('req-1');
-      s.start(s.machine('a', { usable: false }), 'req-1');
-      s.ask('abort', 'req-1', 200, 'withdrawn');
-      s.pass(CANCEL_MS + 1);
+    (scenario) => {
+      scenario.accept('req-1');
+      scenario.start(scenario.machine('a', { usable: false }), 'req-1');
+      scenario.request('abort', 'req-1', 200, 'withdrawn');
+      scenario.pass(CANCEL_MS + 1);
     },
   ],
   [
-    'a task whose user was told by a question alone that it is cancelled stays',
+    'a task keeps running although a query reported the job as cancelled',
     'ran_cancelled',
-    (s) => {
-      s.accept('req-1');
-      s.start(s.machine(), 'req-1');
-      s.ask('abort', 'req-1', 503);
-      s.ask('query', 'req-1', 200, 'withdrawn');
-      s.pass(CANCEL_MS + 1);
+    (scenario) => {
+      scenario.accept('req-1');
+      scenario.start(scenario.machine(), 'req-1');
+      scenario.request('abort', 'req-1', 503);
+      scenario.request('query', 'req-1', 200, 'withdrawn');
+      scenario.pass(CANCEL_MS + 1);
     },
   ],
   [
-    'a task whose user was told by a repeated submission that it is cancelled stays',
+    'a task keeps running although a repeated submission reported the job as cancelled',
     'ran_cancelled',
-    (s) => {
-      const body = s.accept('req-1');
-      s.start(s.machine(), 'req-1');
-      s.ask('abort', 'req-1', 0);
-      s.ask('submit', 'req-1', 200, 'withdrawn', body);
-      s.pass(CANCEL_MS + 1);
+    (scenario) => {
+      const body = scenario.accept('req-1');
+      scenario.start(scenario.machine(), 'req-1');
+      scenario.request('abort', 'req-1', 0);
+      scenario.request('submit', 'req-1', 200, 'withdrawn', body);
+      scenario.pass(CANCEL_MS + 1);
     },
   ],
   [
     'a task starts long after its job was cancelled',
     'ran_cancelled',
-    (s) => {
-      s.accept('req-1');
-      s.ask('abort', 'req-1', 200, 'withdrawn');
-      s.pass(CANCEL_MS + 1);
-      s.start(s.machine(), 'req-1');
+    (scenario) => {
+      scenario.accept('req-1');
+      scenario.request('abort', 'req-1', 200, 'withdrawn');
+      scenario.pass(CANCEL_MS + 1);
+      scenario.start(scenario.machine(), 'req-1');
     },
   ],
   [
-    'a cancelled task is gone in time',
+    'a cancelled task stops in time',
     null,
-    (s) => {
-      s.accept('req-1');
-      const machine = s.machine();
-      s.start(machine, 'req-1');
-      s.ask('abort', 'req-1', 200, 'withdrawn');
-      s.pass(CANCEL_MS - 1);
+    (scenario) => {
+      scenario.accept('req-1');
+      const machine = scenario.machine();
+      scenario.start(machine, 'req-1');
+      scenario.request('abort', 'req-1', 200, 'withdrawn');
+      scenario.pass(CANCEL_MS - 1);
       machine.tasks.length = 0;
-      s.pass(10_000);
+      scenario.pass(10_000);
     },
   ],
   [
     'an accepted job is unknown',
     'forgotten',
-    (s) => {
-      s.accept('req-1');
-      s.ask('query', 'req-1', 404);
+    (scenario) => {
+      scenario.accept('req-1');
+      scenario.request('query', 'req-1', 404);
     },
   ],
-  ...[400, 422].map((status): [string, Rule, (s: Scene) => void] => [
+  ...[400, 422].map((status): [string, Rule, (scenario: Scenario) => void] => [
     `a repeat of an accepted job gets ${status}`,
     'forgotten',
-    (s) => {
-      const body = s.accept('req-1');
-      s.ask('submit', 'req-1', status, null, body);
+    (scenario) => {
+      const body = scenario.accept('req-1');
+      scenario.request('submit', 'req-1', status, null, body);
     },
   ]),
   [
-    'no question about a job is answered for 75 s after all troubles',
+    'no query of a job is answered for 75 s after all faults have ended',
     'forgotten',
-    (s) => {
-      s.accept('req-1');
-      s.checker.calm();
-      for (let i = 0; i <= 75; i++, s.pass(1000)) s.ask('query', 'req-1', 503);
+    (scenario) => {
+      scenario.accept('req-1');
+      scenario.checker.calm();
+      for (let i = 0; i <= 75; i++, scenario.pass(1000)) scenario.request('query', 'req-1', 503);
     },
   ],
   [
-    'no question about any job is answered for 75 s of trouble',
+    'no query of any job is answered during 75 s of faults',
     null,
-    (s) => {
-      s.accept('req-1');
-      for (let i = 0; i <= 75; i++, s.pass(1000)) s.ask('query', 'req-1', 0);
+    (scenario) => {
+      scenario.accept('req-1');
+      for (let i = 0; i <= 75; i++, scenario.pass(1000)) scenario.request('query', 'req-1', 0);
     },
   ],
   [
-    'no question about a job is answered for 90 s of trouble, while others are',
+    'no query of a job is answered during 90 s of faults, while queries of others are',
     'forgotten',
-    (s) => {
-      s.accept('req-1');
-      s.accept('req-2');
-      for (let i = 0; i <= 90; i++, s.pass(1000)) {
-        s.ask('query', 'req-1', 503);
-        s.ask('query', 'req-2', 200, 'pending');
+    (scenario) => {
+      scenario.accept('req-1');
+      scenario.accept('req-2');
+      for (let i = 0; i <= 90; i++, scenario.pass(1000)) {
+        scenario.request('query', 'req-1', 503);
+        scenario.request('query', 'req-2', 200, 'pending');
       }
     },
   ],
   [
-    'a job that was asked for before it was accepted is unknown',
+    'a job that was queried before it was accepted is unknown',
     null,
-    (s) => {
-      const early = s.checker.asked('query', 'req-1', 'berth-1');
-      s.pass(10);
-      s.accept('req-1');
-      s.checker.answered(early, { status: 404, phase: null });
+    (scenario) => {
+      const earlyQuery = scenario.checker.asked('query', 'req-1', 'berth-1');
+      scenario.pass(10);
+      scenario.accept('req-1');
+      scenario.checker.answered(earlyQuery, { status: 404, phase: null });
     },
   ],
-  ['a job that nobody submitted is known', 'invented', (s) => s.ask('query', 'req-9', 200, 'done')],
-  ['a job that nobody submitted is unknown', null, (s) => s.ask('query', 'req-9', 404)],
   [
-    'a job is called done before its last task is',
-    'not_done',
-    (s) => {
-      s.accept('req-1');
-      s.checker.completed('req-1', 0);
-      s.ask('query', 'req-1', 200, 'done');
-    },
+    'a job that nobody submitted is known',
+    'invented',
+    (scenario) => scenario.request('query', 'req-9', 200, 'done'),
+  ],
+  [
+    'a job that nobody submitted is unknown',
+    null,
+    (scenario) => scenario.request('query', 'req-9', 404),
   ],
   [
-    'a service is called done',
+    'a job is reported as done before its last task is done',
     'not_done',
-    (s) => {
-      s.accept('req-1', { shape: 'service', pieces: 1 });
-      s.checker.completed('req-1', 0);
-      s.ask('query', 'req-1', 200, 'done');
+    (scenario) => {
+      scenario.accept('req-1');
+      scenario.checker.completed('req-1', 0);
+      scenario.request('query', 'req-1', 200, 'done');
     },
   ],
   [
-    'a gang of which one task is done is called done',
-    null,
-    (s) => {
-      s.accept('req-1', { shape: 'gang' });
-      s.checker.completed('req-1', 1);
-      s.ask('query', 'req-1', 200, 'done');
+    'a service is reported as done',
+    'not_done',
+    (scenario) => {
+      scenario.accept('req-1', { shape: 'service', pieces: 1 });
+      scenario.checker.completed('req-1', 0);
+      scenario.request('query', 'req-1', 200, 'done');
     },
   ],
-  ...['pending', 'running', 'withdrawn'].map((phase): [string, Rule, (s: Scene) => void] => [
-    `a job that is done is called ${phase}`,
-    'went_back',
-    (s) => {
-      s.accept('req-1', { pieces: 1 });
-      s.checker.completed('req-1', 0);
-      s.ask('query', 'req-1', 200, 'done');
-      s.ask('abort', 'req-1', 200, phase);
-    },
-  ]),
   [
-    'a cancelled job is called running',
+    'a gang is reported as done once one of its tasks is done',
+    null,
+    (scenario) => {
+      scenario.accept('req-1', { shape: 'gang' });
+      scenario.checker.completed('req-1', 1);
+      scenario.request('query', 'req-1', 200, 'done');
+    },
+  ],
+  ...['pending', 'running', 'withdrawn'].map(
+    (phase): [string, Rule, (scenario: Scenario) => void] => [
+      `a job that is done is reported as ${phase}`,
+      'went_back',
+      (scenario) => {
+        scenario.accept('req-1', { pieces: 1 });
+        scenario.checker.completed('req-1', 0);
+        scenario.request('query', 'req-1', 200, 'done');
+        scenario.request('abort', 'req-1', 200, phase);
+      },
+    ],
+  ),
+  [
+    'a cancelled job is reported as running',
     'went_back',
-    (s) => {
-      s.accept('req-1');
-      s.ask('abort', 'req-1', 200, 'withdrawn');
-      s.ask('query', 'req-1', 200, 'running');
+    (scenario) => {
+      scenario.accept('req-1');
+      scenario.request('abort', 'req-1', 200, 'withdrawn');
+      scenario.request('query', 'req-1', 200, 'running');
     },
   ],
   [
-    'a job that nobody cancelled is called withdrawn',
+    'a job that nobody cancelled is reported as withdrawn',
     'went_back',
-    (s) => {
-      s.accept('req-1');
-      s.ask('query', 'req-1', 200, 'withdrawn');
+    (scenario) => {
+      scenario.accept('req-1');
+      scenario.request('query', 'req-1', 200, 'withdrawn');
     },
   ],
   [
-    'an answer to an earlier question is older',
+    'the response to an earlier query is outdated',
     null,
-    (s) => {
-      s.accept('req-1');
-      const early = s.checker.asked('query', 'req-1', 'berth-1');
-      s.pass(10);
-      s.ask('abort', 'req-1', 200, 'withdrawn');
-      s.checker.answered(early, { status: 200, phase: 'running' });
+    (scenario) => {
+      scenario.accept('req-1');
+      const earlyQuery = scenario.checker.asked('query', 'req-1', 'berth-1');
+      scenario.pass(10);
+      scenario.request('abort', 'req-1', 200, 'withdrawn');
+      scenario.checker.answered(earlyQuery, { status: 200, phase: 'running' });
     },
   ],
   [
     'a job that lacks a field is accepted',
     'accepted_unsound',
-    (s) => void s.accept('req-1', { crate: undefined }),
+    (scenario) => void scenario.accept('req-1', { crate: undefined }),
   ],
   [
     'a job that fits no machine is accepted',
     'accepted_unsound',
-    (s) => void s.accept('req-1', { gpus: 5, hulls: ['g4'] }),
+    (scenario) => void scenario.accept('req-1', { gpus: 5, hulls: ['g4'] }),
   ],
   [
-    'a job of more than its team may have is accepted',
+    'a job that exceeds the limit of its team is accepted',
     'accepted_unsound',
-    (s) => void s.accept('req-1', { shape: 'gang', gpus: 8, pieces: 3 }),
+    (scenario) => void scenario.accept('req-1', { shape: 'gang', gpus: 8, pieces: 3 }),
   ],
   [
-    'a job that names one that nobody submitted is accepted',
+    'a job that depends on a job that nobody submitted is accepted',
     'accepted_unsound',
-    (s) => void s.accept('req-1', { waitsOn: ['req-2'] }),
+    (scenario) => void scenario.accept('req-1', { waitsOn: ['req-2'] }),
   ],
   [
-    'a job that names one that nobody submitted is refused',
+    'a job that depends on a job that nobody submitted is rejected',
     null,
-    (s) => s.ask('submit', 'req-1', 422, null, { ...BODY, ref: 'req-1', waitsOn: ['req-2'] }),
+    (scenario) =>
+      scenario.request('submit', 'req-1', 422, null, { ...BODY, ref: 'req-1', waitsOn: ['req-2'] }),
   ],
   [
-    'a job that can run is refused',
+    'a job that can run is rejected',
     'refused_sound',
-    (s) => s.ask('submit', 'req-1', 422, null, { ...BODY, ref: 'req-1' }),
+    (scenario) => scenario.request('submit', 'req-1', 422, null, { ...BODY, ref: 'req-1' }),
   ],
   [
-    'a task waits beside a machine with room for 90 s after all troubles',
+    'a task is pending for 90 s after all faults have ended although a machine has capacity',
     'left_waiting',
-    (s) => {
-      s.accept('req-1');
-      s.machine();
-      s.checker.calm();
-      s.pass(92_000);
+    (scenario) => {
+      scenario.accept('req-1');
+      scenario.machine();
+      scenario.checker.calm();
+      scenario.pass(92_000);
     },
   ],
   [
-    'a gang waits beside room for all of it',
+    'a gang is pending although there is capacity for all of it',
     'left_waiting',
-    (s) => {
-      s.accept('req-1', { shape: 'gang', gpus: 8, samePlace: true });
-      for (const zone of ['a', 'b', 'b']) s.machine(zone);
-      s.checker.calm();
-      s.pass(92_000);
+    (scenario) => {
+      scenario.accept('req-1', { shape: 'gang', gpus: 8, samePlace: true });
+      for (const zone of ['a', 'b', 'b']) scenario.machine(zone);
+      scenario.checker.calm();
+      scenario.pass(92_000);
     },
   ],
   [
-    'a gang waits beside room for all of it, though not in one zone',
+    'a gang is pending while there is capacity for all of it, but not in one zone',
     null,
-    (s) => {
-      s.accept('req-1', { shape: 'gang', gpus: 8, samePlace: true });
-      for (const zone of ['a', 'b']) s.machine(zone);
-      s.checker.calm();
-      s.pass(92_000);
+    (scenario) => {
+      scenario.accept('req-1', { shape: 'gang', gpus: 8, samePlace: true });
+      for (const zone of ['a', 'b']) scenario.machine(zone);
+      scenario.checker.calm();
+      scenario.pass(92_000);
     },
   ],
   [
-    'a task waits while its team has all of its limit',
+    'a task is pending while its team uses all of its limit',
     null,
-    (s) => {
-      s.accept('req-1', { gpus: 8, pieces: 3 });
-      s.start(s.machine(), 'req-1', 0);
-      s.start(s.machine(), 'req-1', 1);
-      s.machine();
-      s.checker.calm();
-      s.pass(92_000);
+    (scenario) => {
+      scenario.accept('req-1', { gpus: 8, pieces: 3 });
+      scenario.start(scenario.machine(), 'req-1', 0);
+      scenario.start(scenario.machine(), 'req-1', 1);
+      scenario.machine();
+      scenario.checker.calm();
+      scenario.pass(92_000);
     },
   ],
   [
-    'a machine holds more than it has room for',
+    'a machine holds more tasks than it has capacity for',
     'overfull',
-    (s) => {
-      s.accept('req-1', { gpus: 5 });
-      const machine = s.machine();
-      for (const task of [0, 1]) s.start(machine, 'req-1', task, 'fetching');
+    (scenario) => {
+      scenario.accept('req-1', { gpus: 5 });
+      const machine = scenario.machine();
+      for (const task of [0, 1]) scenario.start(machine, 'req-1', task, 'fetching');
     },
   ],
   [
-    'a task starts before a job that it needs is done',
+    'a task starts before a job that it depends on is done',
     'too_early',
-    (s) => {
-      s.accept('req-1', { pieces: 1 });
-      s.accept('req-2', { waitsOn: ['req-1'] });
-      s.start(s.machine(), 'req-2');
+    (scenario) => {
+      scenario.accept('req-1', { pieces: 1 });
+      scenario.accept('req-2', { waitsOn: ['req-1'] });
+      scenario.start(scenario.machine(), 'req-2');
     },
   ],
   [
-    'a task starts when the job that it needs is done',
+    'a task starts when the job that it depends on is done',
     null,
-    (s) => {
-      s.accept('req-1', { pieces: 1 });
-      s.accept('req-2', { waitsOn: ['req-1'] });
-      s.checker.completed('req-1', 0);
-      s.start(s.machine(), 'req-2');
+    (scenario) => {
+      scenario.accept('req-1', { pieces: 1 });
+      scenario.accept('req-2', { waitsOn: ['req-1'] });
+      scenario.checker.completed('req-1', 0);
+      scenario.start(scenario.machine(), 'req-2');
     },
   ],
   [
-    'a job is called pending long after one that it needs through another was cancelled',
+    'a job is reported as pending long after an indirect dependency was cancelled',
     'orphaned',
-    (s) => {
-      s.accept('req-1');
-      s.accept('req-2', { waitsOn: ['req-1'] });
-      s.accept('req-3', { waitsOn: ['req-2'] });
-      s.ask('abort', 'req-1', 200, 'withdrawn');
-      s.pass(CANCEL_MS + 1);
-      s.ask('query', 'req-3', 200, 'pending');
+    (scenario) => {
+      scenario.accept('req-1');
+      scenario.accept('req-2', { waitsOn: ['req-1'] });
+      scenario.accept('req-3', { waitsOn: ['req-2'] });
+      scenario.request('abort', 'req-1', 200, 'withdrawn');
+      scenario.pass(CANCEL_MS + 1);
+      scenario.request('query', 'req-3', 200, 'pending');
     },
   ],
   [
-    'a job is called withdrawn since one that it needs was cancelled',
+    'a job is reported as withdrawn since a job that it depends on was cancelled',
     null,
-    (s) => {
-      s.accept('req-1');
-      s.accept('req-2', { waitsOn: ['req-1'] });
-      s.ask('abort', 'req-1', 200, 'withdrawn');
-      s.ask('query', 'req-2', 200, 'withdrawn');
+    (scenario) => {
+      scenario.accept('req-1');
+      scenario.accept('req-2', { waitsOn: ['req-1'] });
+      scenario.request('abort', 'req-1', 200, 'withdrawn');
+      scenario.request('query', 'req-2', 200, 'withdrawn');
     },
   ],
 ];
 
-for (const [what, rule, story] of CASES) {
-  test(`checker: ${what}: ${rule ?? 'no rule broken'}`, () => {
-    const scene = new Scene();
-    story(scene);
-    assert.deepEqual(scene.rules(), rule === null ? [] : [rule]);
+for (const [description, rule, play] of CASES) {
+  test(`rule checker: ${description}: ${rule ?? 'no violation'}`, () => {
+    const scenario = new Scenario();
+    play(scenario);
+    assert.deepEqual(scenario.rules(), rule === null ? [] : [rule]);
   });
 }
 
-test('checker: a start after a confirmed cancellation is counted even where it breaks no rule yet', () => {
-  const scene = new Scene();
-  scene.accept('req-1');
-  scene.ask('abort', 'req-1', 200, 'withdrawn');
-  scene.time = 700;
-  scene.start(scene.machine(), 'req-1', 1);
-  assert.deepEqual(scene.checker.startsAfterCancel, [{ task: 'req-1/1', afterMs: 700 }]);
-  assert.deepEqual(scene.rules(), []);
+test('rule checker: a start after a confirmed cancellation is counted even if it violates no rule yet', () => {
+  const scenario = new Scenario();
+  scenario.accept('req-1');
+  scenario.request('abort', 'req-1', 200, 'withdrawn');
+  scenario.time = 700;
+  scenario.start(scenario.machine(), 'req-1', 1);
+  assert.deepEqual(scenario.checker.startsAfterCancel, [{ task: 'req-1/1', afterMs: 700 }]);
+  assert.deepEqual(scenario.rules(), []);
 });
 
-const TWO = [{ yard: 'a' }, { yard: 'b' }];
+const TWO_MACHINES = [{ yard: 'a' }, { yard: 'b' }];
 
-/** Ends a scenario in which rules were broken on purpose. */
-async function brokenRules(cluster: SimulatedCluster): Promise<Rule[]> {
+/** Closes a cluster in which rules were violated on purpose, and returns the violated rules. */
+async function closeAndListViolations(cluster: SimulatedCluster): Promise<Rule[]> {
   await assert.rejects(cluster.close());
   return [...new Set(cluster.checker.violations.map((violation) => violation.rule))];
 }
 
-test('checker: a story in which a controller starts a task a second time fails', async () => {
-  const simulatedCluster = new SimulatedCluster(TWO);
+test('rule checker: a simulation in which a controller starts a task a second time fails', async () => {
+  const simulatedCluster = new SimulatedCluster(TWO_MACHINES);
   await simulatedCluster.start();
   const job = await simulatedCluster.submit({ shape: 'service', runMs: 0 });
   await simulatedCluster.until(() => simulatedCluster.running(job) === 1, 10, 'runs');
-  const other = [...simulatedCluster.workers.values()].find((x) => x.pieces.length === 0)!;
+  const other = [...simulatedCluster.workers.values()].find(
+    (worker) => worker.pieces.length === 0,
+  )!;
   const commands = [{ verb: 'launch', piece: `${job}/0`, try: 9 }];
   other.direct({ baton: other.baton, shift: other.shift, orders: commands });
   other.mute = true;
   await simulatedCluster.pass(4);
-  assert.deepEqual(await brokenRules(simulatedCluster), ['ran_twice']);
+  assert.deepEqual(await closeAndListViolations(simulatedCluster), ['ran_twice']);
 });
 
-test('checker: a story in which a leader never stops what was cancelled fails', async () => {
-  const simulatedCluster = new SimulatedCluster(TWO);
+test('rule checker: a simulation in which a leader never stops a cancelled task fails', async () => {
+  const simulatedCluster = new SimulatedCluster(TWO_MACHINES);
   await simulatedCluster.start();
   const job = await simulatedCluster.submit({ shape: 'service', runMs: 0 });
   await simulatedCluster.until(() => simulatedCluster.running(job) === 1, 10, 'runs');
-  const holder = [...simulatedCluster.workers.values()].find((x) => x.pieces.length > 0)!;
+  const holder = [...simulatedCluster.workers.values()].find((worker) => worker.pieces.length > 0)!;
   assert.equal((await simulatedCluster.ask(simulatedCluster.user(1).abort(job))).status, 200);
-  // It hangs and never loses its lease, as if its controller kept it alive and never stopped it.
+  // The worker hangs and its lease never expires, as if its leader renewed it and never sent a stop.
   holder.hung = true;
   Object.defineProperty(holder, 'expired', { get: () => false });
   holder.pieces[0]!.phase = 'running';
   await simulatedCluster.pass(37);
-  assert.deepEqual(await brokenRules(simulatedCluster), ['ran_cancelled']);
+  assert.deepEqual(await closeAndListViolations(simulatedCluster), ['ran_cancelled']);
 });
 
-test('checker: a story in which one controller lies to users fails', async () => {
-  for (const [lie, rule] of [
+test('rule checker: a simulation in which one controller gives wrong answers to users fails', async () => {
+  for (const [wrongAnswer, rule] of [
     [{ status: 404, body: {} }, 'forgotten'],
     [{ status: 200, body: { phase: 'done' } }, 'not_done'],
     [{ status: 200, body: { phase: 'withdrawn' } }, 'went_back'],
   ] as const) {
-    const simulatedCluster = new SimulatedCluster(TWO);
+    const simulatedCluster = new SimulatedCluster(TWO_MACHINES);
     await simulatedCluster.start();
     const job = await simulatedCluster.submit({ runMs: 60_000 });
     simulatedCluster.nodes[1]!.controller = {
-      jobApi: { query: async () => lie } as unknown as JobApi,
+      jobApi: { query: async () => wrongAnswer } as unknown as JobApi,
     } as never;
     await simulatedCluster.ask(simulatedCluster.user(1).query(job));
-    assert.deepEqual(await brokenRules(simulatedCluster), [rule]);
+    assert.deepEqual(await closeAndListViolations(simulatedCluster), [rule]);
   }
 });
--- a/test/search-regressions.test.ts
+++ b/test/search-regressions.test.ts
@@ -69,22 +69,22 @@
     },
   },
   {
-    name: 'unreachable machines can send again, but receive no responses, as the leader crashes',
+    name: 'machines that could not send can send again, but receive nothing, as the leader crashes',
     machines: machines('aabbab'),
     play: async (cluster, seed) => {
       const jobs = await fillLimits(cluster);
       cluster.faults.share.reportsForNext = 0.5;
       cluster.faults.share.lateReports = 0.3;
-      const unreachable = [...cluster.workers.values()].slice(0, 3);
+      const victims = [...cluster.workers.values()].slice(0, 3);
       for (let i = 0; i < 3; i++) {
-        cluster.faults.mute(unreachable);
+        cluster.faults.mute(victims);
         await cluster.pass(LEASE_S - 3 + seed * 2);
-        for (const worker of unreachable) worker.mute = false;
-        cluster.faults.deafen(unreachable);
+        for (const worker of victims) worker.mute = false;
+        cluster.faults.deafen(victims);
         if (jobs.length > 1) void cluster.cancelling(jobs.shift()!);
         await cluster.faults.endLeader(seed * 0.5);
         await cluster.pass(LEASE_S + 2);
-        for (const worker of unreachable) worker.deaf = false;
+        for (const worker of victims) worker.deaf = false;
         await cluster.pass(6);
       }
     },
--- a/test/stop-command-sender.test.ts
+++ b/test/stop-command-sender.test.ts
@@ -7,7 +7,7 @@
 import { SPEC, TYPE } from './fakes/samples.js';
 import { SimulatedCluster } from './fakes/simulated-cluster.js';
 
-test('a cancelled batch job leaves its machine at once, or with the next heartbeat where direct commands get lost', async () => {
+test('tasks of a cancelled batch job stop at once, or with the next heartbeat if direct commands are lost', async () => {
   for (const [isReachable, withinMs] of [
     [true, 100],
     [false, 2500],
@@ -18,16 +18,16 @@
     await simulatedCluster.until(() => simulatedCluster.running(job) === 4, 10, 'runs');
     simulatedCluster.directOpen = isReachable;
     await simulatedCluster.clock.advance(100);
-    const from = simulatedCluster.clock.now();
+    const cancelledAt = simulatedCluster.clock.now();
     assert.equal(
       (await simulatedCluster.ask(simulatedCluster.user(simulatedCluster.leader).abort(job)))
         .status,
       200,
     );
-    while (simulatedCluster.on(job).length > 0 && simulatedCluster.clock.now() - from < 5000)
+    while (simulatedCluster.on(job).length > 0 && simulatedCluster.clock.now() - cancelledAt < 5000)
       await simulatedCluster.clock.advance(10);
-    // The cancellation itself takes up to a step of the simulated clock.
-    const tookMs = simulatedCluster.clock.now() - from;
+    // The cancellation itself takes up to one step of the simulated clock.
+    const tookMs = simulatedCluster.clock.now() - cancelledAt;
     assert.ok(tookMs <= 250 + withinMs, `direct commands arrive: ${isReachable}, ${tookMs} ms`);
     await simulatedCluster.close();
   }
@@ -50,7 +50,7 @@
   tasks,
 });
 
-test('the response to a direct command proves no start lost, and renews no lease', () => {
+test('the response to a direct command does not prove a start lost and renews no lease', () => {
   const lost: Placement[] = [];
   const exited: Placement[] = [];
   const fleet = new Fleet(
@@ -67,7 +67,7 @@
   fleet.applyHeartbeat(heartbeat(1, []), TYPE, 100, true);
   const machine = fleet.machines.get('host-1')!;
   const job = new Job('req-1', SPEC, 0, 1, 100);
-  const place = (task: number): Placement => ({
+  const createPlacement = (task: number): Placement => ({
     job,
     task,
     attempt: 1,
@@ -80,15 +80,15 @@
     runningSince: null,
     stop: null,
   });
-  const [first, second] = [place(0), place(1)];
+  const [first, second] = [createPlacement(0), createPlacement(1)];
   for (const placement of [first, second]) fleet.addPlacement(placement, 100);
-  // Both starts are in the answer to a heartbeat, when a direct stop of the first overtakes them.
+  // Both starts are in the response to a heartbeat, and a direct stop of the first task overtakes it.
   assert.equal(fleet.applyHeartbeat(heartbeat(2, []), TYPE, 200, true).length, 2);
   first.stop = { graceMs: 0 };
   const leaseExpiry = fleet.leaseExpiryOf(machine);
   fleet.applyDirectResponse(heartbeat(3, []));
   assert.deepEqual(lost, []);
-  // An ordinary heartbeat does prove it: by then the answer before it was applied or dropped.
+  // The next heartbeat proves the loss: by then the previous response was applied or dropped.
   fleet.applyHeartbeat(heartbeat(4, []), TYPE, 300, true);
   assert.deepEqual(lost, [first]);
   assert.ok(fleet.leaseExpiryOf(machine) > leaseExpiry);
--- a/test/upgrade-faults.test.ts
+++ b/test/upgrade-faults.test.ts
@@ -5,8 +5,8 @@
 
 const SEEDS = [1, 2, 3];
 
-/** Work of all shapes; arrays too large for one record under the limits to come. */
-async function someWork(cluster: SimulatedCluster): Promise<string[]> {
+/** Submits jobs of all shapes, with an array too large for one record under the announced limits. */
+async function submitJobs(cluster: SimulatedCluster): Promise<string[]> {
   return [
     await cluster.accept({ pieces: 70, gpus: 0, runMs: 25_000, crew: 'speech' }),
     await cluster.accept({ shape: 'gang', pieces: 3, gpus: 2, runMs: 40_000, samePlace: true }),
@@ -16,59 +16,60 @@
 }
 
 /**
- * All controllers are upgraded, the limits fall, and work comes and is cancelled all the while.
- * `fault` is called after each upgrade and after the fall.
+ * Upgrades all controllers and lowers the store's limits while jobs are submitted and cancelled.
+ * `injectFault` is called after each upgrade and after the limits drop.
  */
-async function roll(
+async function runRollingUpgrade(
   cluster: SimulatedCluster,
   seed: number,
-  trouble: (w: SimulatedCluster, node: number) => Promise<void>,
+  injectFault: (cluster: SimulatedCluster, node: number) => Promise<void>,
 ): Promise<void> {
-  const jobs = await someWork(cluster);
+  const jobs = await submitJobs(cluster);
   for (let i = 0; i < 3; i++) {
     const node = (seed + i) % 3;
     cluster.crash(node);
     await cluster.pass(2 + (seed % 3));
     cluster.restart(node);
     await cluster.pass(seed % 4);
-    await trouble(cluster, node);
-    jobs.push(...(await someWork(cluster)));
+    await injectFault(cluster, node);
+    jobs.push(...(await submitJobs(cluster)));
     await cluster.cancel(jobs.shift()!);
   }
   await cluster.pass(seed % 5);
   cluster.store.limits = NEXT;
-  jobs.push(...(await someWork(cluster)));
-  await trouble(cluster, seed % 3);
+  jobs.push(...(await submitJobs(cluster)));
+  await injectFault(cluster, seed % 3);
   await cluster.cancel(jobs.shift()!);
   await cluster.pass(20);
   assert.ok(runKeys(cluster).every(ranged), runKeys(cluster).join(' '));
 }
 
-const upgrade = (
+const createScenario = (
   name: string,
-  trouble: (cluster: SimulatedCluster, node: number, seed: number) => Promise<void>,
+  injectFault: (cluster: SimulatedCluster, node: number, seed: number) => Promise<void>,
 ): FaultScenario => ({
   name: `upgrade: ${name}`,
   seeds: SEEDS,
   machines: machines('aabbab'),
   state: { next: NEXT },
   before: (cluster) => [0, 1, 2].forEach((node) => makeOld(cluster, node)),
-  play: (cluster, seed) => roll(cluster, seed, (world, node) => trouble(world, node, seed)),
+  play: (cluster, seed) =>
+    runRollingUpgrade(cluster, seed, (cluster, node) => injectFault(cluster, node, seed)),
 });
 
-const MEETINGS: FaultScenario[] = [
-  upgrade('the leader ends each time', async (cluster) => {
+const SCENARIOS: FaultScenario[] = [
+  createScenario('the leader crashes each time', async (cluster) => {
     await cluster.faults.endLeader(3);
   }),
-  upgrade('answers of the store are lost and writes come late', async (cluster) => {
+  createScenario('responses of the store are lost and writes are delayed', async (cluster) => {
     cluster.faults.share.lostAnswers = 0.1;
     cluster.faults.share.lateWrites = 0.05;
     await cluster.pass(4);
     cluster.faults.share.lostAnswers = 0;
     cluster.faults.share.lateWrites = 0;
   }),
-  upgrade(
-    'controllers refuse each other, and the store is down for a while',
+  createScenario(
+    'controllers refuse connections of each other, and the store is down for a while',
     async (cluster, _node, seed) => {
       cluster.faults.refusePeers();
       cluster.faults.outage();
@@ -77,10 +78,10 @@
       await cluster.pass(4);
     },
   ),
-  upgrade('all controllers end at once', async (cluster) => {
+  createScenario('all controllers crash at once', async (cluster) => {
     await cluster.faults.restartAll(2);
     await cluster.pass(6);
   }),
 ];
 
-runScenarios(MEETINGS);
+runScenarios(SCENARIOS);
--- a/test/upgrade.test.ts
+++ b/test/upgrade.test.ts
@@ -6,26 +6,26 @@
 import { finish, makeOld, NEXT, ranged, runKeys } from './fakes/upgrade.js';
 import { SimulatedCluster } from './fakes/simulated-cluster.js';
 
-const SIX = ['a', 'b', 'a', 'b', 'a', 'b'].map((yard) => ({ yard }));
-const LONG = 400_000;
+const SIX_MACHINES = ['a', 'b', 'a', 'b', 'a', 'b'].map((yard) => ({ yard }));
+const LONG_MS = 400_000;
 
-/** Its process ends and comes back with the new version. */
-async function upgrade(cluster: SimulatedCluster, node: number): Promise<void> {
+/** Restarts a controller with the new version. */
+async function upgradeController(cluster: SimulatedCluster, node: number): Promise<void> {
   cluster.crash(node);
   await cluster.pass(3);
   cluster.restart(node);
   await cluster.pass(10);
 }
 
-interface Work {
+interface LongWork {
   array: string;
   service: string;
   gang: string;
 }
 
-/** An array of 150 tasks, three replicas and a gang, all running. */
-async function longWork(cluster: SimulatedCluster): Promise<Work> {
-  const array = await cluster.submit({ pieces: 150, gpus: 0, runMs: LONG, crew: 'speech' });
+/** Starts an array of 150 tasks, three replicas and a gang, and waits until all run. */
+async function startLongWork(cluster: SimulatedCluster): Promise<LongWork> {
+  const array = await cluster.submit({ pieces: 150, gpus: 0, runMs: LONG_MS, crew: 'speech' });
   const service = await cluster.submit({
     shape: 'service',
     pieces: 3,
@@ -36,32 +36,32 @@
     shape: 'gang',
     pieces: 4,
     gpus: 2,
-    runMs: LONG,
+    runMs: LONG_MS,
     samePlace: true,
   });
   await cluster.until(() => allRun(cluster, { array, service, gang }), 40, 'all runs');
   return { array, service, gang };
 }
 
-const allRun = (cluster: SimulatedCluster, work: Work): boolean =>
+const allRun = (cluster: SimulatedCluster, work: LongWork): boolean =>
   cluster.running(work.array) === 150 &&
   cluster.running(work.service) === 3 &&
   cluster.running(work.gang) === 4;
 
-test('records keep the old layout until the last controller is new, under leaders of either kind', async () => {
-  const simulatedCluster = new SimulatedCluster(SIX, 3, 0, { next: NEXT });
+test('run records keep the old layout until the last controller is upgraded, under old and new leaders', async () => {
+  const simulatedCluster = new SimulatedCluster(SIX_MACHINES, 3, 0, { next: NEXT });
   for (const node of [0, 1, 2]) makeOld(simulatedCluster, node);
   await simulatedCluster.start();
-  const work = await longWork(simulatedCluster);
+  const work = await startLongWork(simulatedCluster);
   const starts = simulatedCluster.starts.length;
-  // The leader goes first each time, so that leadership passes between old and new ones.
+  // The leader is upgraded first, so that leadership passes between old and new controllers.
   const order = [
     simulatedCluster.leader,
     ...[0, 1, 2].filter((i) => i !== simulatedCluster.leader),
   ];
-  await upgrade(simulatedCluster, order[0]!);
-  await upgrade(simulatedCluster, order[1]!);
-  // One that dies before its turn comes back old.
+  await upgradeController(simulatedCluster, order[0]!);
+  await upgradeController(simulatedCluster, order[1]!);
+  // A controller that crashes before its upgrade restarts with the old version.
   simulatedCluster.crash(order[2]!);
   await simulatedCluster.pass(2);
   simulatedCluster.restart(order[2]!);
@@ -79,36 +79,37 @@
     'all records have the new layout',
   );
   assert.ok(allRun(simulatedCluster, work));
-  assert.equal(simulatedCluster.starts.length, starts, 'nothing was started again');
+  assert.equal(simulatedCluster.starts.length, starts, 'no task was started again');
   await simulatedCluster.close();
 });
 
-// Each of the three jobs is rewritten in one transaction here; `run-layout.test.ts` cuts within one.
-for (const cut of [1, 2, 3]) {
-  test(`limits fall and the leader ends after ${cut} writes of the change of layout`, async () => {
-    const simulatedCluster = new SimulatedCluster(SIX, 3, 0, { next: NEXT });
+// Each of the three jobs is rewritten in one transaction here; `run-layout.test.ts` covers failures
+// within one transaction.
+for (const writesBeforeCrash of [1, 2, 3]) {
+  test(`limits drop and the leader crashes after ${writesBeforeCrash} writes of the layout migration`, async () => {
+    const simulatedCluster = new SimulatedCluster(SIX_MACHINES, 3, 0, { next: NEXT });
     makeOld(simulatedCluster, 2);
     await simulatedCluster.start();
-    const work = await longWork(simulatedCluster);
+    const work = await startLongWork(simulatedCluster);
     const starts = simulatedCluster.starts.length;
     const { leader } = simulatedCluster;
-    let left = cut;
+    let writesLeft = writesBeforeCrash;
     const node = simulatedCluster.nodes[leader]!;
-    const before = node.fate;
+    const originalFate = node.fate;
     node.fate = (method, path, body) => {
       if (path !== '/txn' || !JSON.stringify(body).includes('/p'))
-        return before(method, path, body);
-      // The last one is carried out, but its answer is lost.
-      left--;
-      return left > 0 ? 'serve' : left === 0 ? 'lose answer' : 'lose request';
+        return originalFate(method, path, body);
+      // The last write is applied, but its response is lost.
+      writesLeft--;
+      return writesLeft > 0 ? 'serve' : writesLeft === 0 ? 'lose answer' : 'lose request';
     };
     if (leader !== 2) simulatedCluster.nodes[2]!.fate = () => 'serve';
     else {
-      const inner = node.fate;
-      node.fate = (member, peer, b) =>
-        JSON.stringify(b).includes('members/') ? 'serve' : inner(member, peer, b);
+      const chainedFate = node.fate;
+      node.fate = (method, path, body) =>
+        JSON.stringify(body).includes('members/') ? 'serve' : chainedFate(method, path, body);
     }
-    await simulatedCluster.until(() => left <= 0, 40, 'the change of layout has begun');
+    await simulatedCluster.until(() => writesLeft <= 0, 40, 'the layout migration has begun');
     simulatedCluster.store.limits = NEXT;
     simulatedCluster.crash(leader);
     await simulatedCluster.pass(20);
@@ -119,7 +120,7 @@
       'all records have the new layout',
     );
     assert.ok(allRun(simulatedCluster, work));
-    assert.equal(simulatedCluster.starts.length, starts, 'nothing was started again');
+    assert.equal(simulatedCluster.starts.length, starts, 'no task was started again');
     for (const job of [work.array, work.gang]) finish(simulatedCluster, job);
     await simulatedCluster.pass(40);
     assert.equal(await simulatedCluster.phase(work.array), 'done');
@@ -133,11 +134,11 @@
   });
 }
 
-test('limits that fall before the upgrade is complete stop large jobs alone, until it is', async () => {
-  const simulatedCluster = new SimulatedCluster(SIX, 3, 0, { next: NEXT });
+test('limits that drop before the upgrade is complete hold back only large jobs, until it is complete', async () => {
+  const simulatedCluster = new SimulatedCluster(SIX_MACHINES, 3, 0, { next: NEXT });
   makeOld(simulatedCluster, 2);
   await simulatedCluster.start();
-  const work = await longWork(simulatedCluster);
+  const work = await startLongWork(simulatedCluster);
   const starts = simulatedCluster.starts.length;
   const { leader } = simulatedCluster;
   const fencingToken = simulatedCluster.store.keys.get('leader')!.stamp;
@@ -171,7 +172,7 @@
     'the large job runs',
   );
   const records = runKeys(simulatedCluster).filter((key) => key.includes(large));
-  assert.ok(records.length <= 2, `${records.length} records: no smaller than they have to be`);
+  assert.ok(records.length <= 2, `${records.length} records: ranges are no smaller than necessary`);
   await simulatedCluster.pass(80);
   assert.equal(await simulatedCluster.phase(large), 'done');
   assert.equal(await simulatedCluster.phase(work.array), 'done');
@@ -181,16 +182,16 @@
   await simulatedCluster.close();
 });
 
-test('a user cancels, and a gang starts anew, under the smaller limits', async () => {
-  const simulatedCluster = new SimulatedCluster(SIX, 2, 0, { next: NEXT });
+test('a user cancels a job, and a gang is restarted, under the lower limits', async () => {
+  const simulatedCluster = new SimulatedCluster(SIX_MACHINES, 2, 0, { next: NEXT });
   await simulatedCluster.start();
   simulatedCluster.store.limits = NEXT;
-  const work = await longWork(simulatedCluster);
+  const work = await startLongWork(simulatedCluster);
   const answer = await simulatedCluster.ask(simulatedCluster.user(1).abort(work.array));
   assert.deepEqual(answer.body, { ref: work.array, phase: 'withdrawn' });
-  const hit = simulatedCluster.on(work.gang)[0]!;
-  hit.phase = 'ended';
-  hit.cause = 'error';
+  const failedTask = simulatedCluster.on(work.gang)[0]!;
+  failedTask.phase = 'ended';
+  failedTask.cause = 'error';
   await simulatedCluster.until(
     () => simulatedCluster.on(work.array).length === 0,
     10,
@@ -205,15 +206,15 @@
   await simulatedCluster.until(
     () => !runKeys(simulatedCluster).some((k) => k.includes(work.array)),
     20,
-    'its records are gone',
+    'the run records of the array are deleted',
   );
   assert.equal(await simulatedCluster.phase(work.array, 1), 'withdrawn');
   await simulatedCluster.close();
 });
 
-test('what production left running is taken over, and nothing of it is started again', async () => {
-  const eight = [0, 1, 2, 3, 4, 5, 6, 7].map((i) => ({ yard: i % 2 ? 'b' : 'a' }));
-  const simulatedCluster = new SimulatedCluster(eight, 2, 0, { next: NEXT });
+test('running work in a production store is taken over, and none of it is started again', async () => {
+  const eightMachines = [0, 1, 2, 3, 4, 5, 6, 7].map((i) => ({ yard: i % 2 ? 'b' : 'a' }));
+  const simulatedCluster = new SimulatedCluster(eightMachines, 2, 0, { next: NEXT });
   const { jobs, keys } = fillFromProduction(simulatedCluster.store);
   const work = { array: jobs.array, service: jobs.service, gang: jobs.gang };
   let placed = 0;
@@ -222,7 +223,7 @@
     simulatedCluster.facts.set(job, {
       shape,
       pieces: spec.tasks,
-      runMs: shape === 'service' ? 0 : LONG,
+      runMs: shape === 'service' ? 0 : LONG_MS,
       fetchMs: 1000,
       saveMs: 1000,
       vcpus: spec.need.cpus,
@@ -231,15 +232,15 @@
     });
     const run = parseRun(keys[`runs/${job}/0`]!.value)!;
     for (const [task, attempt, machine] of run.placed) {
-      const piece = { job, task, attempt, phase: 'running', cause: null, since: 0 } as const;
+      const runningTask = { job, task, attempt, phase: 'running', cause: null, since: 0 } as const;
       simulatedCluster.onWorkers.set(machine, [
         ...(simulatedCluster.onWorkers.get(machine) ?? []),
-        piece,
+        runningTask,
       ]);
       placed++;
     }
   }
-  // Asked past the checker of rules, which has not seen these jobs submitted.
+  // Queried without the rule checker, which has not seen the submissions of these jobs.
   const phaseAt = async (job: string, node: number): Promise<unknown> => {
     const answer = await simulatedCluster.ask(
       simulatedCluster.nodes[node]!.controller!.jobApi.query(job),
@@ -261,8 +262,10 @@
   simulatedCluster.store.limits = NEXT;
   await simulatedCluster.pass(20);
   assert.equal(running(), placed);
-  const again = simulatedCluster.starts.filter((name) => !name.startsWith(jobs.waiting));
-  assert.deepEqual(again, []);
+  const startsOfTakenOver = simulatedCluster.starts.filter(
+    (name) => !name.startsWith(jobs.waiting),
+  );
+  assert.deepEqual(startsOfTakenOver, []);
   finish(simulatedCluster, work.array);
   finish(simulatedCluster, work.gang);
   await simulatedCluster.pass(40);
@@ -272,10 +275,10 @@
   await simulatedCluster.close();
 });
 
-test('a description too large for the limits to come is refused at once, a known job never', async () => {
-  const simulatedCluster = new SimulatedCluster(SIX, 2, 0, { next: { valueBytes: 1024 } });
+test('a job description too large for the announced limits is rejected at once, a known job never', async () => {
+  const simulatedCluster = new SimulatedCluster(SIX_MACHINES, 2, 0, { next: { valueBytes: 1024 } });
   await simulatedCluster.start();
-  // Not as the simulation's users: the checker of rules knows no limit on descriptions.
+  // Not through the simulated users: the rule checker knows no limit on job descriptions.
   const api = simulatedCluster.nodes[0]!.controller!.jobApi;
   const { ref, body } = simulatedCluster.wish({ pieces: 1 });
   const long = '\u20ac'.repeat(200);
@@ -283,7 +286,7 @@
   const refused = await simulatedCluster.ask(api.submit(large));
   assert.equal(refused.status, 422);
   assert.match(JSON.stringify(refused.body), /larger than the state service takes/);
-  // Machine types that do not exist mean nothing, and keep no job out.
+  // Unknown machine types are dropped and do not cause a rejection.
   const hulls = ['g8', ...Array.from({ length: 300 }, (_, i) => `type-${i}`)];
   assert.equal((await simulatedCluster.ask(api.submit({ ...body, hulls }))).status, 201);
   const { spec } = simulatedCluster.store.get(`jobs/${ref}`) as { spec: { types: string[] } };
--- a/test/versions.test.ts
+++ b/test/versions.test.ts
@@ -17,9 +17,9 @@
 } from './fakes/versions.js';
 import { SimulatedCluster } from './fakes/simulated-cluster.js';
 
-// The controllers of earlier versions are the real ones, from the bundles in test/fixtures/controllers.
+// Controllers of earlier versions run the released bundles in test/fixtures/controllers.
 
-/** In which order versions lead; each controller leads twice. */
+/** The orders in which versions lead; each controller leads twice. */
 const ORDERS: Version[][] = [
   ['78ff1b1', 'current'],
   ['current', '78ff1b1'],
@@ -38,7 +38,7 @@
 for (const order of ORDERS) {
   const knowRanges = !order.includes('78ff1b1');
 
-  test(`office passes ${order.join(' -> ')} -> ..., with work of each kind`, async () => {
+  test(`leadership passes ${order.join(' -> ')} -> ..., with jobs of each shape`, async () => {
     const size = order.length as 2 | 3;
     const simulatedCluster = new SimulatedCluster(machines('abababab'), size, 0, { next: NEXT });
     install(simulatedCluster, order);
@@ -55,49 +55,52 @@
     );
     const cancelled = [await simulatedCluster.accept({ pieces: 3, runMs: LONG_MS })];
     await simulatedCluster.cancel(cancelled[0]!);
-    const short: string[] = [done];
+    const shortJobs: string[] = [done];
     for (const node of [...order.keys(), ...order.keys()]) {
       await passOffice(simulatedCluster, node);
       assert.equal(leading(simulatedCluster), order[node]);
-      short.push(await simulatedCluster.accept({ pieces: 4, runMs: 3000, crew: 'speech' }));
-      const gone = await simulatedCluster.accept({
+      shortJobs.push(await simulatedCluster.accept({ pieces: 4, runMs: 3000, crew: 'speech' }));
+      const cancelledJob = await simulatedCluster.accept({
         shape: 'gang',
         pieces: 2,
         gpus: 2,
         runMs: LONG_MS,
       });
       await simulatedCluster.pass(4);
-      assert.equal(await simulatedCluster.cancel(gone), 'withdrawn');
-      cancelled.push(gone);
+      assert.equal(await simulatedCluster.cancel(cancelledJob), 'withdrawn');
+      cancelled.push(cancelledJob);
       assert.ok(allRun(simulatedCluster, work));
       assert.equal(
         startsOf(simulatedCluster, work),
         starts,
-        `nothing is started again under ${order[node]}`,
+        `no task is started again under ${order[node]}`,
       );
       if (!knowRanges)
-        assert.ok(!runKeys(simulatedCluster).some(ranged), 'one that cannot read them is there');
+        assert.ok(
+          !runKeys(simulatedCluster).some(ranged),
+          'one of the versions cannot read ranged records',
+        );
     }
     await simulatedCluster.until(
-      () => short.every((job) => simulatedCluster.stored(job) === 'done'),
+      () => shortJobs.every((job) => simulatedCluster.stored(job) === 'done'),
       60,
-      'short work is done',
+      'short jobs are done',
     );
-    for (const job of short) await assertPhase(simulatedCluster, job, 'done');
+    for (const job of shortJobs) await assertPhase(simulatedCluster, job, 'done');
     for (const job of cancelled) await assertPhase(simulatedCluster, job, 'withdrawn');
     if (knowRanges) {
       await simulatedCluster.until(
         () => runKeys(simulatedCluster).every(ranged),
         60,
-        'records have the layout for the limits',
+        'all run records use the ranged layout',
       );
     }
     await simulatedCluster.close();
   });
 }
 
-/** A controller as a version to come would be: its member record names formats that nobody else knows. */
-const LATER: Program = {
+/** A controller of a later version: its member record names formats that no other version knows. */
+const LATER_PROGRAM: Program = {
   ...CURRENT,
   version: 'later',
   create: (settings, runtime, links) => {
@@ -110,10 +113,10 @@
   },
 };
 
-test('104c759 works beside a version of later formats as beside its own', async () => {
+test('104c759 works alongside a version with later formats as it does alongside its own', async () => {
   const simulatedCluster = new SimulatedCluster(machines('abababab'), 3, 0, { next: NEXT });
   install(simulatedCluster, ['104c759', '104c759', 'current']);
-  simulatedCluster.nodes[2]!.program = LATER;
+  simulatedCluster.nodes[2]!.program = LATER_PROGRAM;
   await simulatedCluster.start();
   assert.equal(
     (simulatedCluster.store.get('members/berth-2') as { recordFormat: number }).recordFormat,
@@ -126,7 +129,7 @@
     await simulatedCluster.until(
       () => runKeys(simulatedCluster).every(ranged),
       30,
-      'records are ranged',
+      'all run records use the ranged layout',
     );
   }
   simulatedCluster.store.limits = NEXT;
@@ -142,38 +145,39 @@
   ['104c759', 'current'],
   ['current', '78ff1b1'],
 ] as const) {
-  const covered = others !== '78ff1b1';
+  const knowsCancellationQueries = others !== '78ff1b1';
 
   test(`${leader} leads ${others} through a refusal, a cancellation and an outage`, async () => {
     const simulatedCluster = new SimulatedCluster(machines('aabb'), 3);
     install(simulatedCluster, [leader, others, others]);
     await simulatedCluster.start();
     await passOffice(simulatedCluster, 0);
-    const wish = { shape: 'service', pieces: 2, runMs: 0, urgency: 'production' } as const;
-    const kept = await simulatedCluster.accept(wish);
-    const cancelled = await simulatedCluster.accept(wish);
+    const template = { shape: 'service', pieces: 2, runMs: 0, urgency: 'production' } as const;
+    const kept = await simulatedCluster.accept(template);
+    const cancelled = await simulatedCluster.accept(template);
     await simulatedCluster.until(
       () => simulatedCluster.running(kept) + simulatedCluster.running(cancelled) === 4,
       20,
       'replicas run',
     );
     const starts = simulatedCluster.starts.length;
-    // Nothing may rest on the message that tells the leader of a cancellation.
+    // The outcome must not depend on the message that tells the leader of a cancellation.
     simulatedCluster.wire.loses = (_from, _to, message) => message.kind === 'jobCancelled';
     simulatedCluster.faults.refuse(0);
     await simulatedCluster.clock.advance(300);
     assert.equal(await simulatedCluster.cancel(cancelled, 1), 'withdrawn');
     simulatedCluster.faults.outage();
     await simulatedCluster.pass(60);
-    // With cancellation queries the work that was not cancelled outlasts it; the rules hold in any case.
-    if (covered) assert.equal(simulatedCluster.running(kept), 2);
+    // With cancellation queries, work that was not cancelled survives the outage; the rules always hold.
+    if (knowsCancellationQueries) assert.equal(simulatedCluster.running(kept), 2);
     simulatedCluster.faults.over();
     await simulatedCluster.until(
       () => simulatedCluster.running(kept) === 2,
       60,
-      'what was not cancelled runs',
+      'the job that was not cancelled runs',
     );
-    if (covered) assert.equal(simulatedCluster.starts.length, starts, 'nothing is started again');
+    if (knowsCancellationQueries)
+      assert.equal(simulatedCluster.starts.length, starts, 'no task is started again');
     assert.deepEqual(simulatedCluster.wire.unreadable, []);
     await assertPhase(simulatedCluster, cancelled, 'withdrawn');
     await simulatedCluster.close();
--- a/test/worker-faults.test.ts
+++ b/test/worker-faults.test.ts
@@ -37,7 +37,7 @@
     },
   },
   {
-    name: 'heartbeats are held back until the next leader, and late copies arrive everywhere',
+    name: 'copies of heartbeats reach the next leader, and late copies arrive, also everywhere',
     seeds: [1, 2, 3, 4],
     play: async (cluster, seed) => {
       cluster.faults.share.reportsForNext = 0.3;
