--- a/test/asymmetric-partition.test.ts
+++ b/test/asymmetric-partition.test.ts
@@ -15,7 +15,7 @@
 const SCENARIOS: FaultScenario[] = [
   {
     // The renewals of the old leader were applied and kept the leader key from the others although
-    // it had stopped leading: all workers were turned away until their leases expired.
+    // it had stopped leading: all workers were rejected until their leases expired.
     name: 'the leader loses all responses of the store while jobs are cancelled: another leads',
     play: async (cluster, seed) => {
       const service = await startWork(cluster);
--- a/test/cancellation-during-outage-faults.test.ts
+++ b/test/cancellation-during-outage-faults.test.ts
@@ -4,7 +4,7 @@
 /**
  * The store refuses only the leader, another controller confirms cancellations, and then the store
  * is down for all controllers, for longer than `cancel_s`, while workers still report to the old
- * leader. The leader has to stop the cancelled tasks although it could not read the records.
+ * leader. The cancelled tasks have to stop in time nevertheless.
  */
 async function outageAfterCancellations(
   cluster: SimulatedCluster,
--- a/test/membership.test.ts
+++ b/test/membership.test.ts
@@ -13,7 +13,7 @@
 const NEXT_FRAMES = Math.max(...FRAME_VERSIONS) + 1;
 
 const NAMES = ['berth-0', 'berth-1', 'berth-2'];
-const NEXT = { valueBytes: 2048, txnOps: 4, writeRps: 15 };
+const NEXT_LIMITS = { valueBytes: 2048, txnOps: 4, writeRps: 15 };
 
 /** Sets up one store for three controllers; the test starts each of them with `start`. */
 function threeControllers() {
@@ -31,7 +31,7 @@
     const store = new Store(
       fakeStore.link(fate),
       runtime as unknown as Runtime,
-      { ...base, state: { ...base.state, next: NEXT } },
+      { ...base, state: { ...base.state, next: NEXT_LIMITS } },
       1000,
     );
     const peers = NAMES.filter((name) => name !== self);
--- a/test/request-takeover.test.ts
+++ b/test/request-takeover.test.ts
@@ -19,7 +19,7 @@
 ] as const;
 type Moment = (typeof MOMENTS)[number];
 
-/** Calls `then` once at `moment`. If that moment is a write, the write is lost and applied 9 s later. */
+/** Calls `callback` once at `moment`; a write at that moment gets no response and is applied late. */
 function runAtMoment(
   cluster: SimulatedCluster,
   moment: Moment,
--- a/test/versions.test.ts
+++ b/test/versions.test.ts
@@ -168,7 +168,7 @@
     assert.equal(await simulatedCluster.cancel(cancelled, 1), 'withdrawn');
     simulatedCluster.faults.outage();
     await simulatedCluster.pass(60);
-    // With cancellation queries, work that was not cancelled survives the outage; the rules always hold.
+    // With cancellation queries the work that was not cancelled survives; the rules hold in any case.
     if (knowsCancellationQueries) assert.equal(simulatedCluster.running(kept), 2);
     simulatedCluster.faults.over();
     await simulatedCluster.until(
