--- a/packages/core/src/clock.ts
+++ b/packages/core/src/clock.ts
@@ -1,16 +1,16 @@
-/** The port to time: a monotonic clock, the time of day, and sleeping. */
+/** The clock interface: monotonic time, time of day, and sleeping. */
 
-/** Time as the rest of the program sees it; tests pass in a simulated one. */
+/** Source of time for the whole program; tests inject a simulated clock. */
 export interface Clock {
   /** Monotonic time in milliseconds; its origin is arbitrary. */
   now(): number;
-  /** Time of day in milliseconds since the Unix epoch, accurate to the clock error of the settings. */
+  /** Time of day in milliseconds since the Unix epoch, accurate to within the configured clock error. */
   wall(): number;
   /** Resolves after `ms` milliseconds, or as soon as `signal` is aborted; it never rejects. */
   sleep(ms: number, signal?: AbortSignal): Promise<void>;
 }
 
-/** The clock of this process. */
+/** The system clock. */
 export const systemClock: Clock = {
   now: () => performance.now(),
   wall: () => Date.now(),
@@ -28,7 +28,7 @@
 };
 
 /**
- * By which fraction two monotonic clocks may drift apart: each is off by up to 0.05 %. Bounds on the clocks
+ * Maximum relative drift between two monotonic clocks: each is off by up to 0.05 %. Bounds on the clocks
  * of other nodes add it twice.
  */
 export const MAX_CLOCK_DRIFT = 0.001;
--- a/packages/core/src/duty.ts
+++ b/packages/core/src/duty.ts
@@ -3,21 +3,21 @@
 import type { Clock } from './clock.js';
 import { jitter, type Random } from './random.js';
 
-/** What every routine of a process is passed: time, chance and the log. */
+/** Dependencies of every routine of a process: clock, random source and log. */
 export interface Runtime {
   clock: Clock;
   random: Random;
   log: Logger;
-  /** When this process started, on `clock` in milliseconds; promises of an earlier process count from here. */
+  /** When this process started, on `clock` in milliseconds; promises made by an earlier process count from here. */
   startedAt: number;
 }
 
 /**
- * Runs a supervised task until `signal` is aborted. One that throws has met a bug or lost its peer: the
- * failure is logged and the task is restarted after a wait.
+ * Runs a supervised task until `signal` is aborted. If it throws, because of a bug or a lost peer, the
+ * failure is logged and the task is restarted after a delay.
  *
- * @param name names the task in the log
- * @param restartMs the wait before a restart in milliseconds, spread by `jitter`
+ * @param name name of the task in the log
+ * @param restartMs delay before a restart in milliseconds, randomized by `jitter`
  */
 export async function supervise(
   runtime: Omit<Runtime, 'startedAt'>,
@@ -42,7 +42,7 @@
 
 /**
  * For a supervised task that has nothing left to do: resolves once `signal` is aborted, immediately if it
- * already is. A listener alone would miss an abort that came before it.
+ * already is. An event listener alone would miss an abort that happened before it was added.
  */
 export function untilAborted(signal: AbortSignal): Promise<void> {
   if (signal.aborted) return Promise.resolve();
--- a/packages/core/src/feature-watch.ts
+++ b/packages/core/src/feature-watch.ts
@@ -1,10 +1,10 @@
-/** Whether an extension may begin something that every controller has to know of. */
+/** Checks that an extension is enabled on every controller before it starts work that all must support. */
 import type { Logger } from './log.js';
 
-/** After how many steps a positive answer is looked up again. */
+/** Number of steps for which a positive result is cached. */
 const STEPS_PER_LOOKUP = 10;
 
-/** Whether every controller has an extension enabled, as it was last looked up. */
+/** Cached check of whether an extension is enabled on every controller. */
 export class FeatureWatch {
   private cachedResult = false;
   private queryCount = 0;
@@ -15,7 +15,10 @@
     private readonly queryControllers: (signal: AbortSignal) => Promise<boolean>,
   ) {}
 
-  /** A positive answer is kept for a few steps only: a controller without the extension may join. */
+  /**
+   * Whether the extension is enabled on every controller. A positive result is cached for a few steps only,
+   * since a controller without the extension may join; a negative one is never cached.
+   */
   async isEnabledEverywhere(signal: AbortSignal): Promise<boolean> {
     if (this.queryCount++ % STEPS_PER_LOOKUP !== 0 && this.cachedResult) return true;
     const wasEnabled = this.cachedResult;
--- a/packages/core/src/fenced-records.ts
+++ b/packages/core/src/fenced-records.ts
@@ -1,7 +1,7 @@
 /**
- * The records of one extension, which the leader of a term keeps in memory, watches and changes. One of them
- * is the manifest: it changes with everything that the start of work depends on, and transactions that start
- * work are conditioned on its version.
+ * The stored records of one extension, which the leader of a term caches in memory, watches and updates. One
+ * of them is the manifest: it is written with every change that may affect whether a task may start, and
+ * transactions that start tasks are conditioned on its version.
  */
 import type { Clock } from './clock.js';
 import { supervise } from './duty.js';
@@ -20,65 +20,65 @@
 
 export { FeatureWatch } from './feature-watch.js';
 
-/** How long one watch request waits for changes, in step intervals. */
+/** Timeout of one watch request, in step intervals. */
 const WATCH_TIMEOUT_STEPS = 4;
 
-/** The records in memory, as they were last read or written. */
+/** In-memory copy of the records, as last read or written. */
 export interface RecordRepository {
-  /** The version of the manifest; 0 before it was first written. */
+  /** Version of the manifest; 0 before its first write. */
   readonly manifestVersion: number;
-  /** Applies one entry, unless a newer one of the same key is known. */
+  /** Applies one entry, unless a newer version of the same key is already known. */
   apply(entry: Entry): void;
-  /** Drops the record of a key that was deleted. */
+  /** Removes the record of a deleted key. */
   remove(key: string): void;
-  /** Keys whose records cannot be read. */
+  /** Keys whose records cannot be parsed. */
   unreadableKeys(): Iterable<string>;
 }
 
-/** What keeping records needs of the controller. */
+/** Dependencies that the controller provides. */
 export interface RecordPorts {
   store: StorePort;
   clock: Clock;
   random: Random;
   log: Logger;
-  /** How long a leader waits before it looks for the next step, in milliseconds. */
+  /** Interval between two steps of a leader that has nothing to do, in milliseconds. */
   stepIntervalMs: number;
 }
 
-/** Where the records of an extension are stored, and what happens when they change. */
+/** Where an extension stores its records, how they are parsed, and what to call when they change. */
 export interface RecordLayout<Repository extends RecordRepository> {
-  /** Names the extension in log lines and write ids. */
+  /** Name of the extension in log lines and write ids. */
   name: string;
-  /** What the keys of all records begin with. */
+  /** Common prefix of all keys. */
   prefix: string;
-  /** The key of the manifest. */
+  /** Key of the manifest. */
   manifestKey: string;
-  /** The records that these entries hold. */
+  /** Creates a repository from the given entries. */
   read(entries: readonly Entry[]): Repository;
-  /** The log message for a record that cannot be read. */
+  /** Log message for a record that cannot be parsed. */
   unreadableMessage: string;
-  /** The records in memory have changed. */
+  /** Called after the in-memory records have changed. */
   onChange(): void;
 }
 
-/** One transaction of the leader; the condition that it still leads is added to each. */
+/** One transaction of the leader; the condition that it still holds leadership is added to each. */
 export interface RecordWrite {
   conditions: Condition[];
   changes: Change[];
   priority: RequestPriority;
 }
 
-/** The records of one extension in one term. */
+/** The records of one extension during one term. */
 export class FencedRecords<Repository extends RecordRepository> {
-  /** The records, as they were last read or written. */
+  /** The records as last read or written. */
   repository: Repository;
   private watchedRevision = 0;
-  /** A change of the manifest is being written. */
+  /** Whether a write of the manifest is in flight. */
   private isManifestWriteInFlight = false;
-  /** Called when the outcome of that write is known. */
+  /** Callbacks for when the outcome of that write is known. */
   private readonly manifestWaiters: (() => void)[] = [];
   private writeCount = 0;
-  /** Unreadable records that have been logged. */
+  /** Keys of unreadable records that were already logged. */
   private readonly loggedUnreadableKeys = new Set<string>();
 
   constructor(
@@ -89,7 +89,7 @@
     this.repository = layout.read([]);
   }
 
-  /** Reads all records. Nothing may be decided before this has succeeded once in the term. */
+  /** Reads all records. No decision may be made before this has succeeded once in the term. */
   async load(signal: AbortSignal): Promise<void> {
     const { items, revision } = await this.ports.store.range(this.layout.prefix, signal);
     this.repository = this.layout.read(items);
@@ -97,7 +97,7 @@
     this.notifyChange();
   }
 
-  /** The records may have changed: reports that, and logs each unreadable record once. */
+  /** Reports that the records may have changed, and logs each unreadable record once. */
   private notifyChange(): void {
     this.layout.onChange();
     for (const key of this.repository.unreadableKeys()) {
@@ -107,29 +107,29 @@
     }
   }
 
-  /** The condition of every transaction that starts work. */
+  /** Condition of every transaction that starts a task. */
   condition(): Condition {
     return { key: this.layout.manifestKey, version: this.repository.manifestVersion };
   }
 
   /**
-   * A transaction that starts work was refused because the manifest has changed. Resolves once the
-   * manifest in the store is known.
+   * Handles a transaction that starts a task and was rejected because the manifest has changed. Resolves
+   * once the manifest in the store is known.
    */
   async conditionFailed(failed: Condition): Promise<void> {
     await this.waitForManifestWrite();
     if (this.repository.manifestVersion === failed.version) await this.reload(this.term.signal);
   }
 
-  /** Resolves once the outcome of the manifest write under way is known. */
+  /** Resolves once the outcome of the manifest write in flight, if any, is known. */
   private waitForManifestWrite(): Promise<void> {
     if (!this.isManifestWriteInFlight) return Promise.resolve();
     return new Promise((resolve) => this.manifestWaiters.push(resolve));
   }
 
   /**
-   * Watches the records and takes steps until `signal` is aborted. `step` resolves to whether it did
-   * anything; if not, the next one waits for the step interval.
+   * Watches the records and runs steps until `signal` is aborted. `step` resolves to whether it made
+   * progress; if not, the next step runs after the step interval.
    */
   async run(signal: AbortSignal, step: (signal: AbortSignal) => Promise<boolean>): Promise<void> {
     const { ports, layout } = this;
@@ -175,11 +175,11 @@
       } catch (error) {
         if (signal.aborted) return;
         if (error instanceof RevisionCompactedError) {
-          // The reload must not miss a manifest write of this leader that is under way.
+          // The reload must not miss a manifest write of this leader that is still in flight.
           await this.waitForManifestWrite();
           await this.reload(signal);
         } else {
-          // The store is unavailable: the watch continues from the same revision.
+          // The store is unavailable: retry the watch from the same revision.
           await clock.sleep(jitter(stepIntervalMs, random), signal);
         }
       }
@@ -191,17 +191,17 @@
     else this.repository.apply(event);
   }
 
-  /** The id of the next write, by which its records are recognized after an ambiguous result. */
+  /** Id of the next write, which identifies its records after an ambiguous result. */
   nextWriteId(): string {
     return `${this.term.id}/${this.layout.name}${++this.writeCount}`;
   }
 
   /**
-   * Writes, repeating until the store gives a definite answer. False if a condition failed: then the term has
-   * ended, or the records were read again and show whether an earlier attempt of this write, one without an
-   * answer, was applied.
+   * Commits a transaction, retrying until the store returns a definite result. Resolves to false if a
+   * condition failed: then either the term has ended, or the records were reloaded and show whether an
+   * earlier attempt of this write, whose response was lost, was applied.
    *
-   * @param onManifestSettled for a change of the manifest: called when its outcome is known
+   * @param onManifestSettled for a write of the manifest: called when its outcome is known
    */
   async write(
     { conditions: requiredConditions, changes, priority }: RecordWrite,
@@ -243,7 +243,7 @@
       try {
         return await this.load(signal);
       } catch {
-        // The store is unavailable or busy; only an abort, checked above, ends the attempts.
+        // The store is unavailable or busy; only an abort, checked above, ends the retries.
         await clock.sleep(jitter(stepIntervalMs, random), signal);
       }
     }
--- a/packages/core/src/log.ts
+++ b/packages/core/src/log.ts
@@ -1,6 +1,6 @@
-/** The port to the structured log. */
+/** The structured logging interface. */
 
-/** Writes one line for operators per call: its fields, and a message that is the same for every such line. */
+/** Each call writes one log line: variable fields, and a constant message that identifies the event. */
 export interface Logger {
   error(fields: object, message: string): void;
   warn(fields: object, message: string): void;
--- a/packages/core/src/store.ts
+++ b/packages/core/src/store.ts
@@ -1,61 +1,61 @@
 /**
- * The port to the store, a consensus-backed key-value store, as extensions use it. The controller's client
- * implements it; tests pass in one in memory.
+ * The interface through which extensions use the store, a consensus-backed key-value store. The controller's
+ * client implements it; tests inject an in-memory one.
  */
 
-/** One key and its value. */
+/** A key, its value and its version. */
 export interface Entry {
   key: string;
   value: unknown;
-  /** The store's revision at its last change. */
+  /** Revision of the store at the last change of this key. */
   version: number;
 }
 
-/** What a compare-and-swap transaction requires of a key. */
+/** Precondition of a compare-and-swap transaction on one key. */
 export interface Condition {
   key: string;
-  /** The version that the key must have; 0: the key must not exist. */
+  /** Required version of the key; 0: the key must not exist. */
   version: number;
 }
 
-/** What a transaction does to a key. */
+/** Effect of a transaction on one key. */
 export type Change = { put: string; value: object; lease?: number } | { delete: string };
 
-/** One change that a watch reports. */
+/** One change reported by a watch: a new value, or the deletion of a key. */
 export type StoreEvent =
   { key: string; value: unknown; version: number } | { key: string; gone: true };
 
-/** The order in which requests are served, lower values first; nobody waits for `Background`. */
+/** Order in which requests are served, lower values first; `Background` is for those that nobody waits for. */
 export const RequestPriority = { Critical: 0, High: 1, Normal: 2, Background: 3 } as const;
-/** One of the priorities above. */
+/** One of these priorities. */
 export type RequestPriority = (typeof RequestPriority)[keyof typeof RequestPriority];
 
 /**
- * The outcome of a transaction that was repeated until the store answered; `failed` lists the keys whose
- * conditions did not hold. `ambiguous`: an earlier attempt of the same transaction got no answer. It may have
- * been applied, or may still be applied if its conditions hold again.
+ * The result of a transaction that was retried until the store responded; `failed` lists the keys whose
+ * conditions did not hold. `ambiguous`: an earlier attempt of the same transaction got no response. It may
+ * have been applied, or may still be applied if its conditions hold again.
  */
 export type CommitResult = ({ ok: true; revision: number } | { ok: false; failed: string[] }) & {
   ambiguous: boolean;
 };
 
-/** The revision that a watch continues from was compacted: the keys have to be read again. */
+/** Thrown when the start revision of a watch was compacted: the keys have to be read again. */
 export class RevisionCompactedError extends Error {}
 
-/** What extensions need of the store. */
+/** Operations of the store that extensions use. */
 export interface StorePort {
-  /** All entries below `prefix`, and the revision from which to watch them. */
+  /** Returns all entries below `prefix`, and the revision from which to watch them. */
   range(prefix: string, signal?: AbortSignal): Promise<{ items: Entry[]; revision: number }>;
-  /** One entry; null if there is none. */
+  /** Returns one entry; null if the key does not exist. */
   get(key: string, priority: RequestPriority, signal?: AbortSignal): Promise<Entry | null>;
-  /** One attempt. Rejects if the store did not execute it, and if the result is ambiguous. */
+  /** Attempts a transaction once. Rejects if the store did not execute it or the result is ambiguous. */
   tryCommit(
     conditions: Condition[],
     changes: Change[],
     priority: RequestPriority,
     signal?: AbortSignal,
   ): Promise<{ ok: true; revision: number } | { ok: false; failed: string[] }>;
-  /** Repeats one transaction until the store gives a definite answer. */
+  /** Retries one transaction until the store returns a definite result. */
   commit(
     conditions: Condition[],
     changes: Change[],
--- a/packages/core/src/term.ts
+++ b/packages/core/src/term.ts
@@ -1,16 +1,16 @@
-/** The port to a leader's term. */
+/** The interface to a leader's term. */
 import type { Condition } from './store.js';
 
-/** The time of one controller as leader, as far as the writes of an extension need it. */
+/** The period in which one controller is leader, as seen by the writes of an extension. */
 export interface TermPort {
-  /** The prefix of this term's write ids. */
+  /** Prefix of this term's write ids. */
   id: string;
   /** Aborted when the term ends. */
   signal: AbortSignal;
-  /** What every write of the leader is conditioned on. */
+  /** Condition of every write of the leader: it still holds leadership. */
   leaderCondition(): Condition;
-  /** Whether the leader lease holds now. */
+  /** Whether the leader lease is valid now. */
   holdsLease(): boolean;
-  /** Ends the term: another controller leads. */
+  /** Ends the term because another controller has become leader. */
   end(): void;
 }
--- a/packages/core/src/token-bucket.ts
+++ b/packages/core/src/token-bucket.ts
@@ -1,14 +1,14 @@
 /** Rate limiting. */
 import type { Clock } from './clock.js';
 
-/** A token bucket: filled at a steady rate, up to the burst that may be spent at once. */
+/** A token bucket: refilled at a constant rate, up to its burst size. */
 export class TokenBucket {
   private lastRefillAt: number;
 
   /**
-   * @param perSecond tokens added a second
-   * @param capacity the burst, in tokens
-   * @param available tokens at first; a full bucket if omitted
+   * @param perSecond tokens added per second
+   * @param capacity burst size in tokens
+   * @param available initial number of tokens; a full bucket if omitted
    */
   constructor(
     private readonly clock: Clock,
@@ -19,17 +19,17 @@
     this.lastRefillAt = clock.now();
   }
 
-  /** How many tokens may be spent at once. */
+  /** Burst size in tokens. */
   get burst(): number {
     return this.capacity;
   }
 
-  /** The tokens at the last `fill`, less those spent since. */
+  /** Tokens at the last `fill`, minus those spent since. */
   get tokens(): number {
     return this.available;
   }
 
-  /** Adds the tokens due since the last call, and returns how many there are. */
+  /** Adds the tokens accrued since the last call, and returns the number available. */
   fill(): number {
     const now = this.clock.now();
     this.available = Math.min(
@@ -40,12 +40,12 @@
     return this.available;
   }
 
-  /** Takes tokens out; the number left may become negative. */
+  /** Removes tokens; the balance may become negative. */
   spend(tokens: number): void {
     this.available -= tokens;
   }
 
-  /** Changes the rate (tokens a second) and the burst (tokens) from now on. */
+  /** Changes the rate (tokens per second) and the burst size (tokens). */
   setRate(perSecond: number, burst: number): void {
     this.fill();
     this.perSecond = perSecond;
@@ -53,7 +53,7 @@
     this.available = Math.min(this.available, burst);
   }
 
-  /** How many milliseconds it takes to add so many tokens. */
+  /** Time in milliseconds that it takes to add this many tokens. */
   msFor(tokens: number): number {
     return (tokens / this.perSecond) * 1000;
   }
--- a/packages/operators/src/address.ts
+++ b/packages/operators/src/address.ts
@@ -1,16 +1,16 @@
-/** Addresses of listeners, as operators write them. */
+/** Parses listener addresses in the form that operators configure. */
 
 const ADDRESS_PATTERN = /^(\[[0-9a-fA-F:]+\]|[^:\s/]+):(\d{1,5})$/;
 const MAX_PORT = 65_535;
 
-/** An address that should have been checked when settings were read is none. */
+/** A listener address is malformed although it was validated when the settings were read. */
 export class InvalidAddressError extends Error {
   constructor(readonly address: string) {
-    super(`${address} is not HOST:PORT`);
+    super(`invalid listener address "${address}": expected HOST:PORT`);
   }
 }
 
-/** Host and port of `HOST:PORT` or `[IPv6]:PORT`; null if it is neither. */
+/** Splits `HOST:PORT` or `[IPv6]:PORT` into host and port; null if the address has neither form. */
 export function splitAddress(address: string): { host: string; port: number } | null {
   const [, host, digits] = ADDRESS_PATTERN.exec(address) ?? [];
   const port = Number(digits);
--- a/packages/operators/src/allow-list.ts
+++ b/packages/operators/src/allow-list.ts
@@ -1,9 +1,9 @@
-/** The allow-list of the operators' listener: IP networks, IPv4 and IPv6. */
+/** The allow-list of the operators' listener: IPv4 and IPv6 networks. */
 import ipaddr from 'ipaddr.js';
 
-/** An entry of the list is no network, or the list is empty. */
+/** The allow-list is empty, or one of its entries is not a network. */
 export class InvalidNetworkError extends Error {
-  /** @param network the entry; null: there is none */
+  /** @param network the invalid entry; null: the list is empty */
   constructor(
     message: string,
     readonly network: string | null,
@@ -13,13 +13,13 @@
   }
 }
 
-/** An address of the network and the length of its prefix in bits. */
+/** Address of a network and its prefix length in bits. */
 type Network = [ipaddr.IPv4 | ipaddr.IPv6, number];
 
-/** Bits before the IPv4 address in an IPv4-mapped IPv6 one. */
+/** Number of bits before the IPv4 address in an IPv4-mapped IPv6 address. */
 const MAPPED_PREFIX_BITS = 96;
 
-/** An allow-list of networks. */
+/** A list of networks whose addresses are allowed. */
 export class AllowList {
   private readonly networks: Network[];
 
@@ -30,10 +30,10 @@
     this.networks = entries.map(parseNetwork);
   }
 
-  /** Whether an address, as a socket gives it, is in one of the networks; undefined never is. */
+  /** Whether the remote address of a socket is in one of the networks; undefined never is. */
   allows(address: string | undefined): boolean {
     if (address === undefined || !ipaddr.isValid(address)) return false;
-    // An IPv4 peer of a socket that listens on IPv6 comes as a mapped address.
+    // On a socket that listens on IPv6, IPv4 peers have IPv4-mapped addresses.
     const peer = ipaddr.process(address);
     return this.networks.some(
       ([network, bits]) => network.kind() === peer.kind() && peer.match(network, bits),
--- a/packages/operators/src/api-answer.ts
+++ b/packages/operators/src/api-answer.ts
@@ -1,30 +1,33 @@
-/** Answers to operators and how they are worked out, the same for every extension. */
+/** Responses to operators, and error and conflict handling shared by all extensions. */
 import type { Logger } from '@leverhatch/core/log';
 import { InvalidRequestError } from './request.js';
 
-/** After how many seconds to retry when a controller does not serve. */
+/** `Retry-After` of responses with status 503, in seconds. */
 const RETRY_AFTER_SECONDS = 2;
 
-/** Attempts at a transaction that conflicts with those of other controllers. */
+/** Maximum number of attempts of a transaction that conflicts with those of other controllers. */
 const MAX_ATTEMPTS = 5;
 
-/** An answer to an operator. */
+/** A response to an operator. */
 export interface ApiAnswer {
-  /** HTTP status. */
+  /** HTTP status code. */
   status: 200 | 201 | 400 | 404 | 409 | 421 | 422 | 503;
   body: object;
-  /** After how many seconds to ask again. */
+  /** Delay in seconds after which to retry. */
   retryAfter?: number;
 }
 
-/** A refusal with one line that says why. */
+/** An error response with a one-line message. */
 export const errorAnswer = (status: ApiAnswer['status'], message: string): ApiAnswer => ({
   status,
   body: { error: message },
   ...(status === 503 ? { retryAfter: RETRY_AFTER_SECONDS } : {}),
 });
 
-/** Runs `answer` and turns what it throws into an answer: its own status for a bad request, or else 503. */
+/**
+ * Runs `handler` and converts errors into responses: an invalid request has its own status, all other errors
+ * give 503.
+ */
 export async function answering(
   log: Logger,
   handler: () => Promise<ApiAnswer>,
@@ -33,16 +36,16 @@
     return await handler();
   } catch (error) {
     if (error instanceof InvalidRequestError) return errorAnswer(error.status, error.message);
-    // The store failed, so a write may be ambiguous; requests are idempotent, and a repeat finds out.
+    // The store failed, so a write may be ambiguous. Requests are idempotent, so the client can retry.
     log.debug({ error: String(error) }, 'operator request failed');
     return errorAnswer(503, 'the state service does not serve');
   }
 }
 
 /**
- * Repeats an attempt while its write conflicts with one of another controller, `MAX_ATTEMPTS` times in all.
+ * Retries while the write conflicts with one of another controller, up to `MAX_ATTEMPTS` attempts in total.
  *
- * @param attempt reads, decides and writes; null: its conditions no longer held
+ * @param attempt reads, decides and writes; null: the conditions of its write no longer held
  */
 export async function retryingConflicts(
   attempt: () => Promise<ApiAnswer | null>,
@@ -54,7 +57,7 @@
   return conflictAnswer();
 }
 
-/** The answer after a conflict: another controller has changed the same records meanwhile. */
+/** The response after a conflict: another controller changed the same records in the meantime. */
 export const conflictAnswer = (): ApiAnswer => errorAnswer(503, 'changed at the same time');
 
 /** Generates write ids, unique among all processes and extensions. */
@@ -63,14 +66,14 @@
 
   /**
    * @param processId identifies the process
-   * @param extension distinguishes the write ids of one extension from those of others in the process
+   * @param extension distinguishes the write ids of extensions within the process
    */
   constructor(
     private readonly processId: string,
     private readonly extension: string,
   ) {}
 
-  /** The id of the next write. */
+  /** Returns the id of the next write. */
   next(): string {
     this.count++;
     return `${this.processId}/${this.extension}${this.count}`;
--- a/packages/operators/src/client.ts
+++ b/packages/operators/src/client.ts
@@ -1,30 +1,30 @@
-/** Asks controllers over their operators' interface, one after the other until one serves. */
+/** HTTP client for the operators' interface: tries controllers one after the other until one serves. */
 
-/** How long one controller is waited for before the next is asked, in milliseconds. */
+/** Timeout of a request to one controller before the next is tried, in milliseconds. */
 const REQUEST_TIMEOUT_MS = 5000;
 
-/** Statuses with which a controller passes a request on: it does not serve, or it does not lead. */
+/** Statuses after which the next controller is tried: 503, it does not serve, and 421, it is not the leader. */
 const NOT_SERVING_STATUSES: ReadonlySet<number> = new Set([503, 421]);
 
-/** What a controller answered. */
+/** The response of a controller. */
 export interface Answered {
-  /** HTTP status. */
+  /** HTTP status code. */
   status: number;
   body: Record<string, unknown>;
 }
 
-/** No controller served the request: it did not answer, or its store did not. */
+/** No controller served the request: each one or its store did not respond. */
 export class UnreachableError extends Error {
-  /** @param failures one line for each controller: its address and why it did not serve */
+  /** @param failures one line per controller: its address and why it did not serve */
   constructor(readonly failures: readonly string[]) {
     super(failures.join('; '));
   }
 }
 
 /**
- * Asks controllers in turn and returns the first answer of one that serves.
+ * Tries controllers in turn and returns the response of the first one that serves.
  *
- * @param addresses addresses of operators' listeners, `HOST:PORT`
+ * @param addresses addresses of operators' listeners, each `HOST:PORT`
  * @throws UnreachableError if none serves
  */
 export async function ask(
@@ -61,8 +61,8 @@
 }
 
 /**
- * Asks for what only the leader knows in full. Returns the answer that says `leading`, or else the first
- * one of a controller that serves.
+ * Requests information that only the leader has in full. Returns the response with `leading` set, or else
+ * the first response of a controller that serves.
  *
  * @throws UnreachableError if none serves
  */
@@ -83,7 +83,7 @@
   throw new UnreachableError(failures);
 }
 
-/** `fetch` says only that it failed; the reason is in the cause, sometimes only as its code. */
+/** Errors of `fetch` carry the reason only in their cause, sometimes only as its code. */
 function failureReason(error: unknown): string {
   if (!(error instanceof Error)) return String(error);
   const cause: (Error & { code?: unknown }) | null =
--- a/packages/operators/src/command.ts
+++ b/packages/operators/src/command.ts
@@ -1,4 +1,4 @@
-/** The frame of the operators' command `leverhatch`: groups of verbs, common options and exit codes. */
+/** Framework of the operators' command line `leverhatch`: subcommands, common options and exit codes. */
 import { Command, CommanderError, InvalidArgumentError } from 'commander';
 import { splitAddress } from './address.js';
 import { UnreachableError, type Answered } from './client.js';
@@ -11,53 +11,53 @@
 
 const BAD_INPUT_STATUSES: ReadonlySet<number> = new Set([400, 422]);
 
-/** Where the command writes. */
+/** Output streams of the command. */
 export interface Output {
   readonly out: (text: string) => void;
   readonly error: (text: string) => void;
 }
 
-/** Options of every verb. */
+/** Options of every subcommand. */
 export interface CommonOptions {
-  /** Addresses of operators' listeners, `HOST:PORT`. */
+  /** Addresses of operators' listeners, each `HOST:PORT`. */
   at: string[];
   json?: boolean;
 }
 
-/** Prints an answer, as JSON or as `text` renders it, and sets the exit code. */
+/** Prints a response, as JSON or as rendered by `text`, and sets the exit code. */
 export type Report = (
   options: CommonOptions,
   answered: Answered,
   text: (body: Record<string, unknown>) => string,
 ) => void;
 
-/** Adds one verb to the group of an extension, with the options of every verb. */
+/** Adds one subcommand to the group of an extension, with the common options. */
 export type AddVerb = (name: string, description: string) => Command;
 
-/** The verbs of one extension. */
+/** The subcommands of one extension. */
 export interface CommandPart {
   name: string;
   description: string;
   addVerbs(add: AddVerb, report: Report): void;
 }
 
-/** Input that is wrong whatever controllers know; the message is one line that names the option. */
+/** Input that is invalid regardless of the state of the cluster; the message is one line that names the option. */
 export class InvalidInputError extends Error {}
 
-/** An option that takes a number above 0. */
+/** Parses an option that takes a positive number. */
 export const positive = (text: string): number => {
   const value = Number(text);
   if (!Number.isFinite(value) || value <= 0) throw new InvalidArgumentError('must be positive.');
   return value;
 };
 
-/** An option that takes the address of a listener, and may be repeated. */
+/** Parses a repeatable option that takes the address of a listener. */
 const parseListenerAddress = (text: string, previous: string[] = []): string[] => {
   if (splitAddress(text) === null) throw new InvalidArgumentError('must be HOST:PORT.');
   return [...previous, text];
 };
 
-/** Runs the command and returns its exit code, one of `EXIT`. */
+/** Runs the command and returns its exit code, one of `EXIT_CODES`. */
 export async function runCommand(
   parts: readonly CommandPart[],
   argv: string[],
--- a/packages/operators/src/listener.ts
+++ b/packages/operators/src/listener.ts
@@ -1,4 +1,4 @@
-/** The operators' HTTP listener: a port of its own, open to the networks that the settings allow. */
+/** The operators' HTTP listener, on a separate port that only accepts requests from the allowed networks. */
 import { createServer, type Server } from 'node:http';
 import type { Logger } from '@leverhatch/core/log';
 import express, {
@@ -14,17 +14,17 @@
 
 const MAX_BODY = '16kb';
 
-/** Operators are few, so further connections are refused. */
+/** Connections beyond this are refused; there are only a few operators. */
 const MAX_CONNECTIONS = 16;
 
-/** The routes of one extension. */
+/** The HTTP routes of one extension. */
 export interface OperatorRoutes {
-  /** Prefix of the routes, such as `/shares`. */
+  /** Path prefix of the routes, such as `/shares`. */
   path: string;
   router: Router;
 }
 
-/** Sends an answer. */
+/** Sends a response. */
 export function send(response: Response, { status, body, retryAfter }: ApiAnswer): void {
   if (retryAfter !== undefined) response.setHeader('retry-after', String(retryAfter));
   response.status(status).json(body);
@@ -56,9 +56,9 @@
 }
 
 /**
- * Listens until `signal` is aborted; resolves once the port is open.
+ * Starts the listener, which runs until `signal` is aborted; resolves once it accepts connections.
  *
- * @param address `HOST:PORT`, as checked when settings were read
+ * @param address `HOST:PORT`, validated when the settings were read
  */
 export function listenForOperators(
   extensions: readonly OperatorRoutes[],
--- a/packages/operators/src/request.ts
+++ b/packages/operators/src/request.ts
@@ -1,18 +1,18 @@
-/** Validates the bodies of operators' requests; errors name the field. */
+/** Validates the bodies of operators' requests; errors name the invalid field. */
 import { z } from 'zod/mini';
 
-/** Clients choose ids; requests are idempotent by them. */
+/** Ids are chosen by clients and make requests idempotent. */
 const ID_PATTERN = /^[A-Za-z0-9][A-Za-z0-9._-]{0,63}$/;
 
-/** The schema of an id that operators choose. */
+/** Schema of an id chosen by an operator. */
 export const requestId = z
   .string()
   .check(z.regex(ID_PATTERN, 'must be 1 to 64 letters, digits, dots, dashes or underscores'));
 
-/** A request that is refused; the message is one line that names the field. */
+/** The request is invalid; the message is one line that names the field. */
 export class InvalidRequestError extends Error {
   constructor(
-    /** 400: malformed. 422: well formed, but it can't be done here. */
+    /** 400: malformed. 422: well-formed, but not possible in this cluster. */
     readonly status: 400 | 422,
     readonly field: string,
     message: string,
@@ -22,9 +22,9 @@
 }
 
 /**
- * Validates a body.
+ * Validates a request body.
  *
- * @throws InvalidRequestError that names the first field which does not fit the schema
+ * @throws InvalidRequestError that names the first field that does not match the schema
  */
 export function parseBody<T extends z.ZodMiniType>(schema: T, value: unknown): z.output<T> {
   const result = z.safeParse(schema, value);
--- a/packages/operators/test/command.test.ts
+++ b/packages/operators/test/command.test.ts
@@ -24,7 +24,7 @@
   return { code, out: out.join('\n'), error: error.join('\n') };
 }
 
-/** A port that was free a moment ago. */
+/** Returns a port on which nothing listens. */
 async function closedPort(): Promise<number> {
   const server = createServer();
   await new Promise<void>((resolve) => server.listen(0, '127.0.0.1', resolve));
@@ -36,7 +36,7 @@
 const START_ARGS = ['rollout', 'start', '--from', 'a', '--to', 'b'];
 const MOVE_ARGS = ['shares', 'move', '--from', 'x', '--to', 'y'];
 
-test('bad input ends with 2 and one line that names it, before anybody is asked', async () => {
+test('invalid input exits with code 2 and one line that names the option, without any request', async () => {
   const cases: [string[], RegExp][] = [
     [[...START_ARGS, '--at', 'nonsense'], /--at.*must be HOST:PORT/],
     [['shares', 'show', '--at', 'nonsense'], /--at.*must be HOST:PORT/],
@@ -58,14 +58,14 @@
   }
 });
 
-test('an unreachable controller ends with 3 and says why', async () => {
+test('an unreachable controller gives exit code 3 and the reason', async () => {
   const at = `127.0.0.1:${await closedPort()}`;
   const { code, error } = await run('rollout', 'status', '--at', at);
   assert.equal(code, 3);
   assert.match(error, /^127\.0\.0\.1:\d+: .*ECONNREFUSED/);
 });
 
-test('the next controller is asked where one does not serve; refusals and answers have their codes', async () => {
+test('the next controller is tried if one does not serve; each kind of response has its exit code', async () => {
   const answers: Record<string, [number, object]> = {
     '/rollouts': [200, { rollouts: [], unreadable: ['rollouts/status/r9'] }],
     '/rollouts/r1/pause': [409, { error: 'id: rollout r1 is over (done)' }],
@@ -100,7 +100,7 @@
   server.closeAllConnections();
 });
 
-test('what the leader alone knows is asked of the others as well, until one says that it leads', async () => {
+test('a request for leader-only information tries all controllers until one says that it leads', async () => {
   const startController = async (body: object): Promise<string> => {
     const server = createServer((_request, response) => response.end(JSON.stringify(body)));
     await new Promise<void>((resolve) => server.listen(0, '127.0.0.1', resolve));
@@ -118,7 +118,7 @@
   assert.equal(await leadingFrom(follower, `127.0.0.1:${await closedPort()}`), false);
 });
 
-test('addresses are HOST:PORT, also of IPv6', () => {
+test('addresses have the form HOST:PORT, including IPv6 addresses', () => {
   assert.deepEqual(splitAddress('[::1]:80'), { host: '::1', port: 80 });
   assert.deepEqual(splitAddress('berth-0:8090'), { host: 'berth-0', port: 8090 });
   for (const invalid of ['', ':80', 'a', 'a:b', 'a:70000', '::1:80', 'a/b:1']) {
