--- a/packages/shares/test/drain.test.ts
+++ b/packages/shares/test/drain.test.ts
@@ -19,7 +19,7 @@
 const taskIds = (tasks: DrainCandidate[]): string[] =>
   tasks.map((task) => `${task.job}/${task.task}`).sort();
 
-test('the least important work goes first, and no more of it than is needed', () => {
+test('the lowest priority is preempted first, and no more tasks than needed', () => {
   const candidates = [
     task('urgent', 0, { priority: 1 }),
     task('batch', 0),
@@ -31,7 +31,7 @@
   assert.deepEqual(chooseTasksToPreempt({ cpus: 0, gpus: 0 }, candidates), []);
 });
 
-test('a gang is stopped whole, and small work that it makes up for is left running', () => {
+test('a gang is preempted as a whole, and a small task that is then not needed keeps running', () => {
   const gang = [0, 1, 2, 3].map((count) =>
     task('gang', count, { isGangMember: true, lostWorkMs: 500 }),
   );
@@ -39,7 +39,7 @@
   assert.deepEqual(taskIds(chooseTasksToPreempt({ cpus: 0, gpus: 4 }, candidates)), taskIds(gang));
 });
 
-test('work that uses nothing of what is wanted is left alone', () => {
+test('tasks that hold none of the required resource are not preempted', () => {
   const candidates = [
     task('cpu', 0, { resources: { cpus: 4, gpus: 0 }, priority: 3 }),
     task('gpu', 0),
@@ -47,11 +47,11 @@
   assert.deepEqual(taskIds(chooseTasksToPreempt({ cpus: 0, gpus: 1 }, candidates)), ['gpu/0']);
 });
 
-test('where there is less than is wanted all of it goes', () => {
+test('all tasks are preempted if together they hold less than required', () => {
   assert.equal(chooseTasksToPreempt({ cpus: 0, gpus: 9 }, [task('a', 0), task('a', 1)]).length, 2);
 });
 
-test('of 32,000 tasks, as many as 4,000 machines hold, half are chosen within a part of a second', () => {
+test('half of 32,000 tasks, as many as 4,000 machines hold, are chosen within seconds', () => {
   const candidates = Array.from({ length: 32_000 }, (_, count) =>
     task(`job-${count % 400}`, count, { lostWorkMs: (count * 7919) % 60_000 }),
   );
@@ -63,5 +63,8 @@
     .map(({ lostWorkMs: lostWorkMs }) => lostWorkMs)
     .sort((a, b) => a - b);
   assert.equal(chosenLosses.at(-1), sortedLosses[15_999]);
-  assert.ok(performance.now() - startedAt < 5000, 'no step looks at all of them for each');
+  assert.ok(
+    performance.now() - startedAt < 5000,
+    'the choice is not quadratic in the number of tasks',
+  );
 });
--- a/packages/shares/test/policy.test.ts
+++ b/packages/shares/test/policy.test.ts
@@ -18,19 +18,19 @@
 const call = (source: string, view: object = {}): Promise<unknown> =>
   thread.call(source, 'propose', view);
 
-test('a script sees a copy of the view and answers proposals', async () => {
+test('a script receives a copy of its input and returns proposals', async () => {
   const source = 'function propose(view) { return view.teams.map((t) => ({ from: t.name })); }';
   assert.deepEqual(await call(source, { teams: [{ name: 'a' }] }), [{ from: 'a' }]);
 });
 
-test('a script that fails, or goes beyond its bounds, is refused and holds nobody up', async () => {
+test('a script that fails or exceeds its limits is rejected and does not affect the next call', async () => {
   const cases: [string, RegExp][] = [
     ['function propose( {', /SyntaxError/],
     ['function other() {}', /propose/],
     ['function propose() { throw new Error("no reason"); }', /no reason/],
     ['function propose() { for (;;); }', /interrupted/],
     ['function propose() { return propose(); }', /stack/i],
-    // Few steps, of which each copies much.
+    // Few steps, each of which copies a large value.
     [
       'function propose() { for (;;) "a".repeat(3e5).split("").reverse(); }',
       /took longer than 500 ms/,
@@ -49,10 +49,10 @@
       source,
     );
   }
-  assert.deepEqual(await call('function propose() { return []; }'), [], 'the next is not harmed');
+  assert.deepEqual(await call('function propose() { return []; }'), [], 'the next call succeeds');
 });
 
-test('there is no clock, no chance, no input or output, and nothing is kept between calls', async () => {
+test('scripts have no clock, random numbers, input or output, and keep no state between calls', async () => {
   const names = [
     'Date',
     'Math.random',
@@ -70,7 +70,7 @@
 const TO_B: Proposal = { from: 'a', to: 'b', limit: { gpus: 8 } };
 const TO_A: Proposal = { from: 'b', to: 'a', limit: { gpus: 8 } };
 
-/** What a governor does with proposals that come every minute; each that is admitted is done at once. */
+/** Returns the transfers that result from one evaluation per minute; admitted proposals take effect at once. */
 function simulate(proposed: (minute: number) => Proposal[], minutes: number): TransferRecord[] {
   const limiter = new ProposalLimiter({ confirmations: 3, movesPerHour: 4, holdMs: 10 * MINUTE });
   const transfers: TransferRecord[] = [];
@@ -85,12 +85,12 @@
   return transfers;
 }
 
-test('a proposal counts only when it has been made several times in a row', () => {
+test('a proposal is admitted only after it was made several times in a row', () => {
   assert.equal(simulate((minute) => (minute % 3 === 2 ? [] : [TO_B]), 30).length, 0);
   assert.equal(simulate(() => [TO_B], 3).length, 1);
 });
 
-test('two policies that want opposite things do not trade shares for ever', () => {
+test('alternating opposite proposals do not move quota back and forth without limit', () => {
   const transfers = simulate((minute) => (Math.floor(minute / 5) % 2 ? [TO_A] : [TO_B]), 600);
   for (const transfer of transfers) {
     const within = transfers.filter(
@@ -98,12 +98,12 @@
         other.requestedAt >= transfer.requestedAt &&
         other.requestedAt < transfer.requestedAt + 60 * MINUTE,
     );
-    assert.ok(within.length <= 4, 'the budget of an hour holds');
+    assert.ok(within.length <= 4, 'the hourly budget is kept');
   }
   for (const [i, transfer] of transfers.slice(1).entries()) {
     assert.ok(
       transfer.requestedAt - transfers[i]!.requestedAt >= 10 * MINUTE,
-      'and the pair rests between',
+      'the cooldown of the pair of teams is kept',
     );
   }
 });
--- a/packages/shares/test/request.test.ts
+++ b/packages/shares/test/request.test.ts
@@ -22,7 +22,7 @@
   return 'taken';
 }
 
-test('each kind of bad input is refused with one line that names the field', () => {
+test('each kind of invalid input is rejected with one line that names the field', () => {
   const cases: [object, RegExp][] = [
     [{ id: 'with space' }, /^400 id: /],
     [{ id: 'x'.repeat(65) }, /^400 id: /],
--- a/packages/shares/test/table.test.ts
+++ b/packages/shares/test/table.test.ts
@@ -42,7 +42,7 @@
   mayBegin: true,
 });
 
-/** Carries moves on until nothing more can be done; answers the records after each step. */
+/** Advances transfers until no step is possible and returns the resulting records. */
 function advanceUntilStable(transfers: TransferRecord[], context: StepContext): TransferRecord[] {
   let records = transfers;
   for (let i = 0; i < 100; i++) {
@@ -57,17 +57,17 @@
     const after = new Map(steps.map((step) => [step.after.id, step.after]));
     records = records.map((record) => after.get(record.id) ?? record);
   }
-  return assert.fail('it never comes to rest');
+  return assert.fail('the transfers never become stable');
 }
 
-test('the donor loses its limit first, and the receiver gains as the work of the donor leaves', () => {
+test('the donor loses its limit first, and the receiver gains it as tasks of the donor end', () => {
   const requested = [newTestTransfer('m', 'tuning', 'search', 0, 32)];
   const full = advanceUntilStable(requested, contextOf({ tuning: 64 }));
   const draining = quotaTable(BASE, { archivedTotals: [], transfers: full });
   assert.equal(full[0]!.phase, 'draining');
   assert.equal(draining.teams.get('tuning')!.limit.gpus, 32);
   assert.equal(draining.teams.get('tuning')!.ceiling.gpus, 64);
-  assert.equal(draining.teams.get('search')!.limit.gpus, 32, 'nothing is passed on yet');
+  assert.equal(draining.teams.get('search')!.limit.gpus, 32, 'nothing has been passed on yet');
 
   const half = advanceUntilStable(full, contextOf({ tuning: 48 }));
   assert.deepEqual(half[0]!.passed, gpus(16));
@@ -84,7 +84,7 @@
   );
 });
 
-test('a loan goes back by itself, never early, and only as the work of the borrower leaves', () => {
+test('a loan is returned automatically, never early, and only as tasks of the borrower end', () => {
   const loan = { ...newTestTransfer('m', 'tuning', 'desk', 8, 8), until: MINUTE };
   const lent = advanceUntilStable([loan], contextOf({}));
   assert.equal(lent[0]!.phase, 'lent');
@@ -94,7 +94,11 @@
   const table = quotaTable(BASE, { archivedTotals: [], transfers: back });
   assert.equal(table.teams.get('desk')!.limit.gpus, 16);
   assert.equal(table.teams.get('desk')!.guarantee.gpus, 8);
-  assert.equal(table.teams.get('tuning')!.limit.gpus, 56, 'the donor waits for it');
+  assert.equal(
+    table.teams.get('tuning')!.limit.gpus,
+    56,
+    'the donor waits for tasks of the borrower to end',
+  );
   const over = advanceUntilStable(back, contextOf({ desk: 16 }, MINUTE + 100));
   assert.equal(over[0]!.phase, 'returned');
   const { limit, guarantee } = quotaTable(BASE, { archivedTotals: [], transfers: over }).teams.get(
@@ -103,7 +107,7 @@
   assert.deepEqual([guarantee.gpus, limit.gpus], [16, 64]);
 });
 
-test('what cannot be moved is refused with the field that says why', () => {
+test('a transfer that is not possible is refused with the field and the reason', () => {
   const table = quotaTable(BASE, { archivedTotals: [], transfers: [] });
   assert.match(
     refusalReason(table, newTestTransfer('m', 'desk', 'search', 9, 9))!,
@@ -118,7 +122,7 @@
   assert.equal(refusalReason(table, newTestTransfer('m', 'desk', 'search', 8, 8)), null);
 });
 
-test('what was borrowed cannot be moved on, so a chain of loans cannot close', () => {
+test('borrowed quota cannot be transferred again, so loans cannot form a cycle', () => {
   const loan = { ...newTestTransfer('m1', 'tuning', 'search', 16, 32), until: MINUTE };
   const lent = advanceUntilStable([loan], contextOf({}));
   const onward = advanceUntilStable(
@@ -128,7 +132,7 @@
   assert.equal(onward[1]!.phase, 'refused');
 });
 
-test('what changed settings have no room for is suspended on both sides and named', () => {
+test('a transfer that no longer fits changed settings is suspended for both teams and reported', () => {
   const done = advanceUntilStable([newTestTransfer('m', 'tuning', 'desk', 16, 32)], contextOf({}));
   const shrunk = new Map([...BASE, ['tuning', quota(8, 32)]]);
   const { teams, suspended } = quotaTable(shrunk, { archivedTotals: [], transfers: done });
@@ -138,7 +142,7 @@
   assert.deepEqual([teams.get('tuning')!.limit.gpus, teams.get('desk')!.limit.gpus], [32, 16]);
 });
 
-test('over thousands of random steps no share counts twice and no team is above its ceiling', () => {
+test('over thousands of random steps no quota counts twice and no team exceeds its ceiling', () => {
   const names = [...BASE.keys()];
   for (let seed = 1; seed <= 200; seed++) {
     const generator = xoroshiro128plus(seed);
@@ -183,12 +187,12 @@
         assert.ok(used[name]! <= ceiling.gpus + 1e-6, `seed ${seed} step ${step}: ${name}`);
         ceilings += ceiling.gpus;
         guarantees += guarantee.gpus;
-        // Work starts up to the limit, and ends whenever it likes.
+        // Tasks start up to the limit and end at arbitrary times.
         if (used[name]! < limit.gpus)
           used[name] = Math.min(limit.gpus, used[name]! + randomUpTo(24));
         else used[name] = Math.max(0, used[name]! - randomUpTo(6));
       }
-      assert.ok(Math.abs(ceilings - 112) < 1e-6, 'ceilings add up to the limits of the settings');
+      assert.ok(Math.abs(ceilings - 112) < 1e-6, 'the ceilings add up to the configured limits');
       assert.ok(guarantees <= 24 + 1e-6);
     }
   }
--- a/test/loopback-quota-transfers.test.ts
+++ b/test/loopback-quota-transfers.test.ts
@@ -20,7 +20,7 @@
   phase: string;
 }
 
-/** Looks at what the workers run, again and again, and at what the store says each team may have. */
+/** Periodically compares what the workers run with the limits that follow from the records in the store. */
 class QuotaUsageChecker {
   readonly violations = new Set<string>();
   private readonly timer = setInterval(() => this.checkUsage(), 50);
@@ -71,7 +71,7 @@
   }
 }
 
-test(`${MACHINES} machines and real processes: shares move while the leader is killed`, async (t) => {
+test(`${MACHINES} machines and real processes: quota is transferred while the leader is killed`, async (t) => {
   const fleet = new Loopback(MACHINES, TEAMS);
   const checker = new QuotaUsageChecker(fleet);
   t.after(async () => {
@@ -84,7 +84,7 @@
 
   const tuning = await fleet.submit({ pieces: GPUS, crew: 'tuning', runMs: 600_000 });
   checker.assignTeam('tuning', tuning);
-  await fleet.until(() => fleet.on(tuning) === GPUS, 60, 'the tuning run holds every machine');
+  await fleet.until(() => fleet.on(tuning) === GPUS, 60, 'the tuning job occupies every machine');
 
   const plan = await operator('plan', '--from', 'tuning', '--to', 'search', '--gpus', '16');
   assert.equal(plan.code, 0, plan.said);
@@ -109,9 +109,9 @@
   await fleet.until(
     () => transferBegan('move-0') && transferBegan('move-1'),
     20,
-    'the moves begin',
+    'both transfers begin',
   );
-  // Both teams claim machines in the same second, at different controllers.
+  // Both teams submit services in the same second, to different controllers.
   const submittedAt = Date.now();
   const replicas = { shape: 'service', pieces: 20, runMs: 0 } as const;
   const services = await Promise.all(
@@ -122,9 +122,9 @@
   fleet.kill(fleet.leader!);
 
   const ready = (): boolean => services.every((job) => fleet.on(job) === 20);
-  await fleet.until(ready, 60, 'the replicas of both teams run');
+  await fleet.until(ready, 60, 'the replicas of both teams are running');
   t.diagnostic(`replicas of both teams ran after ${Date.now() - submittedAt} ms`);
-  assert.ok(fleet.on(tuning) >= GPUS - 40, 'nothing was stopped that still fits');
+  assert.ok(fleet.on(tuning) >= GPUS - 40, 'no task that still fits was stopped');
 
   const shown = await operator('show', '--json');
   assert.equal(shown.code, 0, shown.said);
--- a/test/quota-transfer-guards.test.ts
+++ b/test/quota-transfer-guards.test.ts
@@ -18,7 +18,7 @@
 import { FakeStore } from './fakes/store.js';
 import { fakeRandom, settings, SimulatedCluster } from './fakes/simulated-cluster.js';
 
-/** It leaves the team speech with a limit of 40 GPUs of the 64 that there are. */
+/** Leaves the team speech with a limit of 40 of the 64 GPUs. */
 const TRANSFER = { id: 'm1', from: 'speech', to: 'vision', limit: { gpus: 24 } };
 const REMAINING_LIMIT = 40;
 
@@ -35,7 +35,7 @@
   void answer.then(({ status }) => assert.equal(status, 201));
 };
 
-test('starts that were decided on the former table are not recorded, however late they reach the store', async () => {
+test('starts decided on the old quota table are not recorded, however late they reach the store', async () => {
   const cluster = await startCluster();
   const faultEnd = cluster.clock.now() + 5000;
   cluster.faults.storeFaults.add(({ body }) =>
@@ -43,15 +43,15 @@
   );
   const work = await cluster.submit({ pieces: 64, crew: 'speech', runMs: 600_000 });
   submit(cluster);
-  await cluster.until(() => transferPhase(cluster, 'm1') === 'done', 10, 'the move is done');
-  assert.ok(cluster.clock.now() < faultEnd, 'the starts are still on their way');
+  await cluster.until(() => transferPhase(cluster, 'm1') === 'done', 10, 'the transfer is done');
+  assert.ok(cluster.clock.now() < faultEnd, 'the writes of the starts are still delayed');
   await cluster.clock.advance(faultEnd - cluster.clock.now() - 200);
   cluster.crash(cluster.leader);
   assert.equal(await mostOn(cluster, work, 30), REMAINING_LIMIT);
   await cluster.close();
 });
 
-test('starts that wait to be written are taken back when the share falls, and planned anew', async () => {
+test('starts that wait to be written are withdrawn when the quota is reduced, and planned again', async () => {
   const cluster = await startCluster();
   const faultEnd = cluster.clock.now() + 3000;
   cluster.faults.storeFaults.add(({ body }) =>
@@ -59,16 +59,16 @@
   );
   const work = await cluster.submit({ pieces: 64, crew: 'speech', runMs: 600_000 });
   submit(cluster);
-  await cluster.until(() => transferPhase(cluster, 'm1') === 'done', 10, 'the move is done');
+  await cluster.until(() => transferPhase(cluster, 'm1') === 'done', 10, 'the transfer is done');
   assert.equal(await mostOn(cluster, work, 20), REMAINING_LIMIT);
   await cluster.close();
 });
 
-test('while nobody knows whether a share has fallen, nothing starts that would not fit if it has', async () => {
+test('while a quota reduction has an ambiguous result, no task starts that would exceed the reduced quota', async () => {
   const cluster = await startCluster();
   let faultEnd = Infinity;
   cluster.faults.storeFaults.add(({ body, path }) => {
-    // Nor does the leader learn of it by following the records.
+    // The watch fails as well, so the leader does not learn the result from it.
     const unknown = faultEnd < Infinity && cluster.clock.now() < faultEnd;
     if (path.startsWith('/follow?starts=shares') && unknown) return 'refuse';
     if (!writes(body, 'shares/head') || cluster.clock.now() > faultEnd) return 'serve';
@@ -76,20 +76,24 @@
     return 'lose answer';
   });
   submit(cluster);
-  await cluster.until(() => faultEnd < Infinity, 10, 'the table is being changed');
+  await cluster.until(() => faultEnd < Infinity, 10, 'the quota table is being changed');
   const work = await cluster.submit({ pieces: 64, crew: 'speech', runMs: 600_000 });
   assert.equal(await mostOn(cluster, work, 20), REMAINING_LIMIT);
   await cluster.close();
 });
 
-test('a new leader starts nothing before it has read the table', async () => {
+test('a new leader starts no task before it has read the quota table', async () => {
   const cluster = await startCluster();
   submit(cluster);
-  await cluster.until(() => transferPhase(cluster, 'm1') === 'done', 10, 'the move is done');
+  await cluster.until(() => transferPhase(cluster, 'm1') === 'done', 10, 'the transfer is done');
   const work = await cluster.submit({ pieces: 64, crew: 'speech', runMs: 600_000 });
-  await cluster.until(() => cluster.running(work) === REMAINING_LIMIT, 20, 'what fits runs');
+  await cluster.until(
+    () => cluster.running(work) === REMAINING_LIMIT,
+    20,
+    'the tasks that fit are running',
+  );
   cluster.crash(cluster.leader);
-  // Its first reading of the shares takes long, and what it could start waits.
+  // The first read of the quota transfer records by the new leader is delayed while tasks wait to start.
   const faultEnd = cluster.clock.now() + 6000;
   cluster.faults.storeFaults.add(({ path }) =>
     path.includes('starts=shares') && cluster.clock.now() < faultEnd ? 'refuse' : 'serve',
@@ -98,7 +102,7 @@
   await cluster.close();
 });
 
-test('a cancellation that comes between the leader reading a move and writing it is not lost', async () => {
+test('a cancellation between the read and the write of a transfer by the leader is not lost', async () => {
   const cluster = await startCluster();
   let cancelled = false;
   cluster.faults.storeFaults.add(({ body }) => {
@@ -113,12 +117,12 @@
   await cluster.until(
     () => transferPhase(cluster, 'm1') === 'cancelled',
     20,
-    'the move is cancelled',
+    'the transfer is cancelled',
   );
   await cluster.close();
 });
 
-/** The quota transfers of one leader without a cluster, with a request in the store. */
+/** Creates the quota transfers of one leader without a cluster, with a transfer request in the store. */
 async function startIsolatedLeader(
   leaderVersion: number,
   overrides: Partial<QuotaTransferPorts & SchedulerPort> = {},
@@ -173,15 +177,15 @@
   return { clock, fakeStore, leaderQuotas, end, record };
 }
 
-test('who leads no more changes nothing, and learns of it', async () => {
+test('a former leader changes no record, and its term ends', async () => {
   const { clock, fakeStore, leaderQuotas, end, record } = await startIsolatedLeader(1);
   void leaderQuotas.run(end.signal);
   await clock.advance(3000);
-  assert.ok(end.signal.aborted, 'its term is over');
+  assert.ok(end.signal.aborted, 'the term has ended');
   assert.deepEqual(fakeStore.get('shares/moves/m1'), record);
 });
 
-test('a cancellation that is heard of while the controllers are looked up is not lost', async () => {
+test('a cancellation received while the leader checks all controllers for the extension is not lost', async () => {
   let onLookup = async (): Promise<void> => undefined;
   const { clock, fakeStore, leaderQuotas, end, record } = await startIsolatedLeader(2, {
     isEnabledOnAllControllers: () => onLookup().then(() => true),
@@ -196,7 +200,7 @@
   end.abort();
 });
 
-test('starts whose table has changed are judged by the new one before they are tried again', async () => {
+test('starts rejected because the quota table changed are checked against the new one before a retry', async () => {
   const evaluatedLimits: number[] = [];
   const { clock, fakeStore, leaderQuotas, end, record } = await startIsolatedLeader(2, {
     withdrawStarts: (teams) => evaluatedLimits.push(teams.get('speech')!.limit.gpus),
--- a/test/quota-transfer-policy.test.ts
+++ b/test/quota-transfer-policy.test.ts
@@ -4,15 +4,15 @@
 import { EIGHT, quotaTransferApi, withQuotaTransfers } from './fakes/quota-checker.js';
 import { SimulatedCluster } from './fakes/simulated-cluster.js';
 
-/** Lends to a team that waits at its limit what the team with most to spare does not use. */
+/** Lends unused quota of another team to a team that has waiting tasks and is at its limit. */
 const LENDING_POLICY = `function propose({ teams, moves }) {
   if (moves.length > 0) return [];
-  const needy = teams.find((t) => t.waiting.gpus > 0 && t.limit.gpus !== null
+  const borrower = teams.find((t) => t.waiting.gpus > 0 && t.limit.gpus !== null
     && t.used.gpus >= t.limit.gpus);
-  const rich = teams.find((t) => t.limit.gpus !== null && t !== needy
+  const lender = teams.find((t) => t.limit.gpus !== null && t !== borrower
     && t.limit.gpus - t.used.gpus >= 16 && t.limit.gpus - t.guarantee.gpus >= 16);
-  if (!needy || !rich) return [];
-  return [{ from: rich.name, to: needy.name, limit: { gpus: 16 }, forSeconds: 60 }];
+  if (!borrower || !lender) return [];
+  return [{ from: lender.name, to: borrower.name, limit: { gpus: 16 }, forSeconds: 60 }];
 }`;
 
 async function startCluster(source: string): Promise<SimulatedCluster> {
@@ -34,20 +34,20 @@
     .filter(([key]) => key.startsWith('shares/moves/policy-'))
     .map(([, { value }]) => (value as { phase: string }).phase);
 
-test('a policy lends to a team that waits at its limit, also after the leader has changed', async () => {
+test('a policy lends quota to a team at its limit, also after a change of leader', async () => {
   const cluster = await startCluster(LENDING_POLICY);
   cluster.crash(cluster.leader);
   const work = await cluster.accept({ pieces: 48, runMs: 600_000 });
   await cluster.until(
     () => cluster.running(work) === 48,
     60,
-    'all of it runs, beyond the limit of the settings',
+    'all tasks run, beyond the configured limit',
   );
   assert.deepEqual(phases(cluster), ['lent']);
   await cluster.close();
 });
 
-test('a policy that fails leaves the table alone and is shown; scheduling goes on', async () => {
+test('a policy that fails changes no quota and is reported, and scheduling continues', async () => {
   const cluster = await startCluster('function propose() { for (;;); }');
   const job = await cluster.submit({ pieces: 40, runMs: 3000 });
   await cluster.settle();
--- a/test/quota-transfer-unheard-machines.test.ts
+++ b/test/quota-transfer-unheard-machines.test.ts
@@ -9,16 +9,16 @@
 import type { FakeWorker, FakeTask } from './fakes/worker.js';
 import { SimulatedCluster } from './fakes/simulated-cluster.js';
 
-/** As many GPUs as the limits of both teams add up to. */
+/** Machines with as many GPUs as the limits of both teams add up to. */
 const TWELVE = [...EIGHT, ...EIGHT.slice(2, 6)];
 const TUNING_TASKS = 80;
 const SERVICE_TASKS = 16;
 const MORE_REPLICAS = 8;
 
-/** Machines that are unresponsive for a fraction of their lease. */
+/** Number of machines that send no heartbeat for a fraction of their lease. */
 const SILENT_MACHINES = 5;
 
-/** Gives the team of the service a limit that its first replicas use up. */
+/** Reduces the limit of the team of the service to what its first replicas need. */
 const LOWER_LIMIT = { id: 'm0', from: 'vision', to: 'speech', limit: { gpus: 16 } };
 const TRANSFER = {
   id: 'm1',
@@ -33,7 +33,7 @@
   tuning: string;
 }
 
-/** The limit of the team of the service is what its first replicas need. */
+/** Starts a cluster in which the limit of the team of the service is what its first replicas need. */
 async function startWithLowerLimit(): Promise<SimulatedCluster> {
   const simulatedCluster = new SimulatedCluster(TWELVE, 3);
   simulatedCluster.cloud.capacity = TWELVE.length;
@@ -43,24 +43,32 @@
   await simulatedCluster.until(
     () => transferPhase(simulatedCluster, 'm0') === 'done',
     60,
-    'the limit is lower',
+    'the limit is reduced',
   );
   return simulatedCluster;
 }
 
-/** The first replicas, which use up the limit of their team. */
+/** Starts the first replicas, which use up the limit of their team. */
 async function startService(cluster: SimulatedCluster): Promise<void> {
   const service = await cluster.submit({ shape: 'service', pieces: SERVICE_TASKS, runMs: 0 });
-  await cluster.until(() => cluster.running(service) === SERVICE_TASKS, 20, 'the service runs');
+  await cluster.until(
+    () => cluster.running(service) === SERVICE_TASKS,
+    20,
+    'the service is running',
+  );
 }
 
-/** A tuning run and a service hold all machines, both teams at their limits. */
+/** A tuning job and a service occupy all machines, with both teams at their limits. */
 async function startScenario(): Promise<Scenario> {
   const cluster = await startWithLowerLimit();
   await startService(cluster);
   const tuning = await cluster.submit({ pieces: TUNING_TASKS, crew: 'speech', runMs: 600_000 });
-  await cluster.until(() => cluster.running(tuning) === TUNING_TASKS, 20, 'every machine is full');
-  // By now all tasks lose as much as between two checkpoints: the first ones would be stopped.
+  await cluster.until(
+    () => cluster.running(tuning) === TUNING_TASKS,
+    20,
+    'all machines are fully occupied',
+  );
+  // By now all tasks would lose the work between two checkpoints, so the first ones would be stopped.
   await cluster.pass(12);
   return { cluster, tuning };
 }
@@ -81,7 +89,7 @@
   return pieces.filter(({ job, phase }) => job === wantedJob && phase === 'running').length;
 }
 
-/** More replicas, beyond the limit of their team until the transfer has raised it. */
+/** Submits more replicas, which exceed the limit of their team until the transfer has raised it. */
 async function requestMoreReplicas(cluster: SimulatedCluster): Promise<string> {
   const replicas = await cluster.submit(
     { shape: 'service', pieces: MORE_REPLICAS, runMs: 0 },
@@ -91,12 +99,16 @@
   return replicas;
 }
 
-/** The replicas get what they need and no more: no task of the run is stopped to start again. */
+/** The replicas get what they need and no more: no task of the tuning job is stopped and started again. */
 async function assertNothingElseStopped(
   { cluster, tuning }: Scenario,
   replicas: string,
 ): Promise<void> {
-  await cluster.until(() => cluster.running(replicas) === MORE_REPLICAS, 60, 'the replicas run');
+  await cluster.until(
+    () => cluster.running(replicas) === MORE_REPLICAS,
+    60,
+    'the replicas are running',
+  );
   await cluster.pass(5);
   const starts = cluster.starts.filter((start) => start.startsWith(tuning));
   assert.deepEqual(
@@ -106,7 +118,7 @@
   await cluster.close();
 }
 
-/** The replicas replace tasks on responsive machines. */
+/** The replicas replace only tasks on machines that send heartbeats. */
 async function assertSilentMachinesKeepTasks(scenario: Scenario): Promise<void> {
   const { cluster, tuning } = scenario;
   const silent = cluster.holding(tuning).slice(0, SILENT_MACHINES);
@@ -124,18 +136,18 @@
   await cluster.anotherLeads(former, 20);
 }
 
-// Guards that a drain stops only what runs on machines that are heard: tasks of others were stopped,
-// and as many beside them on those that were.
-test(`${SILENT_MACHINES} of ${TWELVE.length} machines are silent for seconds: a drain takes none of their tasks`, async () => {
+// Guards that a drain stops only tasks on machines that send heartbeats. The fault: tasks on silent machines
+// were stopped, and in addition as many on the others.
+test(`${SILENT_MACHINES} of ${TWELVE.length} machines are silent for seconds: a drain stops none of their tasks`, async () => {
   const scenario = await startScenario();
   muteMachines(scenario);
   await scenario.cluster.pass(4);
   await assertSilentMachinesKeepTasks(scenario);
 });
 
-// Guards that a drain waits until a new leader has heard the machines: what the former one told to stop
-// is written nowhere else.
-test(`the leader ends in the middle of a drain on ${TWELVE.length} machines: the next one stops no more`, async () => {
+// Guards that a new leader does not continue a drain before it has heartbeats of the machines: the stop commands
+// of the former leader are recorded nowhere else.
+test(`the leader crashes during a drain on ${TWELVE.length} machines: the next one stops no more tasks`, async () => {
   const scenario = await startScenario();
   const { cluster, tuning } = scenario;
   const replicas = await requestMoreReplicas(cluster);
@@ -148,7 +160,7 @@
   await assertNothingElseStopped(scenario, replicas);
 });
 
-test(`one of ${TWELVE.length} machines is silent: a drain takes a gang that is heard as a whole`, async () => {
+test(`one of ${TWELVE.length} machines is silent: a drain stops a gang of which all machines send heartbeats`, async () => {
   const cluster = await startWithLowerLimit();
   const gangs: string[] = [];
   for (let i = 0; i < TUNING_TASKS / 16; i++) {
@@ -158,7 +170,7 @@
   await cluster.until(
     () => gangs.every((gang) => cluster.running(gang) === 2),
     60,
-    'all gangs run',
+    'all gangs are running',
   );
   await startService(cluster);
   await cluster.pass(12);
@@ -172,7 +184,11 @@
     'a gang is stopped',
   );
   silent.mute = false;
-  await cluster.until(() => cluster.running(replicas) === MORE_REPLICAS, 60, 'the replicas run');
+  await cluster.until(
+    () => cluster.running(replicas) === MORE_REPLICAS,
+    60,
+    'the replicas are running',
+  );
   assert.equal(cluster.running(gangs[0]!), 2);
   await cluster.close();
 });
--- a/test/quota-transfer-versions.test.ts
+++ b/test/quota-transfer-versions.test.ts
@@ -10,11 +10,11 @@
 import { change, install, passOffice } from './fakes/versions.js';
 import { SimulatedCluster } from './fakes/simulated-cluster.js';
 
-// The controllers of earlier versions are the real ones, from the bundles in test/fixtures/controllers.
+// Controllers of earlier versions run the released code, from the bundles in test/fixtures/controllers.
 
 const TRANSFER = { id: 'm1', from: 'speech', to: 'vision', limit: { gpus: 24 } };
 
-/** What is left to the donor after it, and after two of them. */
+/** The donor's limit after one such transfer, and after two. */
 const REMAINING_LIMIT = 40;
 const REMAINING_LIMIT_AFTER_TWO = 16;
 
@@ -26,7 +26,7 @@
 }
 
 for (const release of RELEASES) {
-  test(`no move begins before the last ${release} is upgraded, whoever leads`, async () => {
+  test(`no transfer begins before the last ${release} is upgraded, whichever controller is leader`, async () => {
     const simulatedCluster = new SimulatedCluster(EIGHT, 3);
     simulatedCluster.cloud.capacity = EIGHT.length;
     withQuotaTransfers(simulatedCluster);
@@ -42,19 +42,19 @@
     await simulatedCluster.until(
       () => transferPhase(simulatedCluster, 'm1') === 'done',
       30,
-      'the move is done',
+      'the transfer is done',
     );
     const work = await simulatedCluster.submit({ pieces: 64, crew: 'speech', runMs: 5000 });
     await simulatedCluster.until(
       () => simulatedCluster.running(work) === REMAINING_LIMIT,
       20,
-      'what fits runs',
+      'the tasks that fit are running',
     );
     await simulatedCluster.settle();
     await simulatedCluster.close();
   });
 
-  test(`a controller that goes back to ${release} and leads leaves the records as they are`, async () => {
+  test(`a controller that is downgraded to ${release} and leads does not change the records`, async () => {
     const simulatedCluster = new SimulatedCluster(EIGHT, 3);
     simulatedCluster.cloud.capacity = EIGHT.length;
     withQuotaTransfers(simulatedCluster);
@@ -63,7 +63,7 @@
     await simulatedCluster.until(
       () => transferPhase(simulatedCluster, 'm1') === 'done',
       30,
-      'the move is done',
+      'the transfer is done',
     );
     const before = [...simulatedCluster.store.keys].filter(([key]) => key.startsWith('shares/'));
     await change(simulatedCluster, 2, release);
@@ -76,8 +76,9 @@
       [...simulatedCluster.store.keys].filter(([key]) => key.startsWith('shares/')),
       before,
     );
-    // What is moved holds again, and nothing more moves until that controller is back. One that writes
-    // no member record can't be told from the one before it: the operators' page says so.
+    // Completed transfers apply again, and no further one begins until that controller is upgraded again. A
+    // release that writes no member record cannot be told apart from the version before it, so for such a
+    // release the transfer is carried out; the operators' page documents this.
     await submit(simulatedCluster, 'm2', 1);
     await simulatedCluster.pass(10);
     assert.equal(
@@ -91,7 +92,7 @@
     await simulatedCluster.until(
       () => simulatedCluster.running(work) === remainingLimit,
       20,
-      'what fits runs',
+      'the tasks that fit are running',
     );
     await simulatedCluster.close();
   });
--- a/test/quota-transfers.test.ts
+++ b/test/quota-transfers.test.ts
@@ -12,7 +12,7 @@
 import type { Fate } from './fakes/store.js';
 import { SimulatedCluster } from './fakes/simulated-cluster.js';
 
-/** What is moved in most scenarios: a third of what the team speech may use. */
+/** The transfer in most scenarios: a third of what the team speech may use. */
 const TRANSFER = {
   id: 'm1',
   from: 'speech',
@@ -26,10 +26,10 @@
   checker: QuotaChecker;
 }
 
-/** As many GPUs as the limits of both teams add up to: nobody's limit has slack to pass on. */
+/** Machines with as many GPUs as the limits of both teams add up to, so that no limit has slack to pass on. */
 const TWELVE = [...EIGHT, ...EIGHT.slice(2, 6)];
 
-/** Machines with eight GPUs each, none to be rented, and three controllers. */
+/** Starts a cluster of machines with eight GPUs each and three controllers; no machine can be provisioned. */
 async function startScenario(seed = 0, machines = EIGHT): Promise<Scenario> {
   const simulatedCluster = new SimulatedCluster(machines, 3, seed);
   simulatedCluster.cloud.capacity = machines.length;
@@ -49,13 +49,17 @@
 ): Promise<void> =>
   cluster.until(() => transferPhase(cluster, id) === phase, seconds, `${id} is ${phase}`);
 
-test('a share is moved while jobs run: the donor drains by itself and nothing that fits is stopped', async () => {
+test('quota is transferred while jobs run: the donor drains on its own and no task that fits is stopped', async () => {
   const { cluster } = await startScenario();
   const tuning = await cluster.submit({ pieces: 56, crew: 'speech', runMs: 30_000 });
-  await cluster.until(() => cluster.running(tuning) === 56, 20, 'the tuning run has its machines');
+  await cluster.until(
+    () => cluster.running(tuning) === 56,
+    20,
+    'all tasks of the tuning job are running',
+  );
   assert.equal((await submit(cluster, TRANSFER, 1)).status, 201);
   await phaseIs(cluster, 'm1', 'draining');
-  assert.equal(cluster.running(tuning), 56, 'nobody waits for it, so nothing is stopped');
+  assert.equal(cluster.running(tuning), 56, 'no team waits for the quota, so no task is stopped');
   await phaseIs(cluster, 'm1', 'done', 90);
   await cluster.settle();
   assert.equal(
@@ -66,19 +70,23 @@
   await cluster.close();
 });
 
-test('replicas of the receiver start within a minute on machines that a tuning run holds', async () => {
+test('replicas of the receiver start within a minute on machines occupied by a tuning job', async () => {
   const { cluster } = await startScenario();
   const tuning = await cluster.submit({ pieces: 64, crew: 'speech', runMs: 600_000 });
-  await cluster.until(() => cluster.running(tuning) === 64, 20, 'the tuning run has every machine');
+  await cluster.until(
+    () => cluster.running(tuning) === 64,
+    20,
+    'the tuning job occupies every machine',
+  );
   await submit(cluster, { ...TRANSFER, guarantee: { gpus: 16 }, limit: { gpus: 16 } });
-  // Within the guarantee as it is after the move, and beyond the one before.
+  // Within the guarantee after the transfer, but beyond the one before.
   const replicas = await cluster.submit({ shape: 'service', pieces: 28, runMs: 0 });
-  await cluster.until(() => cluster.running(replicas) === 28, 60, 'the replicas run');
-  assert.ok(cluster.running(tuning) >= 64 - 28 - 1, 'no more is stopped than they need');
+  await cluster.until(() => cluster.running(replicas) === 28, 60, 'the replicas are running');
+  assert.ok(cluster.running(tuning) >= 64 - 28 - 1, 'no more tasks are stopped than needed');
   await cluster.close();
 });
 
-test('what the receiver waits for at its limit is drained, and no more; the youngest work goes', async () => {
+test('only what the receiver needs at its limit is drained, and the youngest tasks are stopped', async () => {
   const { cluster } = await startScenario(0, TWELVE);
   await submit(cluster, {
     ...TRANSFER,
@@ -94,27 +102,27 @@
   await cluster.until(
     () => cluster.running(replicas) === 16 && cluster.running(old) === 70,
     20,
-    'all run',
+    'all tasks are running',
   );
   await cluster.pass(5);
   const young = await cluster.submit({ pieces: 10, crew: 'speech', runMs: 600_000 });
-  await cluster.until(() => cluster.running(young) === 10, 20, 'every machine is full');
+  await cluster.until(() => cluster.running(young) === 10, 20, 'all machines are fully occupied');
   const more = await cluster.submit({ shape: 'service', pieces: 4, runMs: 0 });
   await cluster.pass(5);
   assert.equal(cluster.running(more), 0, 'the team is at its limit');
   await submit(cluster, { ...TRANSFER, limit: { gpus: 8 } });
-  await cluster.until(() => cluster.running(more) === 4, 60, 'the replicas run');
+  await cluster.until(() => cluster.running(more) === 4, 60, 'the replicas are running');
   await cluster.pass(10);
   assert.deepEqual([cluster.running(old), cluster.running(young)], [70, 6]);
   assert.equal(
     transferPhase(cluster, 'm1'),
     'draining',
-    'nobody waits for the rest, so it ends by itself',
+    'no team waits for the rest, so its tasks end on their own',
   );
   await cluster.close();
 });
 
-test('a repeat gets the same answer at any controller, another move under its id is refused', async () => {
+test('a repeated request gets the same transfer at any controller, another transfer with its id is refused', async () => {
   const { cluster } = await startScenario();
   assert.equal((await submit(cluster, TRANSFER, 0)).status, 201);
   assert.equal((await submit(cluster, TRANSFER, 2)).status, 200);
@@ -124,16 +132,16 @@
   assert.equal(
     (await askQuotaTransfers(cluster, 1, (d) => d.cancel('m1'))).status,
     409,
-    'it is over',
+    'the transfer has ended',
   );
   assert.equal((await askQuotaTransfers(cluster, 1, (d) => d.cancel('m9'))).status, 404);
   await cluster.close();
 });
 
-test('a move, its cancellation and its opposite in one second at three controllers', async () => {
+test('a transfer, its cancellation and its opposite within one second at three controllers', async () => {
   const { cluster } = await startScenario();
   const work = await cluster.submit({ pieces: 64, crew: 'speech', runMs: 20_000 });
-  await cluster.until(() => cluster.running(work) === 64, 20, 'runs');
+  await cluster.until(() => cluster.running(work) === 64, 20, 'all tasks are running');
   const opposite = { ...TRANSFER, id: 'm2', from: 'vision', to: 'speech', limit: { gpus: 8 } };
   const accepted = [submit(cluster, TRANSFER, 0), submit(cluster, opposite, 1)];
   await cluster.pass(0.5);
@@ -145,21 +153,21 @@
   await cluster.close();
 });
 
-test('a loan goes back although the leader ends at that very moment', async () => {
+test('a loan is returned although the leader crashes when it is due', async () => {
   const { cluster } = await startScenario();
   await submit(cluster, { ...TRANSFER, forSeconds: 40 });
   await phaseIs(cluster, 'm1', 'lent');
   const until = (cluster.store.get('shares/moves/m1') as { until: number }).until;
-  await cluster.until(() => cluster.clock.wall() >= until, 60, 'its time is over');
+  await cluster.until(() => cluster.clock.wall() >= until, 60, 'the loan is due');
   cluster.crash(cluster.leader);
   await phaseIs(cluster, 'm1', 'returned');
   await cluster.close();
 });
 
-test('while machines are cut off their work still counts, the receiver waits and operators see for what', async () => {
+test('tasks on unreachable machines still count, the receiver waits and operators see for what', async () => {
   const { cluster } = await startScenario();
   const work = await cluster.submit({ pieces: 64, crew: 'speech', runMs: 15_000 });
-  await cluster.until(() => cluster.running(work) === 64, 20, 'runs');
+  await cluster.until(() => cluster.running(work) === 64, 20, 'all tasks are running');
   for (const worker of [...cluster.workers.values()].slice(0, 4)) worker.hung = true;
   await submit(cluster, TRANSFER);
   await phaseIs(cluster, 'm1', 'draining');
@@ -171,10 +179,10 @@
   await cluster.close();
 });
 
-test('users cancel what is being drained', async () => {
+test('a user cancels a job that is being drained', async () => {
   const { cluster } = await startScenario();
   const work = await cluster.submit({ pieces: 64, crew: 'speech', runMs: 600_000 });
-  await cluster.until(() => cluster.running(work) === 64, 20, 'runs');
+  await cluster.until(() => cluster.running(work) === 64, 20, 'all tasks are running');
   await submit(cluster, TRANSFER);
   await phaseIs(cluster, 'm1', 'draining');
   await cluster.cancel(work, 1);
@@ -183,16 +191,16 @@
   await cluster.close();
 });
 
-test('every team is at its limit and has work waiting: nothing is stopped, the share moves as work ends', async () => {
+test('every team is at its limit and has tasks waiting: none is stopped, quota is passed on as tasks end', async () => {
   const { cluster } = await startScenario(0, TWELVE);
   const donorJob = await cluster.submit({ pieces: 80, crew: 'speech', runMs: 20_000 });
   const receiverJob = await cluster.submit({ pieces: 60, runMs: 20_000 });
   await cluster.until(
     () => cluster.running(donorJob) === 64 && cluster.running(receiverJob) === 32,
     20,
-    'both are full',
+    'both teams are at their limits',
   );
-  // Its new guarantee is below what it uses: it has no claim to stop anybody's work.
+  // The new guarantee of the receiver is below its usage, so no task of another team may be preempted for it.
   await submit(cluster, { ...TRANSFER, limit: { gpus: 8 } });
   await phaseIs(cluster, 'm1', 'done', 90);
   await cluster.settle();
@@ -201,22 +209,26 @@
   await cluster.close();
 });
 
-test('a zone is cut off while its delegate serves: what runs there counts until it is heard of', async () => {
+test('a zone is partitioned while its delegate serves: its tasks count until the leader hears of them', async () => {
   const { cluster } = await startScenario();
   const work = await cluster.submit({ pieces: 64, crew: 'speech', runMs: 15_000 });
-  await cluster.until(() => cluster.running(work) === 64, 20, 'runs');
+  await cluster.until(() => cluster.running(work) === 64, 20, 'all tasks are running');
   cluster.split(true);
   await submit(cluster, { ...TRANSFER, limit: { gpus: 40 } }, cluster.leader);
   await phaseIs(cluster, 'm1', 'draining');
   await cluster.pass(20);
-  assert.equal(transferPhase(cluster, 'm1'), 'draining', 'half of it may still run behind the cut');
+  assert.equal(
+    transferPhase(cluster, 'm1'),
+    'draining',
+    'half of the tasks may still run in the partitioned zone',
+  );
   cluster.split(false);
   await phaseIs(cluster, 'm1', 'done');
   await cluster.settle();
   await cluster.close();
 });
 
-test('no move begins while a controller has shares switched off; it begins once that one has', async () => {
+test('no transfer begins until every controller has the extension enabled', async () => {
   const simulatedCluster = new SimulatedCluster(EIGHT, 3);
   withQuotaTransfers(simulatedCluster);
   const off = simulatedCluster.nodes[2]!;
@@ -233,7 +245,7 @@
   await simulatedCluster.close();
 });
 
-test('a record that cannot be read stops moves and not scheduling, and is shown with its key', async () => {
+test('an unreadable record stops transfers but not scheduling, and is reported with its key', async () => {
   const { cluster } = await startScenario();
   cluster.store.write('shares/moves/broken', { nonsense: true });
   await submit(cluster, TRANSFER);
@@ -248,10 +260,10 @@
   await cluster.close();
 });
 
-test('the store is out for longer than cancel_s in the middle of a drain', async () => {
+test('the store is unavailable for longer than cancel_s during a drain', async () => {
   const { cluster } = await startScenario();
   const work = await cluster.submit({ pieces: 64, crew: 'speech', runMs: 20_000 });
-  await cluster.until(() => cluster.running(work) === 64, 20, 'runs');
+  await cluster.until(() => cluster.running(work) === 64, 20, 'all tasks are running');
   await submit(cluster, TRANSFER);
   await phaseIs(cluster, 'm1', 'draining');
   cluster.store.down = true;
@@ -262,7 +274,7 @@
   await cluster.close();
 });
 
-test('five hundred moves queue and all are carried out, in the order in which they came', async () => {
+test('five hundred queued transfers are all carried out, in the order of their requests', async () => {
   const { cluster, checker } = await startScenario();
   for (let i = 0; i < 500; i++) {
     const [from, to] = i % 2 ? ['speech', 'vision'] : ['vision', 'speech'];
@@ -275,49 +287,53 @@
     [...cluster.store.keys]
       .filter(([key]) => key.startsWith('shares/moves/'))
       .map(([, { value }]) => (value as { phase: string }).phase);
-  await cluster.until(() => phases().every((phase) => phase === 'done'), 300, 'all are done');
+  await cluster.until(
+    () => phases().every((phase) => phase === 'done'),
+    300,
+    'all transfers are done',
+  );
   await cluster.until(() => phases().length <= 200, 300, 'the history is bounded');
-  assert.ok(checker.changes < 1000, `${checker.changes} changes of the table`);
+  assert.ok(checker.changes < 1000, `${checker.changes} changes of the quota table`);
   await cluster.close();
 });
 
-// ---- each step of a move against each failure of the leader that writes it
+// ---- each step of a transfer, combined with each failure during its write
 
 type Failure = (cluster: SimulatedCluster, leader: number) => Fate;
 
 const FAILURES: Record<string, Failure> = {
-  'the leader ends before the store has it': (cluster, leader) => {
+  'the leader crashes before the write reaches the store': (cluster, leader) => {
     cluster.crash(leader);
     void cluster.clock.sleep(8000).then(() => cluster.restart(leader));
     return 'lose request';
   },
-  'the leader ends after the store has it': (cluster, leader) => {
+  'the leader crashes after the store applied the write': (cluster, leader) => {
     void cluster.clock.sleep(1).then(() => cluster.crash(leader));
     void cluster.clock.sleep(8000).then(() => cluster.restart(leader));
     return 'lose answer';
   },
-  'the leader stands still past its lease': (cluster, leader) => {
+  'the leader is frozen beyond its lease': (cluster, leader) => {
     cluster.freeze(leader, 8000);
     return 'serve';
   },
-  'the store refuses the leader alone': (cluster, leader) => {
+  'the store refuses only the leader': (cluster, leader) => {
     const until = cluster.clock.now() + 8000;
     cluster.nodes[leader]!.fate = () => (cluster.clock.now() < until ? 'refuse' : 'serve');
     return 'refuse';
   },
-  'only the answer is lost': () => 'lose answer',
-  'it is applied seconds later': () => ({ applyAfterMs: 6000 }),
+  'only the response is lost': () => 'lose answer',
+  'the write is applied seconds later': () => ({ applyAfterMs: 6000 }),
 };
 
-const STEPS = ['accepted', 'begun', 'passed on', 'passed on again', 'going back', 'back'];
+const STEPS = ['accepted', 'begun', 'passed on', 'passed on again', 'returning', 'returned'];
 
 for (const [name, fail] of Object.entries(FAILURES)) {
   for (const [step, stepName] of STEPS.entries()) {
-    test(`a loan survives when it is being ${stepName} and ${name}`, async () => {
+    test(`a loan completes although at the step "${stepName}" ${name}`, async () => {
       const { cluster } = await startScenario(step);
       const work = await cluster.submit({ pieces: 56, crew: 'speech', runMs: 12_000 });
       const rest = await cluster.submit({ pieces: 40, crew: 'vision', runMs: 6000 });
-      await cluster.until(() => cluster.running(work) > 40, 20, 'runs');
+      await cluster.until(() => cluster.running(work) > 40, 20, 'most tasks are running');
       let writes = 0;
       cluster.faults.storeFaults.add(({ node, path, body }) => {
         if (path !== '/txn' || !JSON.stringify(body).includes('"write":"shares/')) return 'serve';
@@ -327,8 +343,8 @@
       await cluster.pass(1);
       await submit(cluster, { ...TRANSFER, forSeconds: 40 }, 2);
       await phaseIs(cluster, 'm1', 'returned', 150);
-      assert.ok(writes > step, 'the failure came about');
-      // Until the last fault is over, so that every controller answers.
+      assert.ok(writes > step, 'the failure was injected');
+      // Wait until the last fault is over, so that every controller responds.
       await cluster.pass(10);
       await cluster.settle();
       assert.equal(await cluster.phase(rest, 1), 'done');
