--- a/packages/shares/src/amounts.ts
+++ b/packages/shares/src/amounts.ts
@@ -41,7 +41,7 @@
 });
 
 /** Whether the amount of every resource is zero or less, within the tolerance. */
-export const isZero = (a: Amounts): boolean =>
+export const isNonPositive = (a: Amounts): boolean =>
   RESOURCES.every((resource) => a[resource] <= TOLERANCE);
 
 /** The resources for which `a` exceeds `b` by more than the tolerance. */
--- a/packages/shares/src/leader-quotas.ts
+++ b/packages/shares/src/leader-quotas.ts
@@ -12,7 +12,14 @@
   type QuotaTable,
   type TeamQuota,
 } from './quota-table.js';
-import { isZero, maximum, ZERO_AMOUNTS, minimum, subtract, type Amounts } from './amounts.js';
+import {
+  isNonPositive,
+  maximum,
+  ZERO_AMOUNTS,
+  minimum,
+  subtract,
+  type Amounts,
+} from './amounts.js';
 import { chooseTasksToPreempt, type DrainCandidate } from './preemption-choice.js';
 import { QUOTA_TRANSFER_KEYS } from './keys.js';
 import { storedWriteId, type ManifestRecord, type TransferRecord } from './transfer-record.js';
@@ -127,7 +134,7 @@
         maximum(ZERO_AMOUNTS, subtract(entitledDemand, expectedRelease)),
         excess(remainingUse, donor),
       );
-      if (isZero(amountToPreempt)) continue;
+      if (isNonPositive(amountToPreempt)) continue;
       chosen.push(...chooseTasksToPreempt(amountToPreempt, candidates(transfer.from)));
     }
     return chosen;
--- a/packages/shares/src/policy/governor.ts
+++ b/packages/shares/src/policy/governor.ts
@@ -1,7 +1,8 @@
 /**
  * Keeps a policy from oscillating: a proposal becomes a request only if it was made several times in a row,
- * within an hourly budget of transfers, and not shortly after another transfer between the same teams. Budget
- * and cooldown are derived from the records, so a new leader loses only the counts of the last few proposals.
+ * within an hourly budget of transfers, and not shortly after another of the policy's transfers between the same
+ * teams. Budget and cooldown are derived from the records, so a new leader loses only the counts of the last few
+ * proposals.
  */
 import type { TransferRecord } from '../transfer-record.js';
 
--- a/packages/shares/src/preemption-choice.ts
+++ b/packages/shares/src/preemption-choice.ts
@@ -5,7 +5,7 @@
 import {
   add,
   resourcesExceeding,
-  isZero,
+  isNonPositive,
   maximum,
   ZERO_AMOUNTS,
   RESOURCES,
@@ -160,7 +160,7 @@
   };
   for (;;) {
     const missing = missingAfter(required, chosen);
-    if (isZero(missing)) {
+    if (isNonPositive(missing)) {
       considerSolution(chosen);
       break;
     }
@@ -201,7 +201,7 @@
   const chosen: Unit[] = [];
   for (const priority of priorities) {
     const missing = missingAfter(required, chosen);
-    if (isZero(missing)) break;
+    if (isNonPositive(missing)) break;
     chosen.push(
       ...chooseUnits(
         missing,
--- a/packages/shares/src/request.ts
+++ b/packages/shares/src/request.ts
@@ -1,7 +1,7 @@
 /** Validates the bodies of operators' transfer requests. */
 import { InvalidRequestError, parseBody, requestId } from '@leverhatch/operators/request';
 import { z } from 'zod/mini';
-import { isZero, ZERO_AMOUNTS, type Amounts } from './amounts.js';
+import { isNonPositive, ZERO_AMOUNTS, type Amounts } from './amounts.js';
 import { MAX_KEY_BYTES, QUOTA_TRANSFER_KEYS } from './keys.js';
 import { storedWriteId, type TransferRecord } from './transfer-record.js';
 import type { TeamQuota } from './quota-table.js';
@@ -81,7 +81,7 @@
 ): TransferRequest {
   const { id, from, to, guarantee, limit, forSeconds, ...times } = parseBody(bodySchema, value);
   checkTeams(from, to, base);
-  if (isZero(guarantee) && isZero(limit)) {
+  if (isNonPositive(guarantee) && isNonPositive(limit)) {
     throw new InvalidRequestError(400, 'guarantee', 'nothing is moved');
   }
   const until = returnTime(times.until, forSeconds, wallNow);
--- a/packages/shares/src/transitions.ts
+++ b/packages/shares/src/transitions.ts
@@ -4,7 +4,7 @@
  */
 import {
   add,
-  isZero,
+  isNonPositive,
   maximum,
   ZERO_AMOUNTS,
   RESOURCES,
@@ -109,11 +109,11 @@
     transfer.passed,
     passableAmount(remaining, transfer.limit, donor.ceiling, used),
   );
-  if (isZero(subtract(transfer.limit, passed))) {
+  if (isNonPositive(subtract(transfer.limit, passed))) {
     const phase = transfer.until === null ? 'done' : 'lent';
     return { ...transfer, phase, passed: transfer.limit, guaranteePassed: true };
   }
-  if (transfer.guaranteePassed && isZero(subtract(passed, transfer.passed))) return null;
+  if (transfer.guaranteePassed && isNonPositive(subtract(passed, transfer.passed))) return null;
   return { ...transfer, passed, guaranteePassed: true };
 }
 
@@ -126,7 +126,7 @@
   const used = context.used.get(transfer.to) ?? ZERO_AMOUNTS;
   const returned = passableAmount(transfer.passed, transfer.limit, receiver.ceiling, used);
   const passed = subtract(transfer.passed, returned);
-  if (isZero(passed)) {
+  if (isNonPositive(passed)) {
     return {
       ...transfer,
       phase: transfer.outcome ?? 'returned',
@@ -134,7 +134,7 @@
       guaranteePassed: false,
     };
   }
-  if (!transfer.guaranteePassed && isZero(returned)) return null;
+  if (!transfer.guaranteePassed && isNonPositive(returned)) return null;
   return { ...transfer, passed, guaranteePassed: false };
 }
 
--- a/packages/shares/test/drain.test.ts
+++ b/packages/shares/test/drain.test.ts
@@ -58,10 +58,8 @@
   const startedAt = performance.now();
   const chosen = chooseTasksToPreempt({ cpus: 0, gpus: 16_000 }, candidates);
   assert.equal(chosen.length, 16_000);
-  const chosenLosses = chosen.map(({ lostWorkMs: lostWorkMs }) => lostWorkMs).sort((a, b) => a - b);
-  const sortedLosses = candidates
-    .map(({ lostWorkMs: lostWorkMs }) => lostWorkMs)
-    .sort((a, b) => a - b);
+  const chosenLosses = chosen.map(({ lostWorkMs }) => lostWorkMs).sort((a, b) => a - b);
+  const sortedLosses = candidates.map(({ lostWorkMs }) => lostWorkMs).sort((a, b) => a - b);
   assert.equal(chosenLosses.at(-1), sortedLosses[15_999]);
   assert.ok(
     performance.now() - startedAt < 5000,
--- a/packages/shares/test/table.test.ts
+++ b/packages/shares/test/table.test.ts
@@ -62,21 +62,21 @@
 
 test('the donor loses its limit first, and the receiver gains it as tasks of the donor end', () => {
   const requested = [newTestTransfer('m', 'tuning', 'search', 0, 32)];
-  const full = advanceUntilStable(requested, contextOf({ tuning: 64 }));
-  const draining = quotaTable(BASE, { archivedTotals: [], transfers: full });
-  assert.equal(full[0]!.phase, 'draining');
+  const drainingRecords = advanceUntilStable(requested, contextOf({ tuning: 64 }));
+  const draining = quotaTable(BASE, { archivedTotals: [], transfers: drainingRecords });
+  assert.equal(drainingRecords[0]!.phase, 'draining');
   assert.equal(draining.teams.get('tuning')!.limit.gpus, 32);
   assert.equal(draining.teams.get('tuning')!.ceiling.gpus, 64);
   assert.equal(draining.teams.get('search')!.limit.gpus, 32, 'nothing has been passed on yet');
 
-  const half = advanceUntilStable(full, contextOf({ tuning: 48 }));
-  assert.deepEqual(half[0]!.passed, gpus(16));
+  const halfPassed = advanceUntilStable(drainingRecords, contextOf({ tuning: 48 }));
+  assert.deepEqual(halfPassed[0]!.passed, gpus(16));
   assert.equal(
-    quotaTable(BASE, { archivedTotals: [], transfers: half }).teams.get('search')!.limit.gpus,
+    quotaTable(BASE, { archivedTotals: [], transfers: halfPassed }).teams.get('search')!.limit.gpus,
     48,
   );
 
-  const done = advanceUntilStable(half, contextOf({ tuning: 32 }));
+  const done = advanceUntilStable(halfPassed, contextOf({ tuning: 32 }));
   assert.equal(done[0]!.phase, 'done');
   assert.equal(
     quotaTable(BASE, { archivedTotals: [], transfers: done }).teams.get('search')!.limit.gpus,
@@ -89,9 +89,9 @@
   const lent = advanceUntilStable([loan], contextOf({}));
   assert.equal(lent[0]!.phase, 'lent');
   assert.equal(advanceUntilStable(lent, contextOf({}, MINUTE + 99))[0]!.phase, 'lent');
-  const back = advanceUntilStable(lent, contextOf({ desk: 24 }, MINUTE + 100));
-  assert.equal(back[0]!.phase, 'returning');
-  const table = quotaTable(BASE, { archivedTotals: [], transfers: back });
+  const returning = advanceUntilStable(lent, contextOf({ desk: 24 }, MINUTE + 100));
+  assert.equal(returning[0]!.phase, 'returning');
+  const table = quotaTable(BASE, { archivedTotals: [], transfers: returning });
   assert.equal(table.teams.get('desk')!.limit.gpus, 16);
   assert.equal(table.teams.get('desk')!.guarantee.gpus, 8);
   assert.equal(
@@ -99,11 +99,12 @@
     56,
     'the donor waits for tasks of the borrower to end',
   );
-  const over = advanceUntilStable(back, contextOf({ desk: 16 }, MINUTE + 100));
-  assert.equal(over[0]!.phase, 'returned');
-  const { limit, guarantee } = quotaTable(BASE, { archivedTotals: [], transfers: over }).teams.get(
-    'tuning',
-  )!;
+  const returned = advanceUntilStable(returning, contextOf({ desk: 16 }, MINUTE + 100));
+  assert.equal(returned[0]!.phase, 'returned');
+  const { limit, guarantee } = quotaTable(BASE, {
+    archivedTotals: [],
+    transfers: returned,
+  }).teams.get('tuning')!;
   assert.deepEqual([guarantee.gpus, limit.gpus], [16, 64]);
 });
 
@@ -125,11 +126,11 @@
 test('borrowed quota cannot be transferred again, so loans cannot form a cycle', () => {
   const loan = { ...newTestTransfer('m1', 'tuning', 'search', 16, 32), until: MINUTE };
   const lent = advanceUntilStable([loan], contextOf({}));
-  const onward = advanceUntilStable(
+  const afterSecond = advanceUntilStable(
     [...lent, newTestTransfer('m2', 'search', 'tuning', 16, 16)],
     contextOf({}),
   );
-  assert.equal(onward[1]!.phase, 'refused');
+  assert.equal(afterSecond[1]!.phase, 'refused');
 });
 
 test('a transfer that no longer fits changed settings is suspended for both teams and reported', () => {
@@ -169,16 +170,16 @@
           transfers[at] = { ...transfers[at]!, cancelRequested: true };
       }
       const context = contextOf(used, wall);
-      const requests = transfers.filter((move) => move.phase === 'requested');
+      const requests = transfers.filter((transfer) => transfer.phase === 'requested');
       const steps = nextTransitions(
-        { archivedTotals: [], transfers: transfers },
+        { archivedTotals: [], transfers },
         requests,
         context,
         1 + randomUpTo(5),
       );
       const after = new Map(steps.map((step) => [step.after.id, step.after]));
-      transfers = transfers.map((move) => after.get(move.id) ?? move);
-      const { teams, suspended } = quotaTable(BASE, { archivedTotals: [], transfers: transfers });
+      transfers = transfers.map((transfer) => after.get(transfer.id) ?? transfer);
+      const { teams, suspended } = quotaTable(BASE, { archivedTotals: [], transfers });
       assert.deepEqual(suspended, []);
       let ceilings = 0;
       let guarantees = 0;
--- a/test/loopback-quota-transfers.test.ts
+++ b/test/loopback-quota-transfers.test.ts
@@ -98,13 +98,13 @@
     '--gpus',
     '16',
   ]);
-  for (const [i, move] of transferArgs.entries()) {
-    const { code, said } = await operator('move', ...move, '--id', `move-${i}`);
+  for (const [i, transfer] of transferArgs.entries()) {
+    const { code, said } = await operator('move', ...transfer, '--id', `move-${i}`);
     assert.equal(code, 0, said);
   }
   const transferBegan = (id: string): boolean => {
-    const move = fleet.store.get(`shares/moves/${id}`) as StoredTransfer | undefined;
-    return move !== undefined && move.phase !== 'requested';
+    const transfer = fleet.store.get(`shares/moves/${id}`) as StoredTransfer | undefined;
+    return transfer !== undefined && transfer.phase !== 'requested';
   };
   await fleet.until(
     () => transferBegan('move-0') && transferBegan('move-1'),
--- a/test/quota-transfer-guards.test.ts
+++ b/test/quota-transfer-guards.test.ts
@@ -137,7 +137,7 @@
     settings(),
     1000,
   );
-  const end = new AbortController();
+  const termEnd = new AbortController();
   const leaderQuotas = new LeaderQuotas(
     {
       ...{ store, clock, log, random: runtime.random, base: settings().teams, clockErrorMs: 100 },
@@ -148,10 +148,10 @@
     },
     {
       id: 'term',
-      signal: end.signal,
+      signal: termEnd.signal,
       leaderCondition: () => ({ key: 'leader', version: leaderVersion }),
       holdsLease: () => true,
-      end: () => end.abort(),
+      end: () => termEnd.abort(),
     },
     {
       used: () => new Map<string, Amounts>(),
@@ -171,38 +171,50 @@
     ...{ guarantee: { cpus: 0, gpus: 0 }, limit: { cpus: 0, gpus: 8 } },
   };
   fakeStore.write('shares/moves/m1', record);
-  const loaded = leaderQuotas.load(end.signal);
+  const loading = leaderQuotas.load(termEnd.signal);
   await clock.advance(100);
-  await loaded;
-  return { clock, fakeStore, leaderQuotas, end, record };
+  await loading;
+  return { clock, fakeStore, leaderQuotas, end: termEnd, record };
 }
 
 test('a former leader changes no record, and its term ends', async () => {
-  const { clock, fakeStore, leaderQuotas, end, record } = await startIsolatedLeader(1);
-  void leaderQuotas.run(end.signal);
+  const { clock, fakeStore, leaderQuotas, end: termEnd, record } = await startIsolatedLeader(1);
+  void leaderQuotas.run(termEnd.signal);
   await clock.advance(3000);
-  assert.ok(end.signal.aborted, 'the term has ended');
+  assert.ok(termEnd.signal.aborted, 'the term has ended');
   assert.deepEqual(fakeStore.get('shares/moves/m1'), record);
 });
 
 test('a cancellation received while the leader checks all controllers for the extension is not lost', async () => {
   let onLookup = async (): Promise<void> => undefined;
-  const { clock, fakeStore, leaderQuotas, end, record } = await startIsolatedLeader(2, {
+  const {
+    clock,
+    fakeStore,
+    leaderQuotas,
+    end: termEnd,
+    record,
+  } = await startIsolatedLeader(2, {
     isEnabledOnAllControllers: () => onLookup().then(() => true),
   });
   onLookup = async () => {
     fakeStore.write('shares/moves/m1', { ...record, cancelRequested: true });
     await clock.sleep(1000);
   };
-  void leaderQuotas.run(end.signal);
+  void leaderQuotas.run(termEnd.signal);
   await clock.advance(5000);
   assert.equal((fakeStore.get('shares/moves/m1') as { phase: string }).phase, 'cancelled');
-  end.abort();
+  termEnd.abort();
 });
 
 test('starts rejected because the quota table changed are checked against the new one before a retry', async () => {
   const evaluatedLimits: number[] = [];
-  const { clock, fakeStore, leaderQuotas, end, record } = await startIsolatedLeader(2, {
+  const {
+    clock,
+    fakeStore,
+    leaderQuotas,
+    end: termEnd,
+    record,
+  } = await startIsolatedLeader(2, {
     withdrawStarts: (teams) => evaluatedLimits.push(teams.get('speech')!.limit.gpus),
   });
   const failed = leaderQuotas.condition();
@@ -213,5 +225,5 @@
   await clock.advance(100);
   await handled;
   assert.deepEqual(evaluatedLimits, [56]);
-  end.abort();
+  termEnd.abort();
 });
--- a/test/quota-transfer-versions.test.ts
+++ b/test/quota-transfer-versions.test.ts
@@ -77,8 +77,8 @@
       before,
     );
     // Completed transfers apply again, and no further one begins until that controller is upgraded again. A
-    // release that writes no member record cannot be told apart from the version before it, so for such a
-    // release the transfer is carried out; the operators' page documents this.
+    // downgraded controller that writes no member record cannot be told apart from the version that ran before
+    // the downgrade, so in this case the transfer is carried out; the operators' page documents this.
     await submit(simulatedCluster, 'm2', 1);
     await simulatedCluster.pass(10);
     assert.equal(
--- a/test/quota-transfers.test.ts
+++ b/test/quota-transfers.test.ts
@@ -231,15 +231,15 @@
 test('no transfer begins until every controller has the extension enabled', async () => {
   const simulatedCluster = new SimulatedCluster(EIGHT, 3);
   withQuotaTransfers(simulatedCluster);
-  const off = simulatedCluster.nodes[2]!;
-  const shares = off.extensions.get('shares')!;
-  off.extensions.clear();
+  const disabledNode = simulatedCluster.nodes[2]!;
+  const shares = disabledNode.extensions.get('shares')!;
+  disabledNode.extensions.clear();
   await simulatedCluster.start();
   await submit(simulatedCluster, TRANSFER, 0);
   await simulatedCluster.pass(20);
   assert.equal(transferPhase(simulatedCluster, 'm1'), 'requested');
   simulatedCluster.crash(2);
-  off.extensions.set('shares', shares);
+  disabledNode.extensions.set('shares', shares);
   simulatedCluster.restart(2);
   await phaseIs(simulatedCluster, 'm1', 'done');
   await simulatedCluster.close();
@@ -334,16 +334,16 @@
       const work = await cluster.submit({ pieces: 56, crew: 'speech', runMs: 12_000 });
       const rest = await cluster.submit({ pieces: 40, crew: 'vision', runMs: 6000 });
       await cluster.until(() => cluster.running(work) > 40, 20, 'most tasks are running');
-      let writes = 0;
+      let writeCount = 0;
       cluster.faults.storeFaults.add(({ node, path, body }) => {
         if (path !== '/txn' || !JSON.stringify(body).includes('"write":"shares/')) return 'serve';
-        return writes++ === step ? fail(cluster, node) : 'serve';
+        return writeCount++ === step ? fail(cluster, node) : 'serve';
       });
       void quotaTransferApi(cluster, 1)!.submit({ ...TRANSFER, forSeconds: 40 });
       await cluster.pass(1);
       await submit(cluster, { ...TRANSFER, forSeconds: 40 }, 2);
       await phaseIs(cluster, 'm1', 'returned', 150);
-      assert.ok(writes > step, 'the failure was injected');
+      assert.ok(writeCount > step, 'the failure was injected');
       // Wait until the last fault is over, so that every controller responds.
       await cluster.pass(10);
       await cluster.settle();
