--- a/src/election/successor-policy.ts
+++ b/src/election/successor-policy.ts
@@ -41,8 +41,8 @@
  * can take a whole lease. No controller can shorten a failover that has begun, so the leader should
  * be a controller with a responsive backup.
  *
- * Workers are assumed to try the controllers in the order of their names. Only the length of a
- * short delay depends on this assumption.
+ * Workers are assumed to try the controllers in the order of their names. Only the choice of the
+ * leader and the delay before a campaign depend on this assumption.
  */
 export class SuccessorPolicy {
   private readonly order: string[];
--- a/src/fleet/machine.ts
+++ b/src/fleet/machine.ts
@@ -166,7 +166,10 @@
     );
   }
 
-  /** Whether the machine is idle or has only running replicas, so no change is expected on it. */
+  /**
+   * Whether all tasks that may have been sent to the worker are running replicas, so no change
+   * is expected on the machine. False while it is to be released or reclaimed.
+   */
   get isIdleOrServing(): boolean {
     if (this.preemptionNoticeAt !== null || this.isReleasing) return false;
     for (const placement of this.placements.values()) {
--- a/src/fleet/stop-command-sender.ts
+++ b/src/fleet/stop-command-sender.ts
@@ -35,7 +35,7 @@
     private readonly onResponse: (heartbeat: WorkerHeartbeat) => void,
   ) {}
 
-  /** Queues a command; all commands to a machine from one event loop turn share a request. */
+  /** Queues a command; commands to a machine that are queued synchronously share a request. */
   add(machine: Machine, command: WorkerCommand): void {
     const commands = this.queuedCommands.get(machine);
     if (commands) commands.push(command);
--- a/src/http/client.ts
+++ b/src/http/client.ts
@@ -48,7 +48,7 @@
 
 /** Resource limits for requests to one external service or to a group of hosts. */
 export interface CallLimits {
-  /** The maximum number of concurrent connections. */
+  /** The maximum number of concurrent connections; not enforced with `keepIdleMs`. */
   sockets: number;
   /** A longer response is discarded, and the request counts as having got none. */
   maxResponseBytes: number;
@@ -67,8 +67,8 @@
 }
 
 /**
- * Returns a factory of transports to many hosts that share the limit `sockets`; idle connections are
- * kept open for `keepIdleMs` only.
+ * Returns a factory of transports to many hosts. Without `keepIdleMs` they share the limit `sockets`
+ * and do not reuse connections; otherwise idle connections are kept open for `keepIdleMs`.
  */
 export function httpTransportFactory(limits: CallLimits): (address: string) => Transport {
   const agent = createAgent(limits);
@@ -76,9 +76,9 @@
 }
 
 /**
- * With `keepIdleMs` there is no limit on the total number of sockets: the agent counts idle connections
- * in the total and does not close them to connect to another host. Only the caller's request rate
- * bounds the number of connections then.
+ * With `keepIdleMs` there is one connection to each host, but no limit on the total number of sockets:
+ * the agent counts idle connections in the total and does not close them to connect to another host.
+ * Only the caller's request rate bounds the number of connections then.
  */
 function createAgent({ sockets, keepIdleMs }: CallLimits): Agent {
   if (keepIdleMs === undefined) return new Agent({ keepAlive: false, maxTotalSockets: sockets });
--- a/src/membership/membership.ts
+++ b/src/membership/membership.ts
@@ -201,7 +201,8 @@
       'record format read by all controllers',
     );
     const { rangedRuns } = RECORD_FORMATS;
-    // From now on the store may apply its announced limits at any time.
+    // From now on the store may apply its announced limits at any time, so requests must keep to
+    // them.
     if (previousFormat < rangedRuns && this.allRead(rangedRuns)) this.store.limits.applyAnnounced();
   }
 
--- a/src/scheduler/job-order.ts
+++ b/src/scheduler/job-order.ts
@@ -41,7 +41,7 @@
 /**
  * Returns the position in the scheduling order; lower values go first. Being within the guarantee
  * is worth one and a half priority levels, so that production jobs beyond their guarantee still go
- * before batch jobs within theirs.
+ * before jobs of normal priority within theirs.
  */
 export function rank(priority: Priority, guaranteed: boolean): number {
   return priority * 2 - (guaranteed ? 3 : 0);
--- a/src/scheduler/preemption.ts
+++ b/src/scheduler/preemption.ts
@@ -19,7 +19,7 @@
 interface PreemptionChoice {
   machine: MachineView;
   candidates: PreemptionCandidate[];
-  /** Lost work in machine milliseconds, plus one per task. */
+  /** Sum of the tasks' lost run times in milliseconds, plus one per task. */
   loss: number;
 }
 
--- a/src/scheduler/scheduling-cycle.ts
+++ b/src/scheduler/scheduling-cycle.ts
@@ -14,8 +14,8 @@
 import { addTasks, quotaHeadroom } from './team-capacity.js';
 
 /**
- * An image whose fetch takes less than this counts as cached, because avoiding the fetch is not
- * worth preempting other tasks.
+ * An image that a machine is already fetching counts as cached there if tasks would wait for less
+ * than this, because avoiding so short a wait is not worth preempting other tasks.
  */
 const NEGLIGIBLE_FETCH_SECONDS = 3;
 
@@ -57,7 +57,8 @@
     return {
       starts: this.starter.starts,
       admittedGang: this.gangs.admittedGang,
-      // Consolidates only while no job waits, so that stopped replicas restart immediately.
+      // Consolidates only while no job waits (apart from opportunistic ones, which are scheduled
+      // last), so that stopped replicas restart immediately.
       stops:
         regularJobs.length === 0
           ? consolidate(snapshot.movableReplicas, upMachines, snapshot.jobs)
@@ -115,7 +116,7 @@
   /**
    * Places replicas of high-priority services on machines that have their image cached, if
    * necessary by preempting other tasks, because a replica cannot serve requests during a long
-   * image fetch. Returns the number of replicas placed.
+   * image fetch. Returns the number of replicas that start now or for which capacity is being freed.
    */
   private startWhereImageIsCached(
     job: JobView,
--- a/src/scheduler/scheduling-model.ts
+++ b/src/scheduler/scheduling-model.ts
@@ -6,7 +6,7 @@
 import type { JobSpec, Priority } from '../jobs/job.js';
 import type { ExpectedTasks } from './demand-forecast.js';
 
-/** A machine in the snapshot; the cycle modifies its own copy of `free`. */
+/** A machine in the snapshot; the cycle modifies `free`, `images` and `incomingGb`. */
 export interface MachineView {
   id: string;
   type: MachineType;
@@ -61,7 +61,10 @@
   /** Ids of machines to avoid because the job failed there. */
   avoidedMachines: ReadonlySet<string>;
   gang: GangView | null;
-  /** False while it waits for a retry after a failure or is inadmissible. */
+  /**
+   * False while it waits for a retry after a failure, while its stored record is unreadable, and for
+   * a gang that is suspended or still has placements.
+   */
   isAdmissible: boolean;
   /**
    * True if it has failed on every machine so far. It is tried after all other jobs and on free
@@ -102,7 +105,7 @@
   spec: JobSpec;
   /** Priority of its job, raised by jobs that depend on it. */
   priority: Priority;
-  /** Work that would be lost and repeated, in machine milliseconds. */
+  /** Run time of the task that would be lost and repeated, in milliseconds. */
   lostWorkMs: number;
   /** Number of times it was stopped without a checkpoint. */
   stopsWithoutCheckpoint: number;
--- a/src/settings/operator.ts
+++ b/src/settings/operator.ts
@@ -6,8 +6,9 @@
 import { readSettingsFile, SettingsError } from './error.js';
 
 /**
- * Settings of the operators in addition to the platform's deploy file. Each number is relative to a
- * value of the deploy file or of the machine types, so that one set of defaults fits different fleets.
+ * Settings of the operators in addition to the platform's deploy file. `lifetime` and `idleBoots` are
+ * relative to a value of the deploy file or of the machine types, so that one set of defaults fits
+ * different fleets; the other numbers are absolute.
  */
 export interface OperatorSettings {
   /** `lifetime`: the leader lease, as a fraction of a worker's lease. */
@@ -20,7 +21,7 @@
   operators: { listen: string; allow: string };
   /** Quota transfers. */
   shares: {
-    /** `yes` or `no`; if empty, transfers are enabled by `listen`. */
+    /** `yes` enables transfers; with `no` or if empty, only a value of `listen` enables them. */
     enabled: string;
     /**
      * Legacy name of `operators.listen`, from before other extensions used it; a value enables
