--- a/src/scheduler/scheduling-model.ts
+++ b/src/scheduler/scheduling-model.ts
@@ -62,13 +62,14 @@
   avoidedMachines: ReadonlySet<string>;
   gang: GangView | null;
   /**
-   * False while it waits for a retry after a failure, while its stored record is unreadable, and for
-   * a gang that is suspended or still has placements.
+   * False while it waits for a retry after a failure, while one of its stored records is unreadable,
+   * and for a gang that is suspended or still has placements.
    */
   isAdmissible: boolean;
   /**
-   * True if it has failed on every machine so far. It is tried after all other jobs and on free
-   * capacity only, without preemption, reservations, scale-out or admission at the gang gate.
+   * True if it has failed on several machines and none of its tasks has proven healthy. It is tried
+   * after all other jobs and on free capacity only, without preemption, reservations, scale-out or
+   * admission at the gang gate.
    */
   isLastResortRetry: boolean;
 }
