--- a/packages/core/src/clock.ts
+++ b/packages/core/src/clock.ts
@@ -28,7 +28,7 @@
 };
 
 /**
- * Maximum relative drift between two monotonic clocks: each is off by up to 0.05 %. Bounds on the clocks
- * of other nodes add it twice.
+ * Maximum relative drift between two monotonic clocks: each is off by up to 0.05 %, and the two errors add
+ * up. Durations that two nodes measure independently are extended or reduced by this fraction.
  */
 export const MAX_CLOCK_DRIFT = 0.001;
--- a/packages/core/src/feature-watch.ts
+++ b/packages/core/src/feature-watch.ts
@@ -1,13 +1,13 @@
 /** Checks that an extension is enabled on every controller before it starts work that all must support. */
 import type { Logger } from './log.js';
 
-/** Number of steps for which a positive result is cached. */
+/** While the result is positive, the controllers are queried in only one of this many calls. */
 const STEPS_PER_LOOKUP = 10;
 
 /** Cached check of whether an extension is enabled on every controller. */
 export class FeatureWatch {
   private cachedResult = false;
-  private queryCount = 0;
+  private callCount = 0;
 
   constructor(
     private readonly feature: string,
@@ -20,7 +20,7 @@
    * since a controller without the extension may join; a negative one is never cached.
    */
   async isEnabledEverywhere(signal: AbortSignal): Promise<boolean> {
-    if (this.queryCount++ % STEPS_PER_LOOKUP !== 0 && this.cachedResult) return true;
+    if (this.callCount++ % STEPS_PER_LOOKUP !== 0 && this.cachedResult) return true;
     const wasEnabled = this.cachedResult;
     this.cachedResult = await this.queryControllers(signal);
     if (this.cachedResult === wasEnabled) return this.cachedResult;
--- a/packages/core/src/fenced-records.ts
+++ b/packages/core/src/fenced-records.ts
@@ -57,7 +57,7 @@
   createRepository(entries: readonly Entry[]): Repository;
   /** Log message for a record that cannot be parsed. */
   unreadableMessage: string;
-  /** Called after the in-memory records have changed. */
+  /** Called when the in-memory records may have changed, and after every write, successful or not. */
   onChange(): void;
 }
 
@@ -201,7 +201,8 @@
    * condition failed: then either the term has ended, or the records were reloaded and show whether an
    * earlier attempt of this write, whose response was lost, was applied.
    *
-   * @param onManifestSettled for a write of the manifest: called when its outcome is known
+   * @param onManifestSettled called when the outcome of the write is known, also if it failed. Must not be null
+   *   if the manifest is among the changes, since it marks such a write, and must be null otherwise.
    */
   async write(
     { conditions: requiredConditions, changes, priority }: RecordWrite,
--- a/packages/core/src/supervised-task.ts
+++ b/packages/core/src/supervised-task.ts
@@ -8,13 +8,16 @@
   clock: Clock;
   random: Random;
   log: Logger;
-  /** When this process started, on `clock` in milliseconds; promises made by an earlier process count from here. */
+  /**
+   * When this process started, on `clock` in milliseconds. Promises not to campaign for leadership that were made
+   * before a restart are assumed to date from here.
+   */
   startedAt: number;
 }
 
 /**
- * Runs a supervised task until `signal` is aborted. If it throws, because of a bug or a lost peer, the
- * failure is logged and the task is restarted after a delay.
+ * Runs a supervised task until `signal` is aborted. Whenever it ends, it is restarted after a delay; if it
+ * threw, because of a bug or a lost peer, the failure is logged first.
  *
  * @param name name of the task in the log
  * @param restartMs delay before a restart in milliseconds, randomized by `jitter`
--- a/packages/core/src/token-bucket.ts
+++ b/packages/core/src/token-bucket.ts
@@ -24,7 +24,7 @@
     return this.capacity;
   }
 
-  /** Tokens at the last `fill`, minus those spent since. */
+  /** Tokens at the last `refill`, minus those spent since. */
   get tokens(): number {
     return this.available;
   }
--- a/packages/operators/src/client.ts
+++ b/packages/operators/src/client.ts
@@ -13,7 +13,7 @@
   body: Record<string, unknown>;
 }
 
-/** No controller served the request: each one or its store did not respond. */
+/** No controller served the request: each did not respond, or answered with one of `NOT_SERVING_STATUSES`. */
 export class UnreachableError extends Error {
   /** @param failures one line per controller: its address and why it did not serve */
   constructor(readonly failures: readonly string[]) {
