--- a/src/control/admission/gang-gate.ts
+++ b/src/control/admission/gang-gate.ts
@@ -31,7 +31,10 @@
 export class GangGate {
   constructor(private readonly operatorSettings: OperatorSettings) {}
 
-  /** Admits the gang: it holds the gate until all its tasks run, and its timeout starts now. */
+  /**
+   * Admits the gang: it holds the gate until all its tasks run, or until it is suspended or requeued.
+   * Its timeout starts now.
+   */
   admit(job: GangJob, now: number): void {
     markGangAdmitted(job.gang, now);
     job.markDirty(0);
@@ -48,8 +51,9 @@
   }
 
   /**
-   * Handles the loss of a task, after which the gang cannot continue: stops the remaining tasks, and
-   * requeues the gang once all of them are gone.
+   * Handles the loss of a task, after which the gang cannot continue: stops the remaining tasks
+   * without a grace period, unless one of them is already stopping with one, and requeues the gang
+   * once all of them are gone.
    */
   onMemberLost(job: GangJob, stopAll: (graceMs: number) => void): void {
     const { gang } = job;
--- a/src/control/extensions/service-rollouts.ts
+++ b/src/control/extensions/service-rollouts.ts
@@ -5,7 +5,7 @@
 import type { Job, Placement } from '../../jobs/tracked-job.js';
 import type { ExtensionHost, TermExtension } from './extension.js';
 import { termPort } from './term-port.js';
-import { withdrawUnsentStarts } from './unsent-starts.js';
+import { withdrawUnrecordedStarts } from './unsent-starts.js';
 
 /** The rollout package, which is loaded only if rollouts are enabled. */
 export type RolloutPackage = typeof import('@leverhatch/rollout');
@@ -139,7 +139,7 @@
     if (!job) return;
     const excess = job.placements.size - limit;
     if (excess <= 0) return;
-    withdrawUnsentStarts(job, this.host.taskStopper, (withdrawn) => withdrawn < excess);
+    withdrawUnrecordedStarts(job, this.host.taskStopper, (withdrawn) => withdrawn < excess);
   }
 
   onCeilingsChanged(): void {
--- a/src/control/extensions/team-quotas.ts
+++ b/src/control/extensions/team-quotas.ts
@@ -19,7 +19,7 @@
 import { lostWorkMs } from '../scheduling/snapshot.js';
 import { teamUsage } from '../scheduling/team-usage.js';
 import { termPort } from './term-port.js';
-import { withdrawUnsentStarts } from './unsent-starts.js';
+import { withdrawUnrecordedStarts } from './unsent-starts.js';
 
 /** Tolerance when usage is compared with a limit, for rounding errors in sums of decimals. */
 const USAGE_TOLERANCE = 1e-6;
@@ -220,7 +220,7 @@
     }
   }
 
-  /** Withdraws planned starts that were not sent yet until the teams are within these limits. */
+  /** Withdraws starts that are not recorded yet until the teams are within these limits. */
   withdrawStarts(limits: ReadonlyMap<string, TeamQuota>): void {
     const used = this.used();
     for (const [team, { limit }] of limits) {
@@ -236,7 +236,7 @@
     }
   }
 
-  /** Withdraws unsent starts of one job and subtracts them from `used`. */
+  /** Withdraws unrecorded starts of one job and subtracts them from `used`. */
   private withdrawStartsOf(job: Job, used: Amounts, isOverLimit: () => boolean): void {
     let counted = 0;
     const isStillOver = (withdrawn: number): boolean => {
@@ -244,7 +244,7 @@
       counted = withdrawn;
       return isOverLimit();
     };
-    isStillOver(withdrawUnsentStarts(job, this.host.taskStopper, isStillOver));
+    isStillOver(withdrawUnrecordedStarts(job, this.host.taskStopper, isStillOver));
   }
 
   /** Requests a scheduling cycle. */
--- a/src/control/extensions/unsent-starts.ts
+++ b/src/control/extensions/unsent-starts.ts
@@ -1,14 +1,15 @@
-/** Withdraws planned starts that were not sent to a worker yet. */
+/** Withdraws planned starts that are not recorded in the store yet. */
 import type { Job } from '../../jobs/tracked-job.js';
 import type { TaskStopper } from '../reconciliation/task-stopper.js';
 
 /**
- * Withdraws planned, unsent starts of a job one by one while `mayContinue` returns true.
+ * Withdraws planned starts of a job one by one while `mayContinue` returns true. Recorded starts are
+ * kept, even if they were not sent to their workers yet.
  *
  * @param mayContinue receives the number withdrawn so far
  * @returns the number withdrawn; starts of a gang are withdrawn together
  */
-export function withdrawUnsentStarts(
+export function withdrawUnrecordedStarts(
   job: Job,
   taskStopper: Pick<TaskStopper, 'stop'>,
   mayContinue: (withdrawn: number) => boolean,
@@ -17,7 +18,7 @@
   const withdrawn = (): number => before - job.placements.size;
   for (const placement of [...job.placements.values()]) {
     if (!mayContinue(withdrawn())) break;
-    // Stopping one start of a gang also withdrew the others of this copy.
+    // Withdrawing one start of a gang also withdraws the others, which this copied list still has.
     if (job.placements.get(placement.task) !== placement) continue;
     if (placement.stage === 'recording') taskStopper.stop(placement, 0);
   }
--- a/src/control/leader.ts
+++ b/src/control/leader.ts
@@ -125,7 +125,10 @@
     this.parts.cancellationView.completeAt(known.asOf);
   }
 
-  /** Resigns if another controller can lead where this one cannot, or is the safer leader. */
+  /**
+   * Resigns if this controller cannot read the job records while the store serves another one, or to
+   * transfer leadership to a controller from which workers can fail over before their leases expire.
+   */
   private async watchLeadership(signal: AbortSignal): Promise<void> {
     const { runtime, unreadableTerms } = this.context;
     while (!signal.aborted) {
--- a/src/control/reconciliation/heartbeat-handler.ts
+++ b/src/control/reconciliation/heartbeat-handler.ts
@@ -10,7 +10,10 @@
 import type { JobRecordWatcher } from './job-record-watcher.js';
 import type { LongPoll } from './long-poll.js';
 
-/** Longest hold of an answer as a fraction of the heartbeat interval, so that the next is not late. */
+/**
+ * Longest hold of an answer as a fraction of the heartbeat interval, so that the next heartbeat is not
+ * late.
+ */
 const HOLD_RATIO = 0.75;
 /** Longest hold for any heartbeat interval; well within the 4 s after which workers time out. */
 export const MAX_HOLD_MS = 2200;
--- a/src/control/reconciliation/job-record-watcher.ts
+++ b/src/control/reconciliation/job-record-watcher.ts
@@ -63,7 +63,10 @@
     setMaxListeners(0, this.recovery.signal);
   }
 
-  /** True once recovery is complete; before that no heartbeat is applied or answered. */
+  /**
+   * True once recovery is complete; before that no heartbeat is applied or answered with commands, and
+   * no worker lease is renewed.
+   */
   get isRecovered(): boolean {
     return this.recovery.signal.aborted;
   }
@@ -218,7 +221,7 @@
 
   /** Handles a cancellation that a user was told of; the watch may report it later. */
   onCancellationAnnounced(id: string): void {
-    // All of them are in the store, so any beyond the limit are read during recovery.
+    // All of them are in the store, so any beyond the limit are read by recovery or the watch.
     if (!this.isRecovered && this.announcedCancellations.size < MAX_CANCELLATIONS)
       this.announcedCancellations.add(id);
     const job = this.context.jobs.get(id);
--- a/src/control/reconciliation/machine-reconciler.ts
+++ b/src/control/reconciliation/machine-reconciler.ts
@@ -122,8 +122,8 @@
 
   /**
    * Whether the cloud reports a machine as running although its worker has been unresponsive for
-   * several boot times. If most machines of its zone are unresponsive too, a network partition is more
-   * likely, and they can be used again once it has healed.
+   * several boot times. If at least half of the running machines of its zone are unresponsive, a
+   * network partition is more likely, and they can be used again once it has healed.
    */
   private isUnreachable(machine: Machine, now: number): boolean {
     if (machine.cloudState !== 'running' || machine.type === null || machine.placements.size > 0)
--- a/src/control/scheduling/cycle-sizer.ts
+++ b/src/control/scheduling/cycle-sizer.ts
@@ -38,7 +38,7 @@
   /**
    * Returns the snapshot limited to the first waiting jobs in scheduling order, or the snapshot itself
    * if it does not exceed the limit. The other jobs stay in it without waiting tasks, since they count
-   * towards their team's guarantee.
+   * towards their team's guarantee. A limited snapshot has no expected tasks.
    */
   limit(snapshot: Snapshot): Snapshot {
     const waiting = snapshot.jobs.filter((job) => job.waitingTasks > 0 && job.isAdmissible);
--- a/src/control/scheduling/expected-demand.ts
+++ b/src/control/scheduling/expected-demand.ts
@@ -26,7 +26,10 @@
     return this.forecast.expected();
   }
 
-  /** Open tasks of classes that can neither wait for a boot nor start on a spot instance. */
+  /**
+   * Open tasks with GPUs, by job class, of ready jobs of at least high priority that can neither wait
+   * for a boot nor start on a spot instance.
+   */
   private demand(bootMs: number): Map<string, ClassDemand> {
     const classes = new Map<string, ClassDemand & { readyAt: number }>();
     for (const job of this.jobs.values()) {
--- a/src/control/scheduling/plan-applier.ts
+++ b/src/control/scheduling/plan-applier.ts
@@ -42,7 +42,8 @@
     const touched = new Set<Job>();
     for (const start of plan.starts) {
       const job = this.jobOf(start.job);
-      // Snapshots leave out jobs that wait for dependencies; the tasks of one must never start.
+      // The tasks of a job that waits for dependencies must never start. Plans contain no such starts,
+      // since snapshots list these jobs only as upcoming jobs, if at all.
       if (job.readyAt === null) continue;
       this.place(job, start.assignments, now);
       touched.add(job);
--- a/src/control/scheduling/scheduling-loop.ts
+++ b/src/control/scheduling/scheduling-loop.ts
@@ -48,7 +48,7 @@
   resign(): void;
 }
 
-/** Runs scheduling cycles on request and at least once per heartbeat interval. */
+/** Runs scheduling cycles on request, and otherwise about once per heartbeat interval. */
 export class SchedulingLoop {
   private isRequested = true;
   private wakeUp: (() => void) | null = null;
@@ -211,7 +211,11 @@
     });
   }
 
-  /** Stops tasks on machines that the cloud will preempt, that are faulty or that are draining. */
+  /**
+   * Stops tasks on machines that the cloud will preempt, that are faulty or that are draining. Releases
+   * faulty and draining machines once they are empty, and machines that failed to boot or are
+   * permanently unreachable.
+   */
   private drainMachines(now: number): void {
     this.context.reconciler.releaseFailed(now);
     for (const machine of this.context.fleet.machines.values()) {
--- a/src/control/scheduling/snapshot.ts
+++ b/src/control/scheduling/snapshot.ts
@@ -203,14 +203,14 @@
   const zones = new Map<string, number>();
   for (const placement of job.placements.values())
     zones.set(placement.zone, (zones.get(placement.zone) ?? 0) + 1);
-  const priority = context.urgencies.get(job.id);
+  const urgency = context.urgencies.get(job.id);
   const waitedMs = wall - readyAt;
   return {
     id: job.id,
     spec,
-    priority: priority?.priority ?? spec.priority,
+    priority: urgency?.priority ?? spec.priority,
     readyAt,
-    dueAt: priority?.dueAt ?? readyAt,
+    dueAt: urgency?.dueAt ?? readyAt,
     isBackfill: isBackfill(context, job, waitedMs),
     opportunisticConcurrency: requiredConcurrency(
       sources.settings,
@@ -311,6 +311,7 @@
   return list;
 }
 
+/** Replicas that consolidation may move; none while a replica of any service is stopping. */
 function movableReplicas(sources: SnapshotSources): ReplicaView[] {
   const list: ReplicaView[] = [];
   for (const job of openJobs(sources.jobs)) {
