--- a/src/control/admission/gang-timeouts.ts
+++ b/src/control/admission/gang-timeouts.ts
@@ -1,7 +1,7 @@
 /**
- * Timeouts of admitted gangs. A timeout counts only while the cloud could have served the gang, so
- * this needs access to the fleet and the provisioner; the state changes of the gate itself are in
- * gang-gate.ts.
+ * Timeouts of admitted gangs. While a gang waits for machines, its timeout counts only if the cloud is
+ * available and boots them in time, so this needs access to the fleet and the provisioner; the state
+ * changes of the gate itself are in gang-gate.ts.
  */
 import { requeueGang } from '../../jobs/gang-phase.js';
 import type { Runtime } from '@leverhatch/core/supervised-task';
@@ -40,8 +40,9 @@
       return;
     }
     if (gang.phase !== 'admitted' && gang.phase !== 'placed') return;
-    // The timeout is paused while a gang waits for machines of a cloud that refuses requests, is
-    // unresponsive or boots machines slowly: the delay is not the gang's fault.
+    // The timeout is paused while a gang waits for machines of a cloud that rejects requests, is
+    // unresponsive or boots machines slowly: the delay is not the gang's fault. It is not paused
+    // while the cloud is only out of capacity.
     const isPaused = gang.phase === 'admitted' && this.isCloudImpaired(job, now);
     if (!isPaused) gang.countedMs += now - gang.countedAt;
     gang.countedAt = now;
@@ -55,7 +56,10 @@
     this.context.recordWriter.flush(job);
   }
 
-  /** Whether machines the gang may wait for cannot be provisioned, or are late but may still boot. */
+  /**
+   * Whether the cloud is unavailable, or a machine that the gang may be waiting for is late but may
+   * still boot.
+   */
   private isCloudImpaired(job: Job, now: number): boolean {
     if (this.context.provisioner.unavailableSince !== null) return true;
     const { machines, bootTimes } = this.context.fleet;
--- a/src/control/dependencies/dependency-tracker.ts
+++ b/src/control/dependencies/dependency-tracker.ts
@@ -1,4 +1,4 @@
-/** Tracks which jobs wait for dependencies, and starts or cancels them when those end. */
+/** Tracks jobs that wait for dependencies; makes them ready or cancels them when these end. */
 import type { Runtime } from '@leverhatch/core/supervised-task';
 import { RequestPriority } from '@leverhatch/core/store';
 import type { Term } from '../../election/term.js';
@@ -163,7 +163,7 @@
       if (waiting) waiting.add(job);
       else this.dependents.set(id, new Set([job]));
     }
-    this.startIfReady(job, wait);
+    this.markReadyIfDone(job, wait);
     if (wait.missing.size > 0) this.logWait(job, wait);
     if (unknown.length > 0) void this.loadMissingRecords(job, unknown);
   }
@@ -222,10 +222,10 @@
     if (!wait) return;
     wait.missing.delete(id);
     wait.since = Math.max(wait.since, doneAt ?? 0);
-    this.startIfReady(job, wait);
+    this.markReadyIfDone(job, wait);
   }
 
-  private startIfReady(job: Job, wait: Wait): void {
+  private markReadyIfDone(job: Job, wait: Wait): void {
     if (wait.missing.size > 0 || job.phase !== 'open') return;
     this.waits.delete(job);
     job.readyAt = wait.since;
--- a/src/control/leader.ts
+++ b/src/control/leader.ts
@@ -77,7 +77,7 @@
     return this.parts.heartbeatHandler.receive(heartbeat);
   }
 
-  /** Handles a cancellation that a user was told of; the store's watch may report it later. */
+  /** Handles a cancellation announced to a user; the store's watch may report it later. */
   onCancellationAnnounced(id: string): void {
     this.parts.jobRecords.onCancellationAnnounced(id);
   }
--- a/src/control/reconciliation/job-record-watcher.ts
+++ b/src/control/reconciliation/job-record-watcher.ts
@@ -219,7 +219,7 @@
     }
   }
 
-  /** Handles a cancellation that a user was told of; the watch may report it later. */
+  /** Handles a cancellation announced to a user; the watch may report it later. */
   onCancellationAnnounced(id: string): void {
     // All of them are in the store, so any beyond the limit are read by recovery or the watch.
     if (!this.isRecovered && this.announcedCancellations.size < MAX_CANCELLATIONS)
--- a/src/control/scheduling/snapshot.ts
+++ b/src/control/scheduling/snapshot.ts
@@ -311,7 +311,7 @@
   return list;
 }
 
-/** Replicas that consolidation may move; none while a replica of any service is stopping. */
+/** Replicas that consolidation may move; none while one of any open service is stopping. */
 function movableReplicas(sources: SnapshotSources): ReplicaView[] {
   const list: ReplicaView[] = [];
   for (const job of openJobs(sources.jobs)) {
