--- a/src/jobs/dependencies.ts
+++ b/src/jobs/dependencies.ts
@@ -11,9 +11,10 @@
  * value can hold; such a list is written as chunks before the job record, which stores the number
  * of chunks.
  *
- * The key of a chunk contains a hash (`mark`) of the whole list. A retry of an interrupted
- * submission, on any controller, would write the same chunks with the same content, so it reuses
- * those that exist. Another list for the same job has another hash, so the two cannot mix.
+ * The key of a chunk contains a hash (`mark`) of the whole list as split into chunks. A retry of an
+ * interrupted submission, on any controller, would write the same chunks with the same content, so
+ * it reuses those that exist. Another list for the same job, or the same list split under other
+ * limits, has another hash, so their chunks cannot mix.
  * Chunks are removed only after the job is stored as ended. A writer that adds the job record on
  * condition that none exists therefore knows that the chunks it has seen or written still exist.
  */
--- a/src/jobs/failure-history.ts
+++ b/src/jobs/failure-history.ts
@@ -82,7 +82,10 @@
 
   constructor(private readonly heartbeatIntervalMs = 1000) {}
 
-  /** The job fails on every machine: it counts as faulty until one of its tasks is healthy. */
+  /**
+   * The job has failed on several machines, so it counts as faulty until one of its tasks is
+   * healthy; false while a full attempt is due, see `FULL_ATTEMPT_AFTER_INTERVALS`.
+   */
   get isSuspected(): boolean {
     return this.failsEverywhere && !this.isFullAttemptDue;
   }
--- a/src/jobs/gang-phase.ts
+++ b/src/jobs/gang-phase.ts
@@ -5,7 +5,7 @@
  *   admitted -> placed               all of its machines are available
  *   placed -> started                all of its tasks run
  *   placed, started -> queued        a member was lost and the remaining tasks are stopped
- *   any but suspended -> suspended   the admission timeout has expired
+ *   admitted, placed -> suspended    the admission timeout has expired
  *   suspended -> queued              the suspension has expired
  *
  * A new leader restores whichever phase is stored.
--- a/src/jobs/job-api.ts
+++ b/src/jobs/job-api.ts
@@ -48,8 +48,8 @@
   /** Called before a cancellation is announced to any user. */
   onCancellationAnnounced(id: string): void;
   /**
-   * Current or promised quotas, present if quota transfers are in use; otherwise the quotas in the
-   * settings apply.
+   * The quotas that teams will have after all transfers in progress; present if quota transfers are
+   * in use. A job that exceeds its team's quota in the settings is accepted if it fits these.
    */
   promisedQuotas?(): Promise<ReadonlyMap<string, Pick<Team, 'limit'>>>;
 }
@@ -68,8 +68,8 @@
 
 /**
  * Handles user requests, on every controller. Nothing is reported as accepted or cancelled before
- * it is in the store, and every response that may still change is based on a version check that
- * began after the query arrived, see `JobStateCache`.
+ * it is in the store, and every reported state that may still change is based on a version check or
+ * a read that began after the query arrived, see `JobStateCache`.
  */
 export class JobApi {
   private readonly stateCache: JobStateCache;
@@ -150,7 +150,7 @@
     return this.add(parsed.value, signal);
   }
 
-  /** Why a job can never run, given the current and promised quotas of its team; null if it can. */
+  /** Why a job can never run, under the quotas in the settings or promised ones; null if it can. */
   private async infeasibleReason(
     spec: JobSpec,
     types: ReadonlyMap<string, MachineType>,
--- a/src/jobs/job-record-writer.ts
+++ b/src/jobs/job-record-writer.ts
@@ -128,8 +128,9 @@
   }
 
   /**
-   * Rewrites the job's superseded records as ranged ones; to be called while no other writes are
-   * queued. `job.isRewriting` is reset when the rewrite is complete.
+   * Rewrites the job's indexed records as ranged ones; to be called while no other writes are
+   * queued. `job.isRewriting` is reset when the rewrite is complete or the store rejects a write of
+   * the job.
    */
   rewriteSuperseded(job: Job): void {
     if (job.phase !== 'open' || job.isUnreadable || job.isArchived) return;
--- a/src/jobs/job-state-cache.ts
+++ b/src/jobs/job-state-cache.ts
@@ -23,7 +23,7 @@
  */
 const CACHED_JOBS_PER_MB = 50;
 
-/** If at least this many records are missing, other records on the same pages are cached too. */
+/** If at least this many records have to be read, others on the same pages are cached too. */
 const PREFETCH_THRESHOLD = 16;
 
 /** This many dependencies take as much memory as one cached job. */
@@ -77,8 +77,9 @@
   }
 
   /**
-   * The same for a user's query, which has the lowest priority. `overdue`: no query about this job
-   * has been answered for a long time, so it may queue for longer before it is rejected.
+   * The same for a user's query. Its store requests have normal priority and, in addition, the rate
+   * limit of user queries. `overdue`: no query about this job has been answered for a long time, so
+   * it may queue for longer before it is rejected.
    */
   query(id: string, signal: AbortSignal, overdue: boolean): Promise<JobState | null> {
     return this.currentUsing(this.queryChecker, id, signal, overdue);
--- a/src/jobs/run-layout.ts
+++ b/src/jobs/run-layout.ts
@@ -60,7 +60,7 @@
 export class RunLayout {
   kind: LayoutKind = 'indexed';
   sections: Section[];
-  /** Indexed records whose tasks have moved to ranged ones. */
+  /** Stored indexed records whose tasks now belong to ranged sections. */
   superseded: StoredSection[] = [];
 
   constructor(
@@ -191,8 +191,8 @@
   }
 
   /**
-   * Returns sections for the stored records, each ending where the next begins, and new sections
-   * for the tasks that have no record.
+   * Returns sections for the stored records, each cut off where the next begins, and new
+   * sections for the tasks that have no record.
    */
   private buildSections(
     records: StoredSection[],
--- a/src/jobs/tracked-job.ts
+++ b/src/jobs/tracked-job.ts
@@ -49,7 +49,7 @@
   readonly placements = new Map<number, Placement>();
   readonly gang: GangState | null;
   readonly layout: RunLayout;
-  /** Its superseded records are being rewritten in the background. */
+  /** Its indexed records are being rewritten as ranged ones in the background. */
   isRewriting = false;
   private readonly done: CompletedTasks;
   readonly failures: FailureHistory;
@@ -130,7 +130,8 @@
   }
 
   /**
-   * How many tasks may be started. A job that fails on every machine gets one at a time, as a trial.
+   * How many tasks may be started. A job that is suspected to be faulty gets one at a time, as a
+   * trial, unless it is a gang, whose tasks have to start together.
    */
   get startableTaskCount(): number {
     if (!this.failures.isSuspected || this.gang) return this.waitingTaskCount;
--- a/src/peer/lease-extension-vote.ts
+++ b/src/peer/lease-extension-vote.ts
@@ -1,4 +1,4 @@
-/** Votes among controllers by which a leader stays in office while the store is unavailable to all. */
+/** Votes among controllers that let a leader keep leading while the store is unavailable to all. */
 import type { Subscription } from 'rxjs';
 import { MAX_CLOCK_DRIFT } from '@leverhatch/core/clock';
 import type { Runtime } from '@leverhatch/core/supervised-task';
--- a/src/state/rate-limiter.ts
+++ b/src/state/rate-limiter.ts
@@ -9,7 +9,8 @@
 const BACKGROUND_PRIORITY: RequestPriority = RequestPriority.Background;
 
 /**
- * The fraction of a token that may be missing due to rounding; otherwise waits of 0 ms would repeat.
+ * The fraction of a token that may be missing due to rounding; otherwise a caller would wait again for
+ * a negligible remainder.
  */
 const ROUNDING_TOLERANCE = 1e-6;
 
--- a/src/state/store-health.ts
+++ b/src/state/store-health.ts
@@ -22,7 +22,7 @@
     private readonly timeoutMs: number,
   ) {}
 
-  /** When the store last executed a request or rejected one only for the rate limit (monotonic, ms). */
+  /** When the store last gave a response other than a 503 (monotonic, ms). */
   get lastServedAt(): number {
     return this.availableAt;
   }
@@ -45,13 +45,13 @@
     this.requestsWithoutResponse = 0;
   }
 
-  /** Records that the store executed a request or rejected it only for the rate limit. */
+  /** Records a response other than a 503: the store is available, even if it rejected the request. */
   recordSuccess(): void {
     this.availableAt = this.clock.now();
     this.failedSince = null;
   }
 
-  /** Records that a request was not executed or got no response. */
+  /** Records that a request got no response or a 503. */
   recordFailure(error: unknown): void {
     const now = this.clock.now();
     this.failedSince ??= now;
--- a/src/state/store-limits.ts
+++ b/src/state/store-limits.ts
@@ -17,19 +17,19 @@
 const CONDITIONS_PER_OPERATION = 4;
 
 /**
- * An estimate of the largest size that the store accepts. It starts at the announced size. A rejection
- * reduces it to half of the rejected size, since a store that accepts less than announced does not
+ * An estimate of the largest size that the store accepts. It starts at the size in the settings. A
+ * rejection reduces it to half of the rejected size, since a store that accepts less than that does not
  * report its actual limit. The estimate is never raised again above a reduced size.
  */
 class AdaptiveLimit {
   private learnedLimit = Infinity;
 
-  /** @param announced returns the announced size, which may decrease at any time */
-  constructor(private readonly announced: () => number) {}
+  /** @param configured returns the size according to the settings, which may decrease at any time */
+  constructor(private readonly configured: () => number) {}
 
   /** The maximum size to use at present. */
   get current(): number {
-    return Math.min(this.announced(), this.learnedLimit);
+    return Math.min(this.configured(), this.learnedLimit);
   }
 
   /** Reduces the limit after a rejection of `size`; sizes above the current limit tell nothing new. */
@@ -82,7 +82,7 @@
     return this.areAnnouncedApplied ? this.announced : this.current;
   }
 
-  /** The lower of the current and the announced limits, for records that later versions rewrite. */
+  /** The lower of the current and the announced limits, for records that are rewritten later. */
   smallest(): Limits {
     return this.announced;
   }
--- a/src/state/store-rate-limiter.ts
+++ b/src/state/store-rate-limiter.ts
@@ -15,7 +15,7 @@
 /**
  * The fraction of the store's request rate that user queries of all controllers together may use, so
  * that a query storm leaves capacity for submissions, leader election and the leader's writes. One
- * version check can answer as many queries as a transaction may have conditions.
+ * version check can answer queries about as many jobs as a transaction may have conditions.
  */
 const QUERY_RATE_RATIO = 0.5;
 
--- a/src/state/store.ts
+++ b/src/state/store.ts
@@ -108,7 +108,7 @@
     if (this.health.isUnresponsive) throw new RequestRejectedError(503, 'unresponsive store');
   }
 
-  /** When the store last executed a request or rejected one only for the rate limit (monotonic, ms). */
+  /** When the store last gave a response other than a 503 (monotonic, ms). */
   get lastServedAt(): number {
     return this.health.lastServedAt;
   }
@@ -242,7 +242,10 @@
     }
   }
 
-  /** A value was too large or had too many operations, so the store applies the announced limits. */
+  /**
+   * A transaction had too large a value or too many operations. The store must already apply the
+   * announced limits, so this controller applies them too.
+   */
   private onSizeRejected(changes: number): void {
     if (!this.limits.applyAnnounced()) return;
     this.runtime.log.warn(
