--- a/src/jobs/job-state-cache.ts
+++ b/src/jobs/job-state-cache.ts
@@ -77,9 +77,9 @@
   }
 
   /**
-   * The same for a user's query. Its store requests have normal priority and, in addition, the rate
-   * limit of user queries. `overdue`: no query about this job has been answered for a long time, so
-   * it may queue for longer before it is rejected.
+   * The same for a user's query. Its version checks have normal priority and are also subject to
+   * the rate limit of user queries. `overdue`: no query about this job has been answered for a long
+   * time, so it may queue for longer before it is rejected.
    */
   query(id: string, signal: AbortSignal, overdue: boolean): Promise<JobState | null> {
     return this.currentUsing(this.queryChecker, id, signal, overdue);
