--- a/src/control/extensions/service-rollouts.ts
+++ b/src/control/extensions/service-rollouts.ts
@@ -5,7 +5,7 @@
 import type { Job, Placement } from '../../jobs/tracked-job.js';
 import type { ExtensionHost, TermExtension } from './extension.js';
 import { termPort } from './term-port.js';
-import { withdrawUnrecordedStarts } from './unsent-starts.js';
+import { withdrawUnrecordedStarts } from './unrecorded-starts.js';
 
 /** The rollout package, which is loaded only if rollouts are enabled. */
 export type RolloutPackage = typeof import('@leverhatch/rollout');
--- a/src/control/extensions/team-quotas.ts
+++ b/src/control/extensions/team-quotas.ts
@@ -19,7 +19,7 @@
 import { lostWorkMs } from '../scheduling/snapshot.js';
 import { teamUsage } from '../scheduling/team-usage.js';
 import { termPort } from './term-port.js';
-import { withdrawUnrecordedStarts } from './unsent-starts.js';
+import { withdrawUnrecordedStarts } from './unrecorded-starts.js';
 
 /** Tolerance when usage is compared with a limit, for rounding errors in sums of decimals. */
 const USAGE_TOLERANCE = 1e-6;
