--- a/packages/rollout/src/api.ts
+++ b/packages/rollout/src/api.ts
@@ -116,7 +116,7 @@
   }
 
   /** Stores a command. Repeating it returns the state of the rollout and writes nothing. */
-  submitCommand(id: string, command: RolloutCommand): Promise<OperatorResponse> {
+  order(id: string, command: RolloutCommand): Promise<OperatorResponse> {
     return this.answering(() => retryingConflicts(() => this.tryToSubmitCommand(id, command)));
   }
 
--- a/packages/rollout/src/observer.ts
+++ b/packages/rollout/src/observer.ts
@@ -111,7 +111,7 @@
     return {
       placed: this.scheduler.job(job)?.placed ?? 0,
       proven: replicas.filter(({ proven }) => proven).length,
-      neverServed: replicas.filter(({ neverServed }) => neverServed).length,
+      unserved: replicas.filter(({ neverServed }) => neverServed).length,
     };
   }
 
--- a/packages/rollout/src/routes.ts
+++ b/packages/rollout/src/routes.ts
@@ -14,7 +14,7 @@
   router.post('/plan', async (request, response) => send(response, await api.plan(request.body)));
   for (const command of COMMANDS) {
     router.post(`/:id/${command}`, async (request, response) => {
-      send(response, await api.submitCommand(request.params.id, command));
+      send(response, await api.order(request.params.id, command));
     });
   }
   return { path: '/rollouts', router };
--- a/packages/rollout/src/transitions.ts
+++ b/packages/rollout/src/transitions.ts
@@ -14,7 +14,7 @@
   placed: number;
   proven: number;
   /** Replicas that cannot have served any request. */
-  neverServed: number;
+  unserved: number;
 }
 
 /** The observed state that a transition depends on. */
@@ -232,7 +232,7 @@
   observed: Observation,
 ): BoundedCeilings {
   const { replicas, ceilings } = status;
-  const to = Math.min(ceilings.to ?? 0, observed.to.placed - observed.to.neverServed);
+  const to = Math.min(ceilings.to ?? 0, observed.to.placed - observed.to.unserved);
   const allowed = Math.min(replicas, replicas + spec.maxSurge - observed.to.placed);
   return { to, from: Math.max(ceilings.from ?? replicas, allowed) };
 }
--- a/packages/rollout/test/transitions.test.ts
+++ b/packages/rollout/test/transitions.test.ts
@@ -34,8 +34,8 @@
   wall: 1,
   jobs: { from: jobOf('old'), to: jobOf('new') },
   isNewJobFinished: false,
-  from: { placed: REPLICAS, proven: REPLICAS, neverServed: 0 },
-  to: { placed: 0, proven: 0, neverServed: 0 },
+  from: { placed: REPLICAS, proven: REPLICAS, unserved: 0 },
+  to: { placed: 0, proven: 0, unserved: 0 },
   ...{ neverReady: null, evidence: null, conflict: null },
   ...change,
 });
@@ -90,8 +90,8 @@
     const to: number = status?.ceilings.to ?? 0;
     const from: number = Math.min(REPLICAS, status?.ceilings.from ?? REPLICAS);
     const observation = observationOf({
-      from: { placed: from, proven: from, neverServed: 0 },
-      to: { placed: to, proven: to, neverServed: 0 },
+      from: { placed: from, proven: from, unserved: 0 },
+      to: { placed: to, proven: to, unserved: 0 },
       evidence: PASSING_EVIDENCE,
     });
     const next = nextStatus(spec, status, observation, `w${i}`);
@@ -121,7 +121,7 @@
   const of = (list: ReplicaReadiness[]): Observation['from'] => ({
     placed: list.length,
     proven: list.filter(({ proven }) => proven).length,
-    neverServed: list.filter(({ neverServed }) => neverServed).length,
+    unserved: list.filter(({ neverServed }) => neverServed).length,
   });
   return observationOf({
     from: of(simulation.replicas.old),
--- a/test/fakes/fault-search.ts
+++ b/test/fakes/fault-search.ts
@@ -358,7 +358,7 @@
     while (!cluster.settling) {
       await cluster.clock.sleep(random.between(1000, 8000));
       const order = random.pick(['pause', 'resume', 'resume', 'rollback', null, null] as const);
-      if (order) void this.api()?.submitCommand('r', order);
+      if (order) void this.api()?.order('r', order);
     }
   }
 
@@ -370,9 +370,9 @@
   async finish(): Promise<void> {
     const { w: cluster, from, next } = this;
     const phase = (): string => rolloutStatus(cluster, 'r')?.phase ?? '';
-    void this.api()?.submitCommand('r', 'resume');
+    void this.api()?.order('r', 'resume');
     const over = (): boolean => {
-      if (phase() === 'paused') void this.api()?.submitCommand('r', 'resume');
+      if (phase() === 'paused') void this.api()?.order('r', 'resume');
       return ['done', 'rolled-back', 'failed', 'refused'].includes(phase());
     };
     await cluster.until(over, SETTLE_SECONDS * 2, 'the rollout is over');
--- a/test/rollout-commands.test.ts
+++ b/test/rollout-commands.test.ts
@@ -40,7 +40,7 @@
     const scenario = await startScenario();
     const { w: cluster, models, checker, from } = scenario;
     const ordered = onWriteOf(scenario, phase, () => {
-      void rolloutApi(cluster, followerOf(scenario))!.submitCommand('r1', 'rollback');
+      void rolloutApi(cluster, followerOf(scenario))!.order('r1', 'rollback');
     });
     await startRollout(scenario);
     await untilPhase(cluster, 'rolled-back');
@@ -61,7 +61,7 @@
     'half of the old replicas are withdrawn',
   );
   assert.equal(
-    (await ask(cluster, followerOf(scenario), (api) => api.submitCommand('r1', 'rollback'))).status,
+    (await ask(cluster, followerOf(scenario), (api) => api.order('r1', 'rollback'))).status,
     200,
   );
   await untilPhase(cluster, 'rolled-back');
@@ -76,17 +76,17 @@
   const { w: cluster } = scenario;
   await startRollout(scenario);
   await untilPhase(cluster, 'judging');
-  await ask(cluster, 0, (api) => api.submitCommand('r1', 'pause'));
+  await ask(cluster, 0, (api) => api.order('r1', 'pause'));
   await untilPhase(cluster, 'paused');
   const commands = [
-    ask(cluster, 1, (a) => a.submitCommand('r1', 'resume')),
-    ask(cluster, 2, (a) => a.submitCommand('r1', 'rollback')),
+    ask(cluster, 1, (a) => a.order('r1', 'resume')),
+    ask(cluster, 2, (a) => a.order('r1', 'rollback')),
   ];
   const [resumed, rolledBack] = await Promise.all(commands);
   assert.equal(rolledBack!.status, 200);
   assert.ok([200, 409].includes(resumed!.status));
   await untilPhase(cluster, 'rolled-back');
-  assert.equal((await ask(cluster, 1, (a) => a.submitCommand('r1', 'resume'))).status, 409);
+  assert.equal((await ask(cluster, 1, (a) => a.order('r1', 'resume'))).status, 409);
   await finishScenario(scenario, 'from');
 });
 
@@ -144,14 +144,14 @@
   const { w: cluster, models, checker, from, to } = scenario;
   await startRollout(scenario);
   await untilPhase(cluster, 'judging');
-  await ask(cluster, 0, (api) => api.submitCommand('r1', 'pause'));
+  await ask(cluster, 0, (api) => api.order('r1', 'pause'));
   await untilPhase(cluster, 'paused');
   const before = [models.serving(from), models.serving(to)];
   cluster.crash(cluster.leader);
   await cluster.advance(30);
   assert.equal(phaseOf(cluster), 'paused');
   assert.deepEqual([models.serving(from), models.serving(to)], before);
-  await ask(cluster, cluster.leader, (api) => api.submitCommand('r1', 'resume'));
+  await ask(cluster, cluster.leader, (api) => api.order('r1', 'resume'));
   await untilPhase(cluster, 'done');
   assert.equal(checker.lowestServing, REPLICAS);
   await finishScenario(scenario, 'to');
--- a/test/rollout-guards.test.ts
+++ b/test/rollout-guards.test.ts
@@ -47,7 +47,7 @@
   cluster.faults.storeFaults.add(({ body }) => {
     if (!writes(body, jobKey) || delayedAt > 0) return 'serve';
     delayedAt = cluster.clock.now();
-    void rolloutApi(cluster, (cluster.leader + 1) % 3)!.submitCommand('r1', 'rollback');
+    void rolloutApi(cluster, (cluster.leader + 1) % 3)!.order('r1', 'rollback');
     return { applyAfterMs: 6000 };
   });
   await startRollout(scenario);
@@ -168,13 +168,13 @@
     150,
     'the first batch is done',
   );
-  await ask(cluster, 0, (a) => a.submitCommand('r1', 'pause'));
+  await ask(cluster, 0, (a) => a.order('r1', 'pause'));
   await untilPhase(cluster, 'paused');
   const starts = cluster.starts.length;
   await cluster.advance(90);
   const fresh = cluster.starts.slice(starts).filter((start) => start.startsWith(from));
   assert.deepEqual(fresh, [], 'no replica is restarted');
-  await ask(cluster, 0, (a) => a.submitCommand('r1', 'resume'));
+  await ask(cluster, 0, (a) => a.order('r1', 'resume'));
   await untilPhase(cluster, 'done', 240);
   assert.equal(checker.lowestServing, REPLICAS);
   await finishScenario(scenario, 'to');
--- a/test/rollout-machines.test.ts
+++ b/test/rollout-machines.test.ts
@@ -170,7 +170,7 @@
     return 'lose request';
   });
   const before = withdrawalCount(cluster);
-  await ask(cluster, 0, (api) => api.submitCommand('r1', 'rollback'));
+  await ask(cluster, 0, (api) => api.order('r1', 'rollback'));
   await cluster.until(() => diedAt > 0 && phaseOf(cluster) === 'rolling-back', 60, 'it is written');
   await cluster.advance(2);
   assert.equal(withdrawalCount(cluster), before, 'no new replica is withdrawn');
