--- a/test/measurements/mixed-builds.ts
+++ b/test/measurements/mixed-builds.ts
@@ -345,9 +345,30 @@
     await this.until(() => this.rolloutPhase() === 'judging', 'the new version is judged');
   }
 
+  /** The field names of the leader's answers to operators, once it has observed the rollout. */
+  private async answerFields(): Promise<string> {
+    const names = (value: unknown): string => Object.keys((value ?? {}) as object).join(' ');
+    for (let i = 0; i < WITHIN_SECONDS; i++) {
+      const node = this.fleet.controllers.findIndex((own) => own === this.fleet.leader);
+      if (node < 0) continue;
+      const shown = await this.command(now, node, 'rollout', 'status', '--json');
+      const status = (shown.startsWith('{') ? JSON.parse(shown) : {}) as {
+        rollouts?: { seen: { from: object } | null }[];
+      };
+      const [rollout] = status.rollouts ?? [];
+      const quotas = await this.command(now, node, 'shares', 'show', '--json');
+      if (!rollout?.seen || !quotas.startsWith('{')) continue;
+      const table = JSON.parse(quotas) as { teams: object[]; moves: object[] };
+      const parts = [status, rollout, rollout.seen, rollout.seen.from];
+      return [...parts, table, table.teams[0], table.moves[0]].map(names).join('; ');
+    }
+    return 'no answer';
+  }
+
   private async changeLeader(): Promise<void> {
     const { fleet } = this;
     const before = this.placements();
+    const fieldsBefore = await this.answerFields();
     const former = fleet.leader!;
     const { restartedWith } = this.scenario;
     const ended = restartedWith === undefined ? [former] : fleet.controllers;
@@ -361,6 +382,9 @@
     const expected = programPath(restartedWith ?? this.scenario.follower);
     const names = `${former.name}, ${newLeader.name}`;
     this.check(newLeader.program === expected, 'a controller of the other build takes over', names);
+    const fields = await this.answerFields();
+    const sameFields = fields === fieldsBefore && fields !== 'no answer';
+    this.check(sameFields, 'both builds answer operators with the same fields', fields);
     await systemClock.sleep(SETTLE_MS);
     this.checkKept(before, 'no task is lost when the leader changes');
     // Restarts the controller that was killed, which then follows the new leader.
