--- /dev/null
+++ b/test/measurements/mixed-builds.ts
@@ -0,0 +1,453 @@
+/**
+ * Shows whether controllers of two builds work together: real processes over TCP, those of this tree
+ * and those of another checkout, with the same settings, store and workers. Prints a line for each
+ * check with what was compared, and fails if one does not hold.
+ *
+ * Usage: npm run mixed -- OLD_CHECKOUT     another checkout, built as its deploy file says
+ */
+import { execFile } from 'node:child_process';
+import { join, resolve } from 'node:path';
+import { fileURLToPath } from 'node:url';
+import { promisify } from 'node:util';
+import { systemClock } from '@leverhatch/core/clock';
+import type { JobTemplate } from '../fakes/job-factory.js';
+import { Loopback, programOf, type Process } from '../fakes/loopback.js';
+
+const MACHINES = 8;
+const TEAMS = [
+  { name: 'vision', gpus: 48, gpusMax: 48 },
+  { name: 'speech', gpus: 16, gpusMax: 16 },
+];
+
+const SWITCHES = `<shares><enabled>yes</enabled></shares><rollout>
+  <probe>http://{address}/replicas/{job}/{task}/{attempt}</probe>
+  <probeSeconds>0.6</probeSeconds>
+  <probesPerSecond>100</probesPerSecond>
+</rollout>`;
+
+/** Longer than everything that is done before the change of leader. */
+const LONG_RUN_MS = 90_000;
+
+/** Longer than the lease of a worker (10 s) and that of the leader (3 s): only votes renew both. */
+const OUTAGE_MS = 14_000;
+
+/** Longer than a worker's lease: what a new leader does not know is gone by then. */
+const SETTLE_MS = 15_000;
+
+/** Jobs that a long list of dependencies names, too many for the job's own record. */
+const FORMER_JOBS = Array.from({ length: 220 }, (_, i) => `req-${900_000 + i}`);
+
+const REPLICAS = 4;
+const SERVICE: JobTemplate = {
+  ...{ shape: 'service', pieces: REPLICAS, runMs: 0, fetchMs: 500, urgency: 'production' },
+};
+
+/** How long users and operators wait, in seconds. */
+const WITHIN_SECONDS = 60;
+
+const runFile = promisify(execFile);
+
+/** What is played with which builds; each is a checkout. */
+interface Scenario {
+  name: string;
+  /** What the controller that leads first runs, and the others beside it. */
+  leader: string;
+  follower: string;
+  /** What takes over: the followers, or all controllers started anew with this build. */
+  restartedWith?: string;
+}
+
+/** The jobs of a scenario, one of each kind. */
+type JobName =
+  | 'short'
+  | 'array'
+  | 'gang'
+  | 'service'
+  | 'dependent'
+  | 'waiting'
+  | 'chunked'
+  | 'cancelled'
+  | 'version1'
+  | 'version2';
+
+interface UserAnswer {
+  ref: string;
+  phase: string;
+  done: number;
+  running: number;
+}
+
+/** Looks at the workers again and again: which starts there were, and whether a task is in two places. */
+class StartChecker {
+  readonly broken = new Set<string>();
+  /** The attempts of each task that were seen on machines. */
+  readonly attempts = new Map<string, Set<number>>();
+  private readonly timer = setInterval(() => this.look(), 25);
+
+  constructor(private readonly fleet: Loopback) {}
+
+  private look(): void {
+    const places = new Map<string, string>();
+    for (const worker of this.fleet.workers) {
+      for (const { job, task, attempt, phase } of worker.pieces) {
+        if (phase === 'ended' || phase === 'fetching') continue;
+        const name = `${job}/${task}`;
+        const other = places.get(name);
+        if (other !== undefined) this.broken.add(`${name} on ${other} and ${worker.id}`);
+        places.set(name, worker.id);
+        const attempts = this.attempts.get(name) ?? new Set();
+        this.attempts.set(name, attempts.add(attempt));
+      }
+    }
+  }
+
+  stop(): void {
+    clearInterval(this.timer);
+  }
+}
+
+/** One scenario, and the lines that it has printed. */
+class MixedBuilds {
+  readonly lines: string[] = [];
+  failed = 0;
+  private readonly warnings: string[] = [];
+  private readonly fleet = new Loopback(MACHINES, TEAMS, SWITCHES, {
+    onLogLine: (own, line) => this.warnings.push(`${own.name} ${line}`),
+  });
+  private readonly starts = new StartChecker(this.fleet);
+  private readonly jobs = new Map<JobName, string>();
+
+  constructor(private readonly scenario: Scenario) {}
+
+  async play(): Promise<void> {
+    try {
+      await this.start();
+      await this.submitAll();
+      await this.followersAnswer();
+      await this.cancelAtFollower();
+      await this.outage();
+      await this.operate();
+      await this.changeLeader();
+      await this.everythingEnds();
+    } catch (error) {
+      this.check(false, 'scenario is played to its end', String(error));
+      for (const line of this.warnings.slice(-10)) this.lines.push(`  log: ${line}`);
+    } finally {
+      this.starts.stop();
+      await this.fleet.close();
+    }
+  }
+
+  private check(holds: boolean, what: string, compared: string): void {
+    if (!holds) this.failed++;
+    this.lines.push(`${holds ? 'ok    ' : 'FAILED'} ${this.scenario.name}: ${what} (${compared})`);
+  }
+
+  private job(name: JobName): string {
+    return this.jobs.get(name) ?? '';
+  }
+
+  private async start(): Promise<void> {
+    const { leader, follower } = this.scenario;
+    await this.fleet.start(3, [programOf(leader), null, null]);
+    const [first, ...others] = this.fleet.controllers;
+    await this.until(() => this.fleet.leader === first, 'the first controller leads');
+    for (const other of others) {
+      other.program = programOf(follower);
+      this.fleet.spawn(other);
+    }
+    for (const ref of FORMER_JOBS) {
+      this.fleet.store.write(`jobs/${ref}`, { w: 'w', phase: 'done', tasks: 1 });
+    }
+    await this.until(
+      () => this.fleet.controllers.every(({ name }) => this.fleet.store.get(`members/${name}`)),
+      'all controllers have written their member records',
+    );
+  }
+
+  private until(holds: () => boolean, what: string): Promise<void> {
+    return this.fleet.until(holds, WITHIN_SECONDS, what);
+  }
+
+  private async submit(name: JobName, template: JobTemplate): Promise<string> {
+    const ref = await this.fleet.submit(template);
+    this.jobs.set(name, ref);
+    return ref;
+  }
+
+  private async submitAll(): Promise<void> {
+    const short = await this.submit('short', { runMs: 2000 });
+    const array = await this.submit('array', { pieces: 12, runMs: LONG_RUN_MS });
+    const gang = await this.submit('gang', {
+      ...{ shape: 'gang', pieces: 4, gpus: 2, runMs: LONG_RUN_MS },
+    });
+    await this.submit('service', { shape: 'service', pieces: 3, gpus: 2, runMs: 0 });
+    await this.submit('dependent', { waitsOn: [short], runMs: 2000 });
+    await this.submit('waiting', { waitsOn: [array, gang], runMs: 2000 });
+    await this.submit('chunked', { waitsOn: [...FORMER_JOBS, array], runMs: 2000 });
+    await this.submit('cancelled', { shape: 'service', pieces: 2, runMs: 0 });
+    await this.submit('version1', { ...SERVICE, crate: 'v1' });
+    const { fleet } = this;
+    await this.until(
+      () =>
+        fleet.on(array) === 12 &&
+        fleet.on(gang) === 4 &&
+        fleet.on(this.job('service')) === 3 &&
+        fleet.on(this.job('cancelled')) === 2 &&
+        fleet.models.serving(this.job('version1')) === REPLICAS,
+      'all jobs run',
+    );
+    const phase = (name: JobName): string | undefined => this.storedPhase(name);
+    await this.until(() => phase('short') === 'done' && phase('dependent') === 'done', 'two end');
+    const chunks = [...fleet.store.keys.keys()].filter((key) => key.startsWith('needs/')).length;
+    this.check(chunks > 0, 'a long list of dependencies is stored in chunks', `${chunks} records`);
+  }
+
+  private storedPhase(name: JobName): string | undefined {
+    return (this.fleet.store.get(`jobs/${this.job(name)}`) as { phase: string } | undefined)?.phase;
+  }
+
+  private async query(node: number, ref: string): Promise<string> {
+    const reply = await this.fleet.request(node, 'GET', `/work/${ref}`);
+    return reply?.status === 200 ? JSON.stringify(reply.body) : `status ${reply?.status}`;
+  }
+
+  /** Asks all controllers until they say the same of every job. */
+  private async answersAgree(): Promise<{ agree: boolean; answers: string[] }> {
+    let answers: string[] = [];
+    for (let i = 0; i < WITHIN_SECONDS; i++) {
+      let agree = true;
+      answers = [];
+      for (const ref of this.jobs.values()) {
+        const all = await Promise.all(
+          this.fleet.controllers.map((_, node) => this.query(node, ref)),
+        );
+        const same = all.every((answer) => answer === all[0] && answer.startsWith('{'));
+        if (!same) agree = false;
+        answers.push(same ? all[0]! : all.join(' / '));
+      }
+      if (agree) return { agree, answers };
+      await systemClock.sleep(1000);
+    }
+    return { agree: false, answers };
+  }
+
+  private async followersAnswer(): Promise<void> {
+    const { agree, answers } = await this.answersAgree();
+    this.check(agree, 'all controllers answer alike', answers.join(' '));
+    const array = answers
+      .filter((answer) => answer.startsWith('{'))
+      .map((answer) => JSON.parse(answer) as UserAnswer)
+      .find(({ ref }) => ref === this.job('array'));
+    const counts = `${array?.phase}, ${array?.done} done, ${array?.running} running`;
+    this.check(counts === 'running, 0 done, 12 running', 'progress reaches followers', counts);
+    const repeated = await this.fleet.request(
+      ...([1, 'POST', '/work', this.fleet.wishes.created(this.job('gang')).body] as const),
+    );
+    const said = JSON.stringify(repeated);
+    const expected = { status: 200, body: { ref: this.job('gang'), phase: 'running' } };
+    this.check(said === JSON.stringify(expected), 'a follower knows a repeated submission', said);
+  }
+
+  private async cancelAtFollower(): Promise<void> {
+    const ref = this.job('cancelled');
+    const reply = await this.fleet.request(1, 'POST', `/work/${ref}/abort`, {});
+    const phase = (reply?.body as UserAnswer | undefined)?.phase;
+    this.check(phase === 'withdrawn', 'a follower confirms a cancellation', String(phase));
+    const began = Date.now();
+    await this.until(() => this.fleet.on(ref) === 0, 'the cancelled tasks are gone');
+    const tookMs = Date.now() - began;
+    this.check(tookMs < 10_000, 'its tasks are stopped', `gone after ${tookMs} ms`);
+  }
+
+  /** What runs now of the jobs that run for long: machine, agent epoch, task and attempt. */
+  private placements(): string[] {
+    const refs = new Set(this.namesOf('array', 'gang', 'service'));
+    return this.fleet.workers.flatMap(({ id, shift, pieces }) =>
+      pieces
+        .filter(({ job, phase }) => refs.has(job) && phase === 'running')
+        .map(({ job, task, attempt }) => `${id} ${shift} ${job}/${task}#${attempt}`),
+    );
+  }
+
+  private namesOf(...names: JobName[]): string[] {
+    return names.map((name) => this.job(name));
+  }
+
+  private checkKept(before: string[], what: string): void {
+    const now = new Set(this.placements());
+    const lost = before.filter((placement) => !now.has(placement));
+    const compared = `${before.length} placements, ${lost.length} lost ${lost.slice(0, 3).join(', ')}`;
+    this.check(before.length === 19 && lost.length === 0, what, compared.trimEnd());
+  }
+
+  /** While the store is away the leader goes on by the votes of the others. */
+  private async outage(): Promise<void> {
+    const { fleet } = this;
+    const before = this.placements();
+    const { leader } = fleet;
+    fleet.store.down = true;
+    await systemClock.sleep(OUTAGE_MS);
+    fleet.store.restore();
+    await systemClock.sleep(2000);
+    this.check(
+      fleet.leader === leader,
+      'an outage of the store costs no office',
+      `${leader?.name}`,
+    );
+    this.checkKept(before, 'an outage of the store costs no task');
+  }
+
+  private transferPhase(): string | undefined {
+    return (this.fleet.store.get('shares/moves/m1') as { phase: string } | undefined)?.phase;
+  }
+
+  private rolloutPhase(): string | undefined {
+    return (this.fleet.store.get('rollouts/status/r1') as { phase: string } | undefined)?.phase;
+  }
+
+  /** Runs the operators' command of a checkout, with the address of one controller. */
+  private async command(checkout: string, node: number, ...words: string[]): Promise<string> {
+    const at = this.fleet.controllers[node]!.operatorsAddress;
+    const argv = [join(checkout, 'scripts', 'leverhatch.mjs'), ...words, '--at', at];
+    try {
+      return (await runFile(process.execPath, argv)).stdout.trim();
+    } catch (error) {
+      return `failed: ${String((error as { stderr?: string }).stderr ?? error).trim()}`;
+    }
+  }
+
+  private async operate(): Promise<void> {
+    const { leader, follower } = this.scenario;
+    const move = ['--from', 'speech', '--to', 'vision', '--gpus', '8', '--for', '50', '--id', 'm1'];
+    const moved = await this.command(leader, 1, 'shares', 'move', ...move);
+    this.check(!moved.startsWith('failed'), 'a follower takes the request of a loan', moved);
+    await this.until(() => this.transferPhase() === 'lent', 'the share is lent');
+    const next = this.fleet.wishes.create({ ...SERVICE, crate: 'v2' });
+    this.jobs.set('version2', next.ref);
+    const jobs = ['--from', this.job('version1'), '--to', next.ref, '--id', 'r1'];
+    const bounds = ['--steps', '50,100', '--surge', '2', '--ready', '30', '--judge', '3'];
+    const started = await this.command(leader, 2, 'rollout', 'start', ...jobs, ...bounds);
+    this.check(!started.startsWith('failed'), 'a follower takes the request of a rollout', started);
+    await this.fleet.submitWished(next, 1);
+    for (const [verb, words] of [
+      ['quotas', ['shares', 'show', '--json']],
+      ['rollouts', ['rollout', 'history', '--json']],
+    ] as const) {
+      const shown = await Promise.all([
+        this.command(leader, 0, ...words),
+        this.command(follower, 0, ...words),
+      ]);
+      const same = shown[0] === shown[1] && shown[0].startsWith('{');
+      this.check(same, `the commands of both builds read ${verb}`, shown[0].slice(0, 120));
+    }
+    await this.until(() => this.rolloutPhase() === 'judging', 'the new version is judged');
+  }
+
+  private async changeLeader(): Promise<void> {
+    const { fleet } = this;
+    const before = this.placements();
+    const former = fleet.leader!;
+    const { restartedWith } = this.scenario;
+    const ended = restartedWith === undefined ? [former] : fleet.controllers;
+    for (const own of ended) fleet.kill(own);
+    const key = JSON.stringify(fleet.store.get('leader'));
+    this.restart(restartedWith === undefined ? [] : ended, restartedWith);
+    const isNew = (): boolean =>
+      fleet.leader !== undefined && JSON.stringify(fleet.store.get('leader')) !== key;
+    await this.until(isNew, 'a controller of the other build leads');
+    const leads = fleet.leader!;
+    const expected = programOf(restartedWith ?? this.scenario.follower);
+    const names = `${former.name}, ${leads.name}`;
+    this.check(leads.program === expected, 'a controller of the other build takes over', names);
+    await systemClock.sleep(SETTLE_MS);
+    this.checkKept(before, 'a change of leader costs no task');
+    // The one that was killed comes back beside the new leader.
+    this.restart(restartedWith === undefined ? ended : []);
+  }
+
+  private restart(processes: readonly Process[], checkout?: string): void {
+    for (const own of processes) {
+      if (checkout !== undefined) own.program = programOf(checkout);
+      this.fleet.spawn(own);
+    }
+  }
+
+  private async everythingEnds(): Promise<void> {
+    const ended: JobName[] = ['short', 'array', 'gang', 'dependent', 'waiting', 'chunked'];
+    const phases = (): string => ended.map((name) => this.storedPhase(name)).join(' ');
+    const allDone = ended.map(() => 'done').join(' ');
+    await this.fleet
+      .until(() => phases() === allDone, 2 * WITHIN_SECONDS, 'all jobs are done')
+      .catch(() => undefined);
+    this.check(phases() === allDone, 'jobs are done, dependents too', phases());
+    const operators = (): string => `${this.transferPhase()} ${this.rolloutPhase()}`;
+    await this.until(() => operators() === 'returned done', 'both end').catch(() => undefined);
+    this.check(
+      operators() === 'returned done',
+      'loan and rollout go on to their ends',
+      operators(),
+    );
+    const { agree, answers } = await this.answersAgree();
+    this.check(agree, 'all controllers answer alike at the end', answers.join(' '));
+    const cancelled = await this.query(0, this.job('cancelled'));
+    this.check(cancelled.includes('withdrawn'), 'the cancelled job stays cancelled', cancelled);
+    const restarted = this.namesOf('array', 'gang', 'service').flatMap((ref) =>
+      [...this.starts.attempts]
+        .filter(([task, attempts]) => task.startsWith(`${ref}/`) && attempts.size > 1)
+        .map(([task]) => task),
+    );
+    this.check(restarted.length === 0, 'no task is started again', `${restarted.length} of 19`);
+    const twice = [...this.starts.broken];
+    this.check(
+      twice.length === 0,
+      'no task is in two places',
+      `${twice.length} ${twice.join(' ')}`,
+    );
+    await this.recordsAreRead();
+  }
+
+  private async recordsAreRead(): Promise<void> {
+    const errors = this.warnings.filter((line) => /"level":(50|60|"error"|"fatal")/.test(line));
+    this.check(errors.length === 0, 'no controller logs an error', errors.join(' ') || 'none');
+    const node = this.fleet.controllers.findIndex((own) => own === this.fleet.leader);
+    const { leader, follower, restartedWith } = this.scenario;
+    for (const words of [
+      ['shares', 'show', '--json'],
+      ['rollout', 'status', '--json'],
+    ]) {
+      for (const checkout of new Set([leader, restartedWith ?? follower])) {
+        const shown = await this.command(checkout, node, ...words);
+        const { unreadable } = (shown.startsWith('{') ? JSON.parse(shown) : {}) as {
+          unreadable?: unknown;
+        };
+        const empty = JSON.stringify(unreadable) === '[]';
+        this.check(empty, `${words.join(' ')}: every record is read`, JSON.stringify(unreadable));
+      }
+    }
+  }
+}
+
+const [oldArgument] = process.argv.slice(2);
+if (oldArgument === undefined) {
+  console.error('usage: npm run mixed -- OLD_CHECKOUT');
+  process.exit(2);
+}
+const before = resolve(process.env.INIT_CWD ?? '.', oldArgument);
+const now = resolve(fileURLToPath(new URL('../../../..', import.meta.url)));
+
+const SCENARIOS: Scenario[] = [
+  { name: 'old leads, new takes over', leader: before, follower: now },
+  { name: 'new leads, old takes over', leader: now, follower: before },
+  {
+    ...{ name: 'old alone, then new on its data', leader: before, follower: before },
+    restartedWith: now,
+  },
+];
+
+const trials = SCENARIOS.map((scenario) => new MixedBuilds(scenario));
+await Promise.all(trials.map((trial) => trial.play()));
+for (const { lines } of trials) for (const line of lines) console.log(line);
+const failed = trials.reduce((sum, trial) => sum + trial.failed, 0);
+console.log(failed === 0 ? 'every check holds' : `${failed} checks do not hold`);
+process.exit(failed === 0 ? 0 : 1);
