--- a/src/http/connection-tracker.ts
+++ b/src/http/connection-tracker.ts
@@ -1,25 +1,25 @@
-/** Bounds on the connections from outside. */
+/** Limits the number of inbound connections. */
 import type { Socket } from 'node:net';
 
-/** Clients do not pipeline requests: a connection with more unanswered requests is closed. */
+/** Regular clients do not pipeline requests: a connection with more unanswered requests is closed. */
 const MAX_PIPELINED_REQUESTS = 4;
 
 /**
- * Connections from outside, kept within what the machine allows. A machine without free sockets refuses
- * new connections, and after a failover these are workers', whose leases run out. So users' idle
- * connections are closed, the longest idle first, and while there are still too many connections each
- * user's is closed after its next answer.
+ * Keeps the number of inbound connections within the machine's limit. A machine without free sockets
+ * refuses new connections; after a failover these come from workers, whose leases would expire. So a
+ * new connection above the limit closes the user connection that has been idle longest, and while there
+ * are still too many connections, every user connection is closed after its next response.
  */
 export class ConnectionTracker {
   private readonly open = new Set<Socket>();
-  /** Users' connections without a request, the longest idle first. */
+  /** User connections without a pending request, the longest idle first. */
   private readonly idle = new Set<Socket>();
-  /** Users' unanswered requests, for each connection that has any. */
+  /** The number of unanswered user requests of each connection that has any. */
   private readonly unanswered = new Map<Socket, number>();
 
   constructor(private readonly maxConnections: number) {}
 
-  /** A connection was opened. */
+  /** Registers a new connection; above the limit, closes the user connection idle for longest. */
   add(socket: Socket): void {
     this.open.add(socket);
     socket.once('close', () => {
@@ -34,12 +34,12 @@
     longestIdle.destroy();
   }
 
-  /** There are more connections than the machine has room for. */
+  /** Whether there are more connections than the limit allows. */
   get isOverCapacity(): boolean {
     return this.open.size > this.maxConnections;
   }
 
-  /** A user's request arrived; false if its connection is closed for too many of them at once. */
+  /** Records a user request; false if the connection was closed because it has too many of them. */
   requestStarted(socket: Socket): boolean {
     this.idle.delete(socket);
     const unanswered = (this.unanswered.get(socket) ?? 0) + 1;
@@ -49,7 +49,7 @@
     return false;
   }
 
-  /** A user's request was answered, and its connection stays open. */
+  /** Records that a user request was answered, or that a connection waits for its first request. */
   requestEnded(socket: Socket): void {
     const remaining = (this.unanswered.get(socket) ?? 1) - 1;
     if (remaining > 0) {
--- a/src/http/heartbeat-reader.ts
+++ b/src/http/heartbeat-reader.ts
@@ -1,9 +1,9 @@
 /**
- * Reads workers' heartbeats from their connections.
+ * Reads and answers workers' heartbeats directly on the socket.
  *
- * Heartbeats are nearly all requests: one a second from every machine, to a leader that has an eighth
- * of a core. They are parsed here by hand, since `node:http` costs several times as much for each as
- * all work of the controller on it, and express doubles that.
+ * Nearly all requests are heartbeats: one a second from every machine, to a leader that has an eighth
+ * of a core. They are parsed by hand because `node:http` takes several times as much processor time per
+ * heartbeat as the controller's own work on it, and express doubles that.
  */
 import type { Socket } from 'node:net';
 import {
@@ -14,49 +14,51 @@
   type WorkerHeartbeat,
 } from '../wire/worker-heartbeat.js';
 
-/** What a controller answers to a heartbeat: commands if it leads, else who does. */
+/**
+ * The outcome of a heartbeat: commands if this controller leads, otherwise a redirect to the leader.
+ */
 export type HeartbeatOutcome =
   | { kind: 'commands'; fencingToken: number; commands: WorkerCommand[] }
   | { kind: 'redirect'; leader: string | null };
 
-/** Takes a heartbeat; a promise if the outcome has to wait. */
+/** Handles a heartbeat; returns a promise only if the outcome is not available at once. */
 export type HeartbeatReceiver = (
   heartbeat: WorkerHeartbeat,
 ) => HeartbeatOutcome | Promise<HeartbeatOutcome>;
 
-/** Takes over a connection together with the bytes already read from it. */
+/** Takes over a connection; `rest` holds the bytes that were read from it but not parsed. */
 export type ConnectionHandler = (socket: Socket, rest: Buffer) => void;
 
-/** Where workers send heartbeats. */
+/** The path to which workers send heartbeats. */
 export const HEARTBEAT_PATH = '/v1/report';
 
-/** The longest body of a request, in bytes. */
+/** The maximum length of a request body, in bytes. */
 export const MAX_BODY_BYTES = 64 * 1024;
 
 const REQUEST_LINE = Buffer.from(`POST ${HEARTBEAT_PATH} HTTP/1.1\r\n`);
 const HEADERS_END = '\r\n\r\n';
-/** Workers' headers are shorter than this. */
+/** The headers of workers are shorter; a request with longer ones goes to the general server. */
 const MAX_HEADERS_BYTES = 8 * 1024;
 
-/** Bytes of earlier answers that a worker may leave unread when it sends its next heartbeat. */
+/** How many bytes of earlier responses a worker may leave unread before its connection is closed. */
 const MAX_UNREAD_BYTES = MAX_BODY_BYTES;
 
-const REASONS = { 200: 'OK', 400: 'Bad Request', 421: 'Misdirected Request' } as const;
+const REASON_PHRASES = { 200: 'OK', 400: 'Bad Request', 421: 'Misdirected Request' } as const;
 
-/** An answer to a heartbeat, as status and JSON body. */
+/** The response to a heartbeat: status and JSON body. */
 export interface HeartbeatAnswer {
-  status: keyof typeof REASONS;
+  status: keyof typeof REASON_PHRASES;
   body: object;
 }
 
-/** The answer to a heartbeat that could not be parsed. */
+/** The response to a heartbeat that could not be parsed. */
 export const MALFORMED_HEARTBEAT: HeartbeatAnswer = {
   status: 400,
   body: { error: 'malformed report' },
 };
 
-/** The answer that tells a worker the outcome of its heartbeat. */
-export function answerOf(outcome: HeartbeatOutcome): HeartbeatAnswer {
+/** Converts the outcome of a heartbeat to the response for the worker. */
+export function toHeartbeatAnswer(outcome: HeartbeatOutcome): HeartbeatAnswer {
   switch (outcome.kind) {
     case 'commands':
       return { status: 200, body: heartbeatResponse(outcome.fencingToken, outcome.commands) };
@@ -66,26 +68,26 @@
 }
 
 /**
- * Answers the heartbeats that arrive on `socket`. At the first request that is not plainly a heartbeat
- * the connection is passed to `passOn`, the general server.
+ * Answers the heartbeats that arrive on `socket`. At the first request that is not a heartbeat of the
+ * usual form, the connection is passed to `handOver`, which gives it to the general server.
  */
 export function readHeartbeats(
   socket: Socket,
   receive: HeartbeatReceiver,
-  passOn: ConnectionHandler,
+  handOver: ConnectionHandler,
 ): void {
-  new HeartbeatReader(socket, receive, passOn).start();
+  new HeartbeatReader(socket, receive, handOver).start();
 }
 
 class HeartbeatReader {
   private unparsed: Buffer = Buffer.alloc(0);
-  /** An answer is pending. Workers do not pipeline; a client that does so has to wait, unread. */
+  /** Workers do not pipeline. If a client does, its socket is not read while a response is pending. */
   private isAnswerPending = false;
 
   constructor(
     private readonly socket: Socket,
     private readonly receive: HeartbeatReceiver,
-    private readonly passOn: ConnectionHandler,
+    private readonly handOver: ConnectionHandler,
   ) {}
 
   start(): void {
@@ -106,7 +108,7 @@
         return;
       case 'other':
         this.socket.removeListener('data', this.onData);
-        this.passOn(this.socket, this.unparsed);
+        this.handOver(this.socket, this.unparsed);
         return;
       case 'heartbeat':
         this.unparsed = this.unparsed.subarray(request.end);
@@ -118,24 +120,24 @@
     const heartbeat = parseHeartbeat(parseJson(body));
     if (!heartbeat) return this.send(MALFORMED_HEARTBEAT, close);
     const outcome = this.receive(heartbeat);
-    // Without a promise there is nothing to wait for, and most heartbeats are answered at once.
-    if (!(outcome instanceof Promise)) return this.send(answerOf(outcome), close);
+    // Most outcomes are available at once and are answered without the cost of a promise.
+    if (!(outcome instanceof Promise)) return this.send(toHeartbeatAnswer(outcome), close);
     this.isAnswerPending = true;
     void outcome.then((result) => {
       this.isAnswerPending = false;
       this.socket.resume();
-      this.send(answerOf(result), close);
+      this.send(toHeartbeatAnswer(result), close);
     });
   }
 
   private send({ status, body }: HeartbeatAnswer, close: boolean): void {
     const { socket } = this;
     if (socket.destroyed) return;
-    // The worker sends requests without reading the answers, which would fill the memory.
+    // The worker sends requests but does not read the responses, which would accumulate in memory.
     if (socket.writableLength > MAX_UNREAD_BYTES) return void socket.destroy();
     const payload = JSON.stringify(body);
-    const headers = `HTTP/1.1 ${status} ${REASONS[status]}\r\ncontent-type: application/json\r\ncontent-length: ${Buffer.byteLength(payload)}\r\n${close ? 'connection: close\r\n' : ''}\r\n`;
-    // One write for headers and body: each is a system call and a packet.
+    const headers = `HTTP/1.1 ${status} ${REASON_PHRASES[status]}\r\ncontent-type: application/json\r\ncontent-length: ${Buffer.byteLength(payload)}\r\n${close ? 'connection: close\r\n' : ''}\r\n`;
+    // Headers and body go out in one write, since each write costs a system call and a packet.
     if (close) {
       socket.end(headers + payload);
     } else {
@@ -148,9 +150,9 @@
 interface HeartbeatRequest {
   kind: 'heartbeat';
   body: string;
-  /** Where the next request begins. */
+  /** The offset at which the next request begins. */
   end: number;
-  /** The worker asks to close the connection after the answer. */
+  /** The worker asks that the connection be closed after the response. */
   close: boolean;
 }
 
@@ -159,15 +161,15 @@
 const INCOMPLETE: ParsedRequest = { kind: 'incomplete' };
 const OTHER: ParsedRequest = { kind: 'other' };
 
-/** The first request in `data`, if it is a heartbeat of ordinary form. */
+/** Parses the first request in `data` if it is a heartbeat of the usual form. */
 function parseRequest(data: Buffer): ParsedRequest {
-  const compared = Math.min(data.length, REQUEST_LINE.length);
-  if (data.compare(REQUEST_LINE, 0, compared, 0, compared) !== 0) return OTHER;
+  const comparedBytes = Math.min(data.length, REQUEST_LINE.length);
+  if (data.compare(REQUEST_LINE, 0, comparedBytes, 0, comparedBytes) !== 0) return OTHER;
   const headersEnd = data.indexOf(HEADERS_END);
   if (headersEnd < 0) return data.length > MAX_HEADERS_BYTES ? OTHER : INCOMPLETE;
   const headers = data.toString('latin1', REQUEST_LINE.length - 2, headersEnd).toLowerCase();
   const length = /\r\ncontent-length:[ \t]*(\d{1,6})[ \t]*(?:\r\n|$)/.exec(headers);
-  // The general server handles bodies without a plain length, and expectations.
+  // Bodies without a plain length and `Expect` headers are left to the general server.
   if (!length || headers.includes('\r\ntransfer-encoding:') || headers.includes('\r\nexpect:')) {
     return OTHER;
   }
@@ -184,7 +186,7 @@
   try {
     return JSON.parse(text);
   } catch {
-    // `null` is no heartbeat either, so the worker gets the answer to a malformed one.
+    // `null` is not a valid heartbeat, so the worker is told that its heartbeat is malformed.
     return null;
   }
 }
--- a/src/http/host-port.ts
+++ b/src/http/host-port.ts
@@ -1,6 +1,6 @@
-/** Addresses of the deploy file, whose form `HOST:PORT` is checked when the file is read. */
+/** Parses addresses of the deploy file; their form `HOST:PORT` is validated when the file is loaded. */
 
-/** The parts of an address `HOST:PORT`. */
+/** The host and port of an address. */
 export interface HostPort {
   host: string;
   port: number;
--- a/src/http/server.ts
+++ b/src/http/server.ts
@@ -1,4 +1,4 @@
-/** HTTP server of a controller: workers, users and health checks. */
+/** The HTTP server of a controller, for workers, users and health checks. */
 import {
   createServer,
   type IncomingMessage,
@@ -13,7 +13,7 @@
 import { parseHeartbeat, type WorkerHeartbeat } from '../wire/worker-heartbeat.js';
 import { ConnectionTracker } from './connection-tracker.js';
 import {
-  answerOf,
+  toHeartbeatAnswer,
   HEARTBEAT_PATH,
   MALFORMED_HEARTBEAT,
   MAX_BODY_BYTES,
@@ -22,29 +22,29 @@
 } from './heartbeat-reader.js';
 import { parseHostPort } from './host-port.js';
 
-/** What the server needs of a controller. */
+/** The part of a controller that the server uses. */
 export interface ControllerService {
   jobApi: JobApi;
   receiveHeartbeat(heartbeat: WorkerHeartbeat): HeartbeatOutcome | Promise<HeartbeatOutcome>;
-  /** Whether the load balancer should send users here. */
+  /** Whether the load balancer should send users to this controller. */
   ready(): boolean;
 }
 
 const READY_PATH = '/ready';
 
-/** The path of a query in its ordinary form. */
+/** The path of a job query in its usual form. */
 const JOB_QUERY = /^\/work\/(req-\d{1,20})$/;
 
 /**
- * Answers the requests of users and health checks, and heartbeats of unusual form. Queries are by far
- * the most frequent requests of users, and in a storm their cost decides: they are answered with
- * `node:http` alone, which takes 8 microseconds of processor time on a developer's machine against 58
- * through express, without the work behind the answer.
+ * Creates the request listener for users, health checks and heartbeats of unusual form. Job queries are
+ * by far the most frequent user requests, and their cost limits throughput under a query storm. They
+ * bypass express and use `node:http` alone: 8 instead of 58 microseconds of processor time per request
+ * on a developer's machine, not counting the query itself.
  */
 export function createApp(
   service: ControllerService,
   log: Logger,
-  /** Whether there are more connections than the machine has room for. */
+  /** Whether there are more inbound connections than the limit allows. */
   isOverCapacity = (): boolean => false,
 ): RequestListener {
   const app = createExpress(service, log);
@@ -73,38 +73,39 @@
       const ready = service.ready();
       sendJson(res, ready ? 200 : 503, { ready });
     })
-    .all(sendWrongMethod);
+    .all(sendMethodNotAllowed);
   app
     .route('/work')
     .post(json, async (req, res) => sendAnswer(res, service, await service.jobApi.submit(req.body)))
-    .all(sendWrongMethod);
+    .all(sendMethodNotAllowed);
   app
     .route('/work/:id')
     .get(async (req, res) => sendAnswer(res, service, await service.jobApi.query(req.params.id)))
-    .all(sendWrongMethod);
+    .all(sendMethodNotAllowed);
   app
     .route('/work/:id/abort')
     .post(async (req, res) => sendAnswer(res, service, await service.jobApi.cancel(req.params.id)))
-    .all(sendWrongMethod);
-  // Heartbeats of unusual form; the others are read from the socket.
+    .all(sendMethodNotAllowed);
+  // Only heartbeats of unusual form; all others are parsed by `readHeartbeats`.
   app
     .route(HEARTBEAT_PATH)
     .post(json, async (req, res) => {
       const heartbeat = parseHeartbeat(req.body);
       const answer = heartbeat
-        ? answerOf(await service.receiveHeartbeat(heartbeat))
+        ? toHeartbeatAnswer(await service.receiveHeartbeat(heartbeat))
         : MALFORMED_HEARTBEAT;
       sendJson(res, answer.status, answer.body);
     })
-    .all(sendWrongMethod);
+    .all(sendMethodNotAllowed);
   app.use((_req, res) => void sendJson(res, 404, { error: 'no such path' }));
-  app.use(onError(log));
+  app.use(createErrorHandler(log));
   return app;
 }
 
 /**
- * A controller that is not ready closes users' connections with its 503: the load balancer chooses a
- * controller for new connections only, and would keep the others here for seconds.
+ * Sends the response of the job API. A controller that is not ready closes the connection with its 503:
+ * the load balancer chooses a controller only for new connections and would keep existing ones on this
+ * controller for seconds.
  */
 function sendAnswer(res: ServerResponse, service: ControllerService, answer: ApiResponse): void {
   if (answer.status === 503 && !service.ready()) res.setHeader('connection', 'close');
@@ -112,11 +113,11 @@
   sendJson(res, answer.status, answer.body);
 }
 
-function sendWrongMethod(_req: unknown, res: Response): void {
+function sendMethodNotAllowed(_req: unknown, res: Response): void {
   sendJson(res, 405, { error: 'wrong method' });
 }
 
-function onError(log: Logger): ErrorRequestHandler {
+function createErrorHandler(log: Logger): ErrorRequestHandler {
   return (error: { status?: unknown; message?: unknown }, _req, res, next) => {
     if (res.headersSent) return next(error);
     const status = typeof error.status === 'number' ? error.status : 500;
@@ -133,21 +134,21 @@
   sendJson(res, 500, { error: 'internal error' });
 }
 
-/** How long an idle connection is kept, in milliseconds; users send a request about every 5 s. */
+/** How long an idle connection is kept open, in milliseconds; users send a request about every 5 s. */
 const KEEP_ALIVE_MS = 75_000;
 
-/** Bounds on connections from outside. */
+/** Limits on inbound connections. */
 export interface ServerLimits {
-  /** Connections from outside that the machine has room for. */
+  /** The maximum number of inbound connections. */
   connections: number;
   /**
-   * How long a worker's connection may be silent, in milliseconds: its lease has expired then, and the
-   * worker returns on a new connection.
+   * How long a worker's connection may be idle before it is closed, in milliseconds. The worker's lease
+   * has expired by then, and the worker reconnects.
    */
   workerIdleMs: number;
 }
 
-/** Listens on `address` (`HOST:PORT`) until `signal` is aborted; resolves once it accepts connections. */
+/** Listens on `address` (`HOST:PORT`) until `signal` is aborted; resolves once it is listening. */
 export function listen(
   service: ControllerService,
   log: Logger,
@@ -156,14 +157,14 @@
   signal: AbortSignal,
 ): Promise<Server> {
   const connections = new ConnectionTracker(limits.connections);
-  const http = createHttpServer(service, log, connections);
+  const httpServer = createHttpServer(service, log, connections);
   const server = createNetServer({ allowHalfOpen: true, noDelay: true }, (socket) => {
     connections.add(socket);
-    accept(socket, service, limits.workerIdleMs, (rest) => {
+    acceptConnection(socket, service, limits.workerIdleMs, (rest) => {
       socket.unshift(rest);
-      // Until its request is complete the connection counts as idle.
+      // The connection counts as idle until the headers of its first request are complete.
       connections.requestEnded(socket);
-      http.emit('connection', socket);
+      httpServer.emit('connection', socket);
     });
   });
   const close = (): void => {
@@ -179,51 +180,52 @@
   });
 }
 
-/** The general server; it does not listen but is given connections. */
+/** Creates the general server, which does not listen itself but is given accepted connections. */
 function createHttpServer(
   service: ControllerService,
   log: Logger,
   connections: ConnectionTracker,
 ): HttpServer {
   const app = createApp(service, log, () => connections.isOverCapacity);
-  const http = createServer((req: IncomingMessage, res: ServerResponse) => {
+  const httpServer = createServer((req: IncomingMessage, res: ServerResponse) => {
     const { socket } = req;
     if (!connections.requestStarted(socket)) return;
     res.once('close', () => connections.requestEnded(socket));
-    // Connections of the load balancer's health checks are few and not users'.
+    // Connections of the load balancer's health checks stay open: they are few and not users'.
     if (connections.isOverCapacity && req.url !== READY_PATH) res.setHeader('connection', 'close');
     app(req, res);
   });
-  http.keepAliveTimeout = KEEP_ALIVE_MS;
-  // A request that stops halfway holds its connection no longer than one that never begins.
-  http.timeout = KEEP_ALIVE_MS;
-  return http;
+  httpServer.keepAliveTimeout = KEEP_ALIVE_MS;
+  // The same limit for a request that stalls halfway as for an idle connection.
+  httpServer.timeout = KEEP_ALIVE_MS;
+  return httpServer;
 }
 
-/** Reads heartbeats from a new connection until `passOn` takes it for other requests. */
-function accept(
+/** Reads heartbeats from a new connection until a request of another kind passes it to `handOver`. */
+function acceptConnection(
   socket: Socket,
   service: ControllerService,
   workerIdleMs: number,
-  passOn: (rest: Buffer) => void,
+  handOver: (rest: Buffer) => void,
 ): void {
-  const drop = (): void => void socket.destroy();
-  socket.on('error', drop);
-  socket.on('end', drop);
-  socket.setTimeout(KEEP_ALIVE_MS, drop);
+  const destroySocket = (): void => void socket.destroy();
+  socket.on('error', destroySocket);
+  socket.on('end', destroySocket);
+  socket.setTimeout(KEEP_ALIVE_MS, destroySocket);
   let isWorker = false;
   readHeartbeats(
     socket,
     (heartbeat) => {
-      // After a partition the old connection stays open on this side while the worker uses new ones.
+      // After a partition the old connection may stay open here while the worker uses a new one.
       if (!isWorker) socket.setTimeout(workerIdleMs);
       isWorker = true;
       return service.receiveHeartbeat(heartbeat);
     },
     (_socket, rest) => {
-      for (const event of ['error', 'end', 'timeout'] as const) socket.removeListener(event, drop);
+      for (const event of ['error', 'end', 'timeout'] as const)
+        socket.removeListener(event, destroySocket);
       socket.setTimeout(0);
-      passOn(rest);
+      handOver(rest);
     },
   );
 }
